--- a/caperdrift/__init__.py
+++ b/caperdrift/__init__.py
@@ -14,7 +14,7 @@
     FetchList,
     Fleet,
     Goal,
-    Learned,
+    LearnedState,
     LearnedBreaker,
     LearnedServer,
     ListedServer,
@@ -45,7 +45,7 @@
     TimerFired,
     WatchList,
 )
-from caperdrift.plan import Hosts, Plan, Route, Target
+from caperdrift.plan import HostSelector, Plan, Route, Target
 
 __all__ = [
     "Action",
@@ -61,10 +61,10 @@
     "FetchList",
     "Fleet",
     "Goal",
-    "Hosts",
-    "Learned",
+    "HostSelector",
     "LearnedBreaker",
     "LearnedServer",
+    "LearnedState",
     "ListKind",
     "ListedServer",
     "LoadReport",
--- a/caperdrift/interface.py
+++ b/caperdrift/interface.py
@@ -56,15 +56,15 @@
     CONNECT_FAILED = "connect_failed"  # never ran
     RESET = "reset"  # connection lost with the attempt in flight; may have run
     CANCELLED = "cancelled"  # may have run
-    MOOT = "moot"  # never sent
+    NOT_SENT = "moot"  # never sent
 
 
-NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
+NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
 MAY_STILL_RUN = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED})
-TELL_OF_LOAD = frozenset({Outcome.OK, Outcome.TIMEOUT, Outcome.FULL})
+LOAD_OUTCOMES = frozenset({Outcome.OK, Outcome.TIMEOUT, Outcome.FULL})
 
 
-def _check(settings: object, least: Mapping[str, float], shares: tuple[str, ...] = ()) -> None:
+def _validate(settings: object, least: Mapping[str, float], shares: tuple[str, ...] = ()) -> None:
     """Raise for a field that no decision can be made from: not finite, below its least, or no share."""
     for name in (*least, *shares):
         value = getattr(settings, name)
@@ -91,14 +91,14 @@
 
     def __post_init__(self) -> None:
         least = {"aim_us": 1, "give_up_us": 1, "worth": 0, "window_us": 0, "aim_stretch": 0}
-        _check(self, least, shares=("late_worth",))
+        _validate(self, least, shares=("late_worth",))
 
-    def aim_for_us(self, work_us: int) -> int:
+    def aim_for_work_us(self, work_us: int) -> int:
         """The aim of a request that says it is so much work; 0: it does not say."""
         return min(self.aim_us + int(self.aim_stretch * work_us), max(self.aim_us, self.give_up_us))
 
     @property
-    def clients_may_repeat(self) -> bool:
+    def clients_may_retry(self) -> bool:
         """Whether it does no harm that a client sends a request again which may have run, to any server."""
         return self.effect is Effect.SAFE or (self.effect is Effect.KEYED and self.scope is Scope.ALL)
 
@@ -113,7 +113,7 @@
     worst_tenant: float = 0.0  # inside its share
 
     def __post_init__(self) -> None:
-        _check(self, least=dict.fromkeys(("whole", "worst_window", "worst_class", "worst_tenant"), 0))
+        _validate(self, least=dict.fromkeys(("whole", "worst_window", "worst_class", "worst_tenant"), 0))
 
 
 @dataclass(slots=True, frozen=True)
@@ -122,7 +122,7 @@
     allowance_per_s: float = math.inf  # requests within its share, over all proxies
 
     def __post_init__(self) -> None:
-        _check(self, least={}, shares=("share",))
+        _validate(self, least={}, shares=("share",))
         if not self.allowance_per_s >= 0:
             raise ValueError("allowance_per_s is below 0")
 
@@ -141,7 +141,7 @@
     list_lines: float = 0.0  # a hundred lines of the server list
 
     def __post_init__(self) -> None:
-        _check(self, least=dict.fromkeys(self.__dataclass_fields__, 0))
+        _validate(self, least=dict.fromkeys(self.__dataclass_fields__, 0))
 
 
 class Reports(Enum):
@@ -197,11 +197,11 @@
         )  # fmt: skip
         least: dict[str, float] = dict.fromkeys((*durations, "proxy", "cpu_us_per_s"), 0)
         counts = ("proxies", "max_attempts", "fall_us", "attempts_per_connection", "fall_multiple")
-        _check(self, least | dict.fromkeys(counts, 1), shares=("start_capacity", "over_share_worth"))
+        _validate(self, least | dict.fromkeys(counts, 1), shares=("start_capacity", "over_share_worth"))
         if self.proxy >= self.proxies:
             raise ValueError("proxy is not below proxies")
 
-    def takes(self, klass: int) -> bool:
+    def accepts_class(self, klass: int) -> bool:
         """Whether there is a class of this number, and it takes new requests."""
         return 0 <= klass < len(self.classes) and not self.classes[klass].dropped
 
@@ -231,14 +231,16 @@
 class RequestArrived:
     request: str
     klass: int
-    patience_us: int  # until the client abandons this try
+    client_timeout_us: int  # until the client abandons this try
     key: int | None = None
     work_us: int | None = None  # expected work on a standard core
     is_retry: bool = False
     tenant: int = 0  # its place in the settings
-    open: bool = False  # its body is still coming: its time begins with BodyEnded
+    body_incomplete: bool = False  # its body is still coming: its time begins with BodyEnded
     route: int = 0  # its number in the plan in force (plan.py); 0: none
-    rules: RequestClass | None = None  # its class as it was when the request came; None: as the settings say
+    class_settings: RequestClass | None = (
+        None  # its class as it was when the request came; None: as the settings say
+    )
 
 
 @dataclass(slots=True, frozen=True)
@@ -341,11 +343,11 @@
     weight: float  # of the controller
     idle: float
     breaker: LearnedBreaker
-    parts: tuple[tuple[int, float, LearnedBreaker], ...] = ()  # class, its weight, its breaker
+    by_class: tuple[tuple[int, float, LearnedBreaker], ...] = ()  # class, its weight, its breaker
 
 
 @dataclass(slots=True, frozen=True)
-class Learned:
+class LearnedState:
     """A balancer's learned state, for another process of the same proxy: latencies by class, in us."""
 
     servers: tuple[LearnedServer, ...]
@@ -358,7 +360,7 @@
     """Take up what a process before this one learned. Servers not listed now, or listed with another start,
     and classes beyond the settings are passed over; what is restored is logged in one line."""
 
-    learned: Learned
+    learned: LearnedState
     age_us: int = 0  # since it was taken: cooldowns have run on meanwhile
 
 
@@ -396,7 +398,9 @@
     request: str
     server: int
     timeout_us: int
-    latest_us: int = 0  # clock reading up to which its last byte may be written, however late a connection
+    write_deadline_us: int = (
+        0  # clock reading up to which its last byte may be written, however late a connection
+    )
     # comes up: never after that, neither this attempt nor an earlier one of the request; 0: any time
 
 
--- a/caperdrift/plan.py
+++ b/caperdrift/plan.py
@@ -10,21 +10,21 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Hosts:
+class HostSelector:
     """Servers by what the list says of them: one of each kind that is named, any of a kind that is empty."""
 
     kinds: frozenset[int] = frozenset()
     groups: frozenset[int] = frozenset()
     zones: frozenset[int] = frozenset()
     labels: frozenset[int] = frozenset()
-    none_of: tuple[Hosts, ...] = ()  # and in none of these
+    none_of: tuple[HostSelector, ...] = ()  # and in none of these
 
 
 @dataclass(slots=True, frozen=True)
 class Target:
     """Servers, and the share (0 to 1) of a route's requests that is meant for them."""
 
-    hosts: Hosts
+    hosts: HostSelector
     share: float = 1.0
 
 
--- a/caperdrift/policy/answers.py
+++ b/caperdrift/policy/answers.py
@@ -5,16 +5,16 @@
 from caperdrift.interface import Cancel, Fail, Refuse, RequestGone
 from caperdrift.policy.breaker import State
 from caperdrift.policy.proxy import Proxy
-from caperdrift.policy.sending import end_us, try_send
+from caperdrift.policy.sending import attempt_deadline_us, try_send
 from caperdrift.policy.servers import Request
 
 
-def answer_unserved(proxy: Proxy, request: Request) -> None:
+def refuse_or_fail(proxy: Proxy, request: Request) -> None:
     """The final answer when no attempt is out and none is to come."""
     if request.done:
         return
     ran = any(a.may_have_run for a in request.attempts)
-    if not ran or request.rules.clients_may_repeat:
+    if not ran or request.class_settings.clients_may_retry:
         proxy.actions.append(Refuse(request.id, retry_after_us(proxy)))
     else:
         proxy.actions.append(Fail(request.id))
@@ -32,20 +32,20 @@
 
 def finish(proxy: Proxy, request: Request, goes_on: bool = False) -> None:
     request.done = True
-    if request.out == 0:
-        free(proxy, request)
+    if request.in_flight == 0:
+        release_request(proxy, request)
     elif not request.streaming and not goes_on:
-        call_off(proxy, request)
+        cancel_attempts(proxy, request)
 
 
-def call_off(proxy: Proxy, request: Request, spared: int | None = None) -> None:
+def cancel_attempts(proxy: Proxy, request: Request, spared: int | None = None) -> None:
     """Cancel what is still out, but for one attempt that is wanted."""
     for number, attempt in enumerate(request.attempts if proxy.settings.may_cancel else ()):
         if not attempt.ended and number != spared:
             proxy.actions.append(Cancel(request.id, number))
 
 
-def on_gone(proxy: Proxy, event: RequestGone) -> None:
+def on_request_gone(proxy: Proxy, event: RequestGone) -> None:
     request = proxy.requests.get(event.request)
     if request is None or request.done:
         return
@@ -55,16 +55,16 @@
     finish(proxy, request, goes_on=costly and not any(a.overdue for a in request.attempts))
 
 
-def waits_its_turn(proxy: Proxy, request: Request) -> bool:
+def enqueue_in_order(proxy: Proxy, request: Request) -> bool:
     """Put a request of an in-order class in its key's line; True unless its turn is now.
     A line grows no longer than can be served from: who would come too late is refused when that is clear.
     """
-    if request.key is None or not request.rules.in_order:
+    if request.key is None or not request.class_settings.in_order:
         return False
-    line = proxy.lines.setdefault(request.key, deque())
-    last_us = end_us(proxy, request) - int(proxy.expected_us(request))
-    if line and proxy.now_us + len(line) * proxy.expected_us(request) > last_us:
-        answer_unserved(proxy, request)
+    line = proxy.key_queues.setdefault(request.key, deque())
+    last_us = attempt_deadline_us(proxy, request) - int(proxy.expected_latency_us(request))
+    if line and proxy.now_us + len(line) * proxy.expected_latency_us(request) > last_us:
+        refuse_or_fail(proxy, request)
         return True
     line.append(request)
     if line[0] is not request:
@@ -72,20 +72,20 @@
     return line[0] is not request
 
 
-def free(proxy: Proxy, request: Request) -> None:
+def release_request(proxy: Proxy, request: Request) -> None:
     """Forget a request that is over; in order, the next of its key has its turn once the key rested."""
     if proxy.requests.get(request.id) is request:  # while it rested in line its client may have come again
         del proxy.requests[request.id]
-        proxy.routed[request.route] -= 1
-    line = proxy.lines.get(request.key) if request.key is not None else None
+        proxy.pending_by_route[request.route] -= 1
+    line = proxy.key_queues.get(request.key) if request.key is not None else None
     if line is None or request not in line:
         return
-    if proxy.now_us < request.rests_until_us:
-        proxy.set_timer(request.rests_until_us, request)
+    if proxy.now_us < request.key_rest_until_us:
+        proxy.set_timer(request.key_rest_until_us, request)
         return
     had_turn = line[0] is request
     line.remove(request)
     if not line:
-        del proxy.lines[request.key]  # type: ignore[arg-type]
+        del proxy.key_queues[request.key]  # type: ignore[arg-type]
     elif had_turn and not line[0].done and not try_send(proxy, line[0]):
-        answer_unserved(proxy, line[0])
+        refuse_or_fail(proxy, line[0])
--- a/caperdrift/policy/balancer.py
+++ b/caperdrift/policy/balancer.py
@@ -23,18 +23,18 @@
     WatchList,
 )
 from caperdrift.plan import Plan
-from caperdrift.policy.admission import admit, used_us
-from caperdrift.policy.answers import answer_unserved, free, on_gone, waits_its_turn
-from caperdrift.policy.choice import skipped
-from caperdrift.policy.learned import learned, on_restore
-from caperdrift.policy.lists import on_list, rank_servers
-from caperdrift.policy.proxy import LIST_TOKEN, Proxy
+from caperdrift.policy.admission import admit, time_used_us
+from caperdrift.policy.answers import refuse_or_fail, release_request, on_request_gone, enqueue_in_order
+from caperdrift.policy.choice import count_skipped
+from caperdrift.policy.snapshot import learned_state, on_restore
+from caperdrift.policy.lists import on_server_list, rank_servers
+from caperdrift.policy.proxy import LIST_TIMER_TOKEN, Proxy
 from caperdrift.policy.retries import on_attempt_ended, on_overdue
-from caperdrift.policy.routes import is_full, on_plan, route_of
+from caperdrift.policy.routes import is_at_limit, on_plan, route_of
 from caperdrift.policy.sending import try_send
-from caperdrift.policy.sharers import on_fleet
-from caperdrift.policy.shedding import is_shed
-from caperdrift.policy.streams import on_body_ended, on_stream, tie
+from caperdrift.policy.proxy_count import on_fleet
+from caperdrift.policy.shedding import should_shed
+from caperdrift.policy.streams import on_body_ended, on_stream_started, pin_to_attempt
 
 
 class Balancer(Proxy):
@@ -49,36 +49,36 @@
             handler(self, event)
         return self.actions
 
-    learned = learned
-    skipped = skipped
+    learned_state = learned_state
+    count_skipped = count_skipped
 
     def on_request(self, event: RequestArrived) -> None:
         if event.request in self.requests:
             self.log(f"request {event.request} came twice; the second is ignored")
             return
-        if event.rules is None and not self.settings.takes(event.klass):
+        if event.class_settings is None and not self.settings.accepts_class(event.klass):
             self.log(f"request {event.request} is of unknown class {event.klass}")
             self.actions.append(Fail(event.request))
             return
         route = route_of(self, event.route)
-        if is_full(self, event.route, route):
-            used_us(self, event)  # a first try tells of its class's patience all the same
+        if is_at_limit(self, event.route, route):
+            time_used_us(self, event)  # a first try tells of its class's patience all the same
             self.actions.append(Refuse(event.request))
             return
         request = admit(self, event, route)
         self.requests[request.id] = request
-        self.routed[request.route] += 1
-        if is_shed(self, request) or not (waits_its_turn(self, request) or try_send(self, request)):
-            answer_unserved(self, request)
+        self.pending_by_route[request.route] += 1
+        if should_shed(self, request) or not (enqueue_in_order(self, request) or try_send(self, request)):
+            refuse_or_fail(self, request)
 
     def on_timer(self, event: TimerFired) -> None:
         request = self.timers.pop(event.token, None)
-        if event.token == LIST_TOKEN and not self.settings.list_is_pushed:
+        if event.token == LIST_TIMER_TOKEN and not self.settings.list_is_pushed:
             self.actions.append(WatchList())
-        elif request is not None and request.done and request.out == 0:
-            free(self, request)
-        elif request is not None and request.out == 0:
-            answer_unserved(self, request)  # its turn has not come
+        elif request is not None and request.done and request.in_flight == 0:
+            release_request(self, request)
+        elif request is not None and request.in_flight == 0:
+            refuse_or_fail(self, request)  # its turn has not come
         elif request is not None and not request.done:
             on_overdue(self, request)
 
@@ -86,20 +86,22 @@
         """Go by other settings from now on; what was learned stays, and open requests keep their rules."""
         old, self.settings = self.settings, event.settings
         more = len(self.settings.classes) - len(old.classes)
-        for values in (self.smoothed, self.unhindered, self.mean_work, self.asked, self.served):
+        for values in (self.smoothed_us, self.baseline_us, self.mean_work_us, self.offered, self.served):
             values += [0.0] * more
-        self.patience += [(0, 0)] * more
+        self.client_timeouts += [(0, 0)] * more
         for index, now in enumerate(self.settings.classes):
             was = old.classes[index] if index < len(old.classes) else None
             if was is None or was.give_up_us != now.give_up_us:
-                self.patience[index] = (now.give_up_us, 0)
-            if was is None or self.smoothed[index] == was.aim_us / 4:  # no answer yet: still the first guess
-                self.smoothed[index] = self.unhindered[index] = now.aim_us / 4
+                self.client_timeouts[index] = (now.give_up_us, 0)
+            if (
+                was is None or self.smoothed_us[index] == was.aim_us / 4
+            ):  # no answer yet: still the first guess
+                self.smoothed_us[index] = self.baseline_us[index] = now.aim_us / 4
             if now.dropped:
-                self.asked[index] = self.served[index] = 0.0
-        self.tries += [t.share for t in self.settings.tenants[len(self.tries) :]]
+                self.offered[index] = self.served[index] = 0.0
+        self.tenant_traffic += [t.share for t in self.settings.tenants[len(self.tenant_traffic) :]]
         if old.list_is_pushed and not self.settings.list_is_pushed:
-            self.actions.append(SetTimer(self.now_us, LIST_TOKEN))
+            self.actions.append(SetTimer(self.now_us, LIST_TIMER_TOKEN))
         rank_servers(self)
 
 
@@ -107,10 +109,10 @@
     AttemptEnded: on_attempt_ended,
     RequestArrived: Balancer.on_request,
     TimerFired: Balancer.on_timer,
-    RequestGone: on_gone,
-    ServerList: on_list,
-    StreamStarted: on_stream,
-    BodyPassing: tie,
+    RequestGone: on_request_gone,
+    ServerList: on_server_list,
+    StreamStarted: on_stream_started,
+    BodyPassing: pin_to_attempt,
     BodyEnded: on_body_ended,
     SettingsChanged: Balancer.on_settings,
     Restore: on_restore,
--- a/caperdrift/policy/choice.py
+++ b/caperdrift/policy/choice.py
@@ -4,17 +4,19 @@
 
 from caperdrift.interface import Effect, Scope
 from caperdrift.policy.breaker import State
-from caperdrift.policy.cold import has_cold_capacity, cold_share
-from caperdrift.policy.proxy import OVERDUE, Proxy
-from caperdrift.policy.routes import nearness, pools
+from caperdrift.policy.cold import has_cold_capacity, capacity_share
+from caperdrift.policy.proxy import OVERDUE_FACTOR, Proxy
+from caperdrift.policy.routes import zone_factor, server_pools
 from caperdrift.policy.servers import Request, Server
 
-OWN = 4  # power of own attempts out in the draw: known at once, where listed weights are late, alike for all
-HOME_FAVOUR = 20.0  # factor on the weight of a key's home: most of its requests, not all
+IN_FLIGHT_EXPONENT = (
+    4  # power of own attempts out in the draw: known at once, where listed weights are late, alike for all
+)
+HOME_WEIGHT_FACTOR = 20.0  # factor on the weight of a key's home: most of its requests, not all
 HASH_FACTOR, HASH_MASK = 0x9E3779B97F4A7C15, 2**64 - 1  # golden ratio in 64 bits: spreads close numbers apart
 
 
-def rendezvous(key: int, server: int, weight: float) -> float:
+def rendezvous_score(key: int, server: int, weight: float) -> float:
     """Lowest at the server that a key belongs to: weighted rendezvous hashing.
     Everyone ranks alike without a word, and a server that comes or goes moves only what ranks it first.
     """
@@ -33,15 +35,17 @@
     for place, server in enumerate(ranked):
         if len(found) >= proxy.reach:
             break
-        if is_eligible(proxy, server, klass) and (place < proxy.reach or cold_share(proxy, server) >= 1.0):
+        if is_eligible(proxy, server, klass) and (
+            place < proxy.reach or capacity_share(proxy, server) >= 1.0
+        ):
             found.append(server)
     return found
 
 
-def allowed_servers(proxy: Proxy, request: Request, ranked: list[Server]) -> list[Server]:
+def retry_candidates(proxy: Proxy, request: Request, ranked: list[Server]) -> list[Server]:
     """Servers that another attempt may go to."""
     tried = [a.server for a in request.attempts]
-    klass = request.rules
+    klass = request.class_settings
     ran = [a for a in request.attempts if a.may_have_run]
     servers = [s for s in subset(proxy, request.klass, ranked) if s not in tried]
     if ran and klass.effect is Effect.UNSAFE:
@@ -51,7 +55,7 @@
             return []
         servers = [s for s in ranked if s not in tried and is_eligible(proxy, s, request.klass)]
         reached = ranked[: math.ceil(proxy.reach)]
-        servers = [s for s in servers if s in reached or cold_share(proxy, s) >= 1.0]
+        servers = [s for s in servers if s in reached or capacity_share(proxy, s) >= 1.0]
         if klass.scope is Scope.ZONE:
             servers = [s for s in servers if all(s.entry.zone == a.server.entry.zone for a in ran)]
         elif klass.scope is Scope.GROUP:
@@ -59,15 +63,15 @@
     return servers
 
 
-def pick(proxy: Proxy, request: Request) -> Server | None:
+def pick_server(proxy: Proxy, request: Request) -> Server | None:
     """Weighted random choice among the servers that may take this request now."""
-    weighings = (weighed(proxy, request, ranked) for ranked in pools(proxy, request))
+    weighings = (weighted_candidates(proxy, request, ranked) for ranked in server_pools(proxy, request))
     weights = next(filter(None, weighings), None)
     if weights is None:
         return None
     total = sum(weight for weight, _ in weights)
     if proxy.settings.warm_keys and request.key is not None:
-        total += favour_home(request.key, weights)
+        total += raise_home_weight(request.key, weights)
     point = proxy.random.random() * total
     for weight, server in weights:
         point -= weight
@@ -76,22 +80,22 @@
     return weights[-1][1]
 
 
-def weighed(proxy: Proxy, request: Request, ranked: list[Server]) -> list[tuple[float, Server]]:
+def weighted_candidates(proxy: Proxy, request: Request, ranked: list[Server]) -> list[tuple[float, Server]]:
     """The servers of one pool that may take this request now, with their weights in the draw."""
     request.pool_size = len(ranked)
     repeated, klass = request.attempts, request.klass
-    candidates = allowed_servers(proxy, request, ranked) if repeated else subset(proxy, klass, ranked)
-    repeatable = request.rules.effect is not Effect.UNSAFE
+    candidates = retry_candidates(proxy, request, ranked) if repeated else subset(proxy, klass, ranked)
+    repeatable = request.class_settings.effect is not Effect.UNSAFE
     weights = [(draw_weight(proxy, server, request), server) for server in candidates]
     # Trials risk their request, so one that could not be repeated goes to closed servers.
     return [(w, s) for w, s in weights if w > 0.0 and (repeatable or s.breaker.state is State.CLOSED)]
 
 
-def favour_home(key: int, weights: list[tuple[float, Server]]) -> float:
+def raise_home_weight(key: int, weights: list[tuple[float, Server]]) -> float:
     """Raise the weight of the key's home among the candidates; returns by how much."""
-    ranks = [rendezvous(key, server.entry.server, 1.0) for _, server in weights]
+    ranks = [rendezvous_score(key, server.entry.server, 1.0) for _, server in weights]
     home = ranks.index(min(ranks))
-    raised = weights[home][0] * (HOME_FAVOUR - 1.0)
+    raised = weights[home][0] * (HOME_WEIGHT_FACTOR - 1.0)
     weights[home] = (weights[home][0] + raised, weights[home][1])
     return raised
 
@@ -100,32 +104,34 @@
     """A server's weight in the draw, less while cold; 0 for one that is not eligible."""
     if not has_cold_capacity(proxy, server, request):
         return 0.0
-    free = 1.0 / (1.0 + len(server.out)) ** OWN
-    weight = server.weight * server.part(request.klass).weight
-    return server.entry.weight * weight * free * nearness(proxy, server.entry) * cold_share(proxy, server)
+    free = 1.0 / (1.0 + len(server.in_flight)) ** IN_FLIGHT_EXPONENT
+    weight = server.weight * server.class_state(request.klass).weight
+    return (
+        server.entry.weight * weight * free * zone_factor(proxy, server.entry) * capacity_share(proxy, server)
+    )
 
 
 def is_eligible(proxy: Proxy, server: Server, klass: int) -> bool:
     """Whether it may be used; cooldowns that are over end."""
-    breakers = server.breaker, server.part(klass).breaker
-    return may_use(proxy, server, klass) and all(b.lets_through(proxy.now_us) for b in breakers)
+    breakers = server.breaker, server.class_state(klass).breaker
+    return is_usable(proxy, server, klass) and all(b.allow(proxy.now_us) for b in breakers)
 
 
-def may_use(proxy: Proxy, server: Server, klass: int) -> bool:
-    if not server.ready or not server.breaker.may_pass(proxy.now_us):
+def is_usable(proxy: Proxy, server: Server, klass: int) -> bool:
+    if not server.ready or not server.breaker.would_allow(proxy.now_us):
         return False
-    part = server.parts.get(klass)
-    return (part is None or part.breaker.may_pass(proxy.now_us)) and not is_silent(proxy, server)
+    part = server.by_class.get(klass)
+    return (part is None or part.breaker.would_allow(proxy.now_us)) and not is_unresponsive(proxy, server)
 
 
-def skipped(proxy: Proxy, now_us: int) -> int:
+def count_skipped(proxy: Proxy, now_us: int) -> int:
     """How many listed servers may not be used for any class now."""
     proxy.now_us = max(now_us, proxy.now_us)
     classes = [index for index, klass in enumerate(proxy.settings.classes) if not klass.dropped]
-    return sum(not any(may_use(proxy, s, klass) for klass in classes) for s in proxy.servers.values())
+    return sum(not any(is_usable(proxy, s, klass) for klass in classes) for s in proxy.servers.values())
 
 
-def is_silent(proxy: Proxy, server: Server) -> bool:
+def is_unresponsive(proxy: Proxy, server: Server) -> bool:
     """True while the oldest attempt out is overdue: nothing more until it is answered or times out."""
-    sent_us = next(iter(server.out.values()), proxy.now_us)
-    return proxy.now_us - sent_us > OVERDUE * proxy.longest_us()
+    sent_us = next(iter(server.in_flight.values()), proxy.now_us)
+    return proxy.now_us - sent_us > OVERDUE_FACTOR * proxy.longest_latency_us()
--- a/caperdrift/policy/cold.py
+++ b/caperdrift/policy/cold.py
@@ -7,7 +7,7 @@
 
 from caperdrift.policy.proxy import Proxy
 from caperdrift.policy.servers import Request, Server
-from caperdrift.policy.sharers import sharers
+from caperdrift.policy.proxy_count import proxy_count
 
 PLANNED_SHARE = 0.5  # of the fall budget; the rest is for misjudged work and chance
 LARGE_REQUESTS_PER_WINDOW = 4  # of the largest size allowed, these fill a fall window
@@ -18,7 +18,7 @@
 
     True for a warm server. Pays off what was sent before, by the time that has passed.
     """
-    capacity = cold_share(proxy, server)
+    capacity = capacity_share(proxy, server)
     if capacity >= 1.0:
         return True
     if is_too_large(proxy, capacity, request):
@@ -26,12 +26,12 @@
     part_us = fall_budget_us(proxy, request.pool_size) * capacity
     cost_us = cold_cost_us(proxy, request)
     limit_us = max(part_us / 2, cost_us)
-    server.spent_us -= part_us / 2 * (proxy.now_us - server.spent_at_us) / proxy.settings.fall_us
-    server.spent_at_us = proxy.now_us
-    if server.spent_us < -part_us:
+    server.cold_spent_us -= part_us / 2 * (proxy.now_us - server.cold_updated_us) / proxy.settings.fall_us
+    server.cold_updated_us = proxy.now_us
+    if server.cold_spent_us < -part_us:
         # Unused for two windows: what all proxies saved up would come at once with the next burst.
-        server.spent_us = proxy.random.random() * max(part_us, cost_us) - part_us
-    return max(0.0, server.spent_us) + cost_us <= limit_us
+        server.cold_spent_us = proxy.random.random() * max(part_us, cost_us) - part_us
+    return max(0.0, server.cold_spent_us) + cost_us <= limit_us
 
 
 def is_too_large(proxy: Proxy, capacity: float, request: Request) -> bool:
@@ -44,12 +44,12 @@
     started takes its first request for the mean, which may be of any size.
     """
     window_us = proxy.settings.fall_multiple * proxy.settings.fall_us * capacity
-    largest_us = window_us / min(sharers(proxy), LARGE_REQUESTS_PER_WINDOW)
-    usual_us = min(proxy.mean_work[request.klass], window_us / 2)
+    largest_us = window_us / min(proxy_count(proxy), LARGE_REQUESTS_PER_WINDOW)
+    usual_us = min(proxy.mean_work_us[request.klass], window_us / 2)
     return request.work_us > max(largest_us, usual_us)
 
 
-def first_spent_us(proxy: Proxy) -> float:
+def initial_spent_us(proxy: Proxy) -> float:
     """What counts as spent of a server that has just started.
 
     It is a random part of the most expensive class's work, or of half of the budget where that is more.
@@ -58,7 +58,7 @@
     kept a new server idle for half of its warming.
     """
     classes = [index for index, klass in enumerate(proxy.settings.classes) if not klass.dropped]
-    costs = [proxy.mean_work[klass] or estimated_work_us(proxy, klass) for klass in classes]
+    costs = [proxy.mean_work_us[klass] or estimated_work_us(proxy, klass) for klass in classes]
     return proxy.random.random() * max([*costs, fall_budget_us(proxy) / 2])
 
 
@@ -69,21 +69,21 @@
     The parts of all proxies add up to the planned share of the budget.
     """
     reached = min(1.0, proxy.reach / max(1, pool_size or len(proxy.ranked)))
-    users = max(1.0, sharers(proxy) * reached)
+    users = max(1.0, proxy_count(proxy) * reached)
     return PLANNED_SHARE * proxy.settings.fall_multiple * proxy.settings.fall_us / users
 
 
 def cold_cost_us(proxy: Proxy, request: Request) -> float:
     """Work of a request: as hinted, else estimated from its class's latencies."""
-    return request.work_us or estimated_work_us(proxy, request.klass) * request.size
+    return request.work_us or estimated_work_us(proxy, request.klass) * request.relative_work
 
 
 def estimated_work_us(proxy: Proxy, klass: int) -> float:
     """Work of a class's request where no hint tells: between its fastest and its usual latency."""
-    return (proxy.unhindered[klass] + proxy.smoothed[klass]) / 2
+    return (proxy.baseline_us[klass] + proxy.smoothed_us[klass]) / 2
 
 
-def cold_share(proxy: Proxy, server: Server) -> float:
+def capacity_share(proxy: Proxy, server: Server) -> float:
     """Share of its whole capacity that a server has by now, from `start_capacity` to 1."""
     age_us = max(0, proxy.now_us - server.entry.started_us)  # a start that lies ahead is just now
     if server.entry.started_us == 0 or age_us >= proxy.settings.warm_after_us:
--- a/caperdrift/policy/retries.py
+++ b/caperdrift/policy/retries.py
@@ -1,11 +1,11 @@
 """What follows an attempt that ended or is overdue: the answer, another try, or a second copy."""
 
 from caperdrift.interface import MAY_STILL_RUN, NEVER_RAN, AttemptEnded, Effect, Outcome
-from caperdrift.policy.answers import answer_unserved, finish, free
+from caperdrift.policy.answers import refuse_or_fail, finish, release_request
 from caperdrift.policy.proxy import Proxy
-from caperdrift.policy.sending import end_us, stop_work, try_send
+from caperdrift.policy.sending import attempt_deadline_us, remove_in_flight, try_send
 from caperdrift.policy.servers import Request
-from caperdrift.policy.weights import judge
+from caperdrift.policy.weights import record_outcome
 
 
 def on_attempt_ended(proxy: Proxy, event: AttemptEnded) -> None:
@@ -19,32 +19,35 @@
     full_unproven = event.outcome is Outcome.FULL and proxy.settings.full_unproven
     attempt.may_have_run = event.outcome not in NEVER_RAN or full_unproven
     if event.outcome in MAY_STILL_RUN:
-        request.rests_until_us = proxy.now_us + proxy.settings.key_rest_us
-    request.out -= 1
-    stop_work(proxy, attempt)
+        request.key_rest_until_us = proxy.now_us + proxy.settings.key_rest_us
+    request.in_flight -= 1
+    remove_in_flight(proxy, attempt)
     if not attempt.streaming or event.outcome not in (Outcome.OK, Outcome.CANCELLED):
-        judge(proxy, request, attempt, event)
+        record_outcome(proxy, request, attempt, event)
     if request.done:
-        if request.out == 0:
-            free(proxy, request)
+        if request.in_flight == 0:
+            release_request(proxy, request)
     elif event.finished or event.outcome is Outcome.OK:
         if event.outcome is Outcome.OK and not attempt.streaming:
             count_served(proxy, request)
         finish(proxy, request)
-    elif request.out == 0:
-        try_again(proxy, request)
+    elif request.in_flight == 0:
+        retry_or_answer(proxy, request)
 
 
-def try_again(proxy: Proxy, request: Request) -> None:
+def retry_or_answer(proxy: Proxy, request: Request) -> None:
     """After the last attempt out has failed: another one, a place in the queue, or the final answer."""
     ran = any(a.may_have_run for a in request.attempts)
-    time_left = end_us(proxy, request) - proxy.now_us > proxy.unhindered[request.klass] * request.size
-    allowed = not ran or (request.rules.effect is not Effect.UNSAFE and may_repeat(proxy))
-    room = len(request.attempts) < request.max_attempts and not request.tied
+    time_left = (
+        attempt_deadline_us(proxy, request) - proxy.now_us
+        > proxy.baseline_us[request.klass] * request.relative_work
+    )
+    allowed = not ran or (request.class_settings.effect is not Effect.UNSAFE and can_afford_retry(proxy))
+    room = len(request.attempts) < request.max_attempts and not request.pinned
     if allowed and time_left and room and try_send(proxy, request):
         proxy.retry_tokens -= ran
     else:
-        answer_unserved(proxy, request)
+        refuse_or_fail(proxy, request)
 
 
 def on_overdue(proxy: Proxy, request: Request) -> None:
@@ -52,19 +55,19 @@
     late = [a for a in request.attempts if not a.ended]
     for attempt in late:
         attempt.overdue = True
-    if not late or request.tied or not proxy.settings.second_copies or not may_repeat(proxy):
+    if not late or request.pinned or not proxy.settings.second_copies or not can_afford_retry(proxy):
         return
     if len(request.attempts) < request.max_attempts and try_send(proxy, request):
         proxy.retry_tokens -= 1
 
 
-def may_repeat(proxy: Proxy) -> bool:
+def can_afford_retry(proxy: Proxy) -> bool:
     """Whether a retry or a second copy of what may have run can be afforded.
     Guards against an overload that feeds itself: none while anything is shed.
     """
-    return proxy.retry_tokens >= 1 and proxy.shed <= 0.0
+    return proxy.retry_tokens >= 1 and proxy.shed_low_value <= 0.0
 
 
 def count_served(proxy: Proxy, request: Request) -> None:
-    if request.first_try and proxy.now_us <= request.aim_us and proxy.settings.takes(request.klass):
+    if request.first_try and proxy.now_us <= request.aim_us and proxy.settings.accepts_class(request.klass):
         proxy.served[request.klass] += 1
--- a/caperdrift/simhost.py
+++ b/caperdrift/simhost.py
@@ -24,13 +24,13 @@
 )
 
 
-class Host:
+class SimHost:
     def __init__(self, source: TextIO, sink: TextIO, errors: TextIO) -> None:
         self.source, self.sink, self.errors = source, sink, errors
         self.balancers: dict[str, Balancer] = {}
         self.tables: dict[str, tuple[ListedServer, ...]] = {}
         self.instance = ""
-        self.spoken_for = ""
+        self.reply_instance = ""
         self.now_us = 0
         self.line_number = 0
         self.reply: list[str] = []
@@ -42,11 +42,11 @@
             try:
                 self.read_line(line)
             except KeyError as error:
-                self.complain(line, f"field or value {error} is missing or unknown")
+                self.report_error(line, f"field or value {error} is missing or unknown")
             except ValueError as error:
-                self.complain(line, str(error))
+                self.report_error(line, str(error))
 
-    def complain(self, line: str, why: str) -> None:
+    def report_error(self, line: str, why: str) -> None:
         print(f"caperdrift: line {self.line_number}: {why}: {line[:200]}", file=self.errors, flush=True)
 
     def read_line(self, line: str) -> None:
@@ -60,7 +60,7 @@
         if parser is not None:
             self.deliver(parser(fields))
         elif name == "begin_batch":
-            self.reply, self.instance, self.spoken_for = [], "", ""
+            self.reply, self.instance, self.reply_instance = [], "", ""
             self.now_us = int(fields["simTimeUs"])
         elif name == "instance":
             self.instance = ""  # a malformed name must not leave events to the one before
@@ -93,9 +93,9 @@
                     raise WireError("not a list entry")
                 members.append(parse_server(entry_fields))
             except KeyError as error:
-                self.complain(entry, f"field or value {error} is missing or unknown")
+                self.report_error(entry, f"field or value {error} is missing or unknown")
             except ValueError as error:
-                self.complain(entry, str(error))
+                self.report_error(entry, str(error))
         self.tables[fields["table"]] = tuple(members)
 
     def deliver(self, event: Event) -> None:
@@ -105,8 +105,8 @@
         actions = balancer.handle(self.now_us, event)
         if not actions:
             return
-        if self.spoken_for != self.instance:
-            self.spoken_for = self.instance
+        if self.reply_instance != self.instance:
+            self.reply_instance = self.instance
             self.reply.append(f"by i={self.instance}")
         self.reply.extend(map(format_action, actions))
 
@@ -120,7 +120,7 @@
 def main() -> int:
     gc.freeze()  # what the imports made is never garbage
     sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")  # type: ignore[union-attr]
-    Host(sys.stdin, sys.stdout, sys.stderr).run()
+    SimHost(sys.stdin, sys.stdout, sys.stderr).run()
     return 0
 
 
--- a/caperdrift/wire.py
+++ b/caperdrift/wire.py
@@ -70,7 +70,7 @@
     "521": Outcome.CONNECT_FAILED,
     "520": Outcome.RESET,
     "444": Outcome.CANCELLED,
-    "409": Outcome.MOOT,
+    "409": Outcome.NOT_SENT,
 }
 REPORTS = {"piggyback": Reports.ANSWERS, "pull": Reports.PROBES, "silent": Reports.NONE}
 PRICES = {
--- a/cloverkeel/__main__.py
+++ b/cloverkeel/__main__.py
@@ -16,7 +16,7 @@
     from cloverkeel.gateway import Gateway
 
 
-def _end_early(signum: int, frame: object) -> None:
+def _exit_at_once(signum: int, frame: object) -> None:
     """A signal before anything is held: there is nothing to finish."""
     os._exit(0)
 
@@ -24,7 +24,9 @@
 FINAL_WRITE_S = 0.3  # at most, for the last snapshot, where the draining ended in time
 
 
-def keep(loop: asyncio.AbstractEventLoop, keeper: Keeper, gateway: Gateway, interval_s: float) -> None:
+def schedule_snapshots(
+    loop: asyncio.AbstractEventLoop, keeper: Keeper, gateway: Gateway, interval_s: float
+) -> None:
     """Hand the state store a snapshot every `interval_s`; the writing is the store's thread's."""
 
     def tick() -> None:
@@ -41,7 +43,7 @@
 
         return run(sys.argv[1:])
     for signum in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(signum, _end_early)
+        signal.signal(signum, _exit_at_once)
     changes: list[int] = []  # SIGHUPs before there is anything to reconfigure
     signal.signal(signal.SIGHUP, lambda signum, frame: changes.append(signum))
     # Imported late: a signal during the start must find its handler.
@@ -59,10 +61,10 @@
 
     import uvloop
 
-    from cloverkeel.fleet.kept import Figures
+    from cloverkeel.fleet.snapshot import StoreCounters
     from cloverkeel.gateway import Gateway
     from cloverkeel.http1 import log
-    from cloverkeel.operator import Answer, Operator
+    from cloverkeel.operator import Answer, OperatorServer
     from cloverkeel.front.server import Server
     from cloverkeel.telemetry import CONTENT_TYPE
 
@@ -71,11 +73,11 @@
         stop = asyncio.Event()
         for signum in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signum, stop.set)  # a second one changes nothing
-        keeper, warm, kept = None, None, Figures()
+        keeper, warm, kept = None, None, StoreCounters()
         if config.state.directory:
             from cloverkeel.fleet import events, state
 
-            events.setup()
+            events.setup_logging()
             settings = config.state
             keeper, warm = state.start(
                 settings.directory, settings.snapshot_s, settings.max_age_s, inherited is not None, kept
@@ -96,18 +98,18 @@
             from cloverkeel.fleet.start import FleetParts
 
             fleet = FleetParts(config, config.cluster, gateway, keeper, inherited is not None)
-            server.others = fleet.descriptors
+            server.other_descriptors = fleet.descriptors
             if fleet.rollout is not None:
-                server.reloaded.append(fleet.rollout.follow)
+                server.reload_listeners.append(fleet.rollout.follow)
 
         duties: DutiesPart | None = None
         if config.duties is not None:
             from cloverkeel.fleet.duties.part import DutiesPart
 
             duties = DutiesPart(config.duties, config.name, config.state.directory)
-            server.reloaded.append(duties.reconfigured)
+            server.reload_listeners.append(duties.reconfigured)
             if fleet is not None:
-                fleet.conduct_by(duties)
+                fleet.attach_duties(duties)
 
         def figures() -> Answer:
             counters: dict[str, int] = {}
@@ -116,7 +118,7 @@
                 if part is not None:
                     counters |= part.counters()
                     gauges |= part.gauges()
-            return Answer(200, gateway.figures(counters, gauges), (b"Content-Type", CONTENT_TYPE))
+            return Answer(200, gateway.render_metrics(counters, gauges), (b"Content-Type", CONTENT_TYPE))
 
         calls = {
             b"/api/ready": lambda: Answer(200 if server.is_ready else 503),
@@ -129,7 +131,7 @@
         if duties is not None:
             calls[b"/api/duties"] = duties.status
             posts[b"/api/duties/release"] = duties.release
-        operator = Operator(config.operator, calls, posts, asks) if config.operator else None
+        operator = OperatorServer(config.operator, calls, posts, asks) if config.operator else None
         address = config.operator or config.listen
         try:
             if operator is not None:
@@ -150,20 +152,20 @@
         if changes:
             server.reload()  # the file may have changed after it was read
         if keeper is not None:
-            keep(loop, keeper, gateway, config.state.snapshot_s)
+            schedule_snapshots(loop, keeper, gateway, config.state.snapshot_s)
         gc.collect()
         gc.freeze()  # what the start has made is never garbage
         await stop.wait()
         leaving = [loop.create_task(part.leave()) for part in (duties, fleet) if part is not None]
         if keeper is not None:
             keeper.offer(gateway.snapshot())  # for a new process that starts beside this one
-        end_s = loop.time() + server.end_s
+        end_s = loop.time() + server.drain_timeout_s
         try:
             async with asyncio.timeout_at(end_s):
                 await server.drain()
             final_write_s = max(0.0, min(FINAL_WRITE_S, end_s - loop.time()))
         except TimeoutError:
-            log(f"time is out: answered as failed on {await server.fail_rest()} connections")
+            log(f"time is out: answered as failed on {await server.fail_pending()} connections")
             final_write_s = 0.0  # no time is left: the snapshot of the signal's moment stands
         counts = gateway.pools.counts
         log(f"ends; connections to hosts: {counts}")
--- a/cloverkeel/commands.py
+++ b/cloverkeel/commands.py
@@ -21,7 +21,7 @@
 from cloverkeel.transforms import commands as transforms
 
 
-def parser() -> argparse.ArgumentParser:
+def build_parser() -> argparse.ArgumentParser:
     top = argparse.ArgumentParser(prog="python -m cloverkeel", description="A load-balancing gateway.")
     parts = top.add_subparsers(dest="part", required=True)
     store = parts.add_parser("state", help="the state store's file, offline")
@@ -42,7 +42,7 @@
 
 
 def run(argv: list[str]) -> int:
-    arguments = parser().parse_args(argv)
+    arguments = build_parser().parse_args(argv)
     if arguments.part == "members":
         from cloverkeel.fleet.membership import command
 
@@ -51,7 +51,7 @@
         code: int = arguments.run(arguments)
         return code
     path = os.path.join(arguments.directory, state.FILE)
-    findings, report = examine(path)
+    findings, report = inspect_file(path)
     if arguments.verb == "check":
         report = {"path": path, "sound": not findings, "findings": findings}
         if arguments.json:
@@ -67,7 +67,7 @@
     return 1 if findings else 0
 
 
-def examine(path: str) -> tuple[list[str], dict[str, Any]]:
+def inspect_file(path: str) -> tuple[list[str], dict[str, Any]]:
     """What is wrong with a file (nothing: sound), and what it holds; nothing is moved or written."""
     if os.path.isdir(path):
         return ["is a directory, not a file"], {}
@@ -102,7 +102,7 @@
                         "breaker": v.breaker.state,
                         "open_left_us": v.breaker.open_left_us,
                         "ring": "".join("x" if o else "." for o in v.breaker.ring),
-                        "classes": {k: b.state for k, _, b in v.parts},
+                        "classes": {k: b.state for k, _, b in v.by_class},
                     }
                     for v in s.learned.servers
                 ],  # fmt: skip
--- a/cloverkeel/config.py
+++ b/cloverkeel/config.py
@@ -31,7 +31,7 @@
     """The names behind the module's numbers: each list is in the order of the settings."""
 
     classes: dict[bytes, int]
-    by_class: tuple[bytes, ...]  # the name of each class that ever had a number
+    class_names: tuple[bytes, ...]  # the name of each class that ever had a number
     tenants: dict[bytes, int]
     zones: dict[str, int]
     kinds: dict[str, int]
@@ -77,7 +77,7 @@
 
 # What a file has to have that a running process takes up. At the start less will do: a gateway that serves
 # by defaults is better than none. Here defaults would overwrite what it knows.
-REQUIRED: dict[str, tuple[str, ...]] = {
+REQUIRED_KEYS: dict[str, tuple[str, ...]] = {
     "": ("name", "listen", "discovery", "limits", "settings"),
     "limits": ("cores", "memory_mb", "sockets"),
     "settings": (
@@ -94,7 +94,7 @@
     ),
     "settings.tenants": ("name", "fraction"),
 }  # fmt: skip
-POSITIVE = {
+POSITIVE_KEYS = {
     "limits": ("cores", "memory_mb", "sockets"),
     "settings.caps": ("connectTimeoutUs", "keepaliveUs", "maxAttempts"),
     "settings.lanes": ("aimUs", "giveUpUs"),
@@ -103,7 +103,7 @@
 
 def check_complete(raw: object) -> None:
     """Raise for a file that is not whole, or whose deadlines and limits are no positive numbers."""
-    for place, keys in REQUIRED.items():
+    for place, keys in REQUIRED_KEYS.items():
         found: Any = raw
         for key in filter(None, place.split(".")):
             found = found[key]  # its own presence was required before
@@ -116,14 +116,14 @@
             for key in keys:
                 if entry.get(key) is None:
                     raise ConfigError(f"{place or 'the configuration'} has no {key}")
-            for key in POSITIVE.get(place, ()):
+            for key in POSITIVE_KEYS.get(place, ()):
                 number = entry[key]
                 is_number = isinstance(number, int | float) and not isinstance(number, bool)
                 if not is_number or not 0 < number < math.inf:
                     raise ConfigError(f"{place}: {key} is no positive number")
 
 
-def follow(old: Config, new: Config) -> Config:
+def merge_reloaded(old: Config, new: Config) -> Config:
     """The new configuration, in numbers that go on from the old one's: those last as long as the process.
 
     What kept its name keeps its number and what is new comes behind. A class that is gone stays in the
@@ -131,24 +131,24 @@
     routes are those of the start.
     """
     was, now = old.names, new.names
-    by_class = was.by_class + tuple(name for name in now.by_class if name not in was.by_class)
+    by_class = was.class_names + tuple(name for name in now.class_names if name not in was.class_names)
     classes = tuple(
         new.settings.classes[now.classes[name]]
         if name in now.classes
         else replace(old.settings.classes[number], dropped=True)
         for number, name in enumerate(by_class)
     )
-    tenants = _appended(was.tenants, now.tenants)
+    tenants = _append_new(was.tenants, now.tenants)
     shares = tuple(
         new.settings.tenants[now.tenants[name]] if name in now.tenants else Tenant(0.0, 0.0)
         for name in tenants
     )
-    zones = _appended(was.zones, now.zones)
+    zones = _append_new(was.zones, now.zones)
     by_number = {number: name for name, number in now.zones.items()}
     zone = zones.get(by_number.get(new.settings.zone, ""), new.settings.zone)
     names = Names(
         {name: number for number, name in enumerate(by_class) if name in now.classes},
-        by_class, tenants, zones, _appended(was.kinds, now.kinds),
+        by_class, tenants, zones, _append_new(was.kinds, now.kinds),
     )  # fmt: skip
     settings = replace(new.settings, classes=classes, tenants=shares, zone=zone)
     return replace(
@@ -161,7 +161,7 @@
 Name = TypeVar("Name")
 
 
-def _appended(old: dict[Name, int], new: dict[Name, int]) -> dict[Name, int]:
+def _append_new(old: dict[Name, int], new: dict[Name, int]) -> dict[Name, int]:
     """The old numbers, and behind them those of what is new."""
     return {name: number for number, name in enumerate(dict.fromkeys([*old, *new]))}
 
@@ -189,7 +189,7 @@
     directory = environment.get("LB_STATE_DIR")
     if directory:
         config = replace(config, state=replace(config.state, directory=directory))
-    if why := needs.fault(config):
+    if why := needs.missing_requirement(config):
         raise ConfigError(why)
     return config
 
@@ -232,14 +232,14 @@
             memory_mb=float(limits.get("memory_mb", 192)),
             known=known,
             settings=parse_settings(json.dumps(settings)),
-            names=_names(settings),
+            names=_parse_names(settings),
             operator=parse_address(raw["operator"], "operator") if raw.get("operator") else None,
-            state=_state(raw),
-            cluster=(cluster := _cluster(raw)),
-            transforms=_transforms(raw),
-            routes=_routes(raw),
-            duties=_duties(raw, cluster),
-            rollout=_rollout(raw),
+            state=_parse_state(raw),
+            cluster=(cluster := _parse_cluster(raw)),
+            transforms=_parse_transforms(raw),
+            routes=_parse_routes(raw),
+            duties=_parse_duties(raw, cluster),
+            rollout=_parse_rollout(raw),
         )
     except WireError as error:
         raise ConfigError(str(error)) from None
@@ -249,7 +249,7 @@
         raise ConfigError(f"the configuration cannot be used: {error}") from None
 
 
-def _state(raw: dict[str, Any]) -> StateSettings:
+def _parse_state(raw: dict[str, Any]) -> StateSettings:
     """`state_dir`, `state_snapshot_s` and `state_max_age_s` of the file; the first is `$LB_STATE_DIR` too."""
     directory = raw.get("state_dir") or ""
     if not isinstance(directory, str):
@@ -263,7 +263,7 @@
     return StateSettings(directory, times["state_snapshot_s"], times["state_max_age_s"])
 
 
-def _cluster(raw: dict[str, Any]) -> ClusterSettings | None:
+def _parse_cluster(raw: dict[str, Any]) -> ClusterSettings | None:
     if "cluster" not in raw:
         return None
     from cloverkeel.fleet.cluster import parse_cluster  # a gateway without one does not pay for its checks
@@ -271,7 +271,7 @@
     return parse_cluster(raw["cluster"], raw.get("name"))
 
 
-def _transforms(raw: dict[str, Any]) -> TransformSettings | None:
+def _parse_transforms(raw: dict[str, Any]) -> TransformSettings | None:
     if "transforms" not in raw:
         return None
     from cloverkeel.transforms.settings import parse_transforms  # nor does one without any
@@ -279,7 +279,7 @@
     return parse_transforms(raw["transforms"])
 
 
-def _duties(raw: dict[str, Any], cluster: ClusterSettings | None) -> DutySettings | None:
+def _parse_duties(raw: dict[str, Any], cluster: ClusterSettings | None) -> DutySettings | None:
     if "duties" not in raw:
         return None
     from cloverkeel.fleet.duties.settings import parse_duties  # nor one that holds none
@@ -288,7 +288,7 @@
     return parse_duties(raw["duties"], str(raw.get("name", "")), trusted)
 
 
-def _rollout(raw: dict[str, Any]) -> RolloutSettings | None:
+def _parse_rollout(raw: dict[str, Any]) -> RolloutSettings | None:
     if "rollout" not in raw:
         return None
     from cloverkeel.fleet.rollout.settings import parse_rollout  # nor one that takes no part in rollouts
@@ -296,7 +296,7 @@
     return parse_rollout(raw["rollout"])
 
 
-def _routes(raw: dict[str, Any]) -> RoutesSettings | None:
+def _parse_routes(raw: dict[str, Any]) -> RoutesSettings | None:
     if "routes" not in raw:
         return None
     from cloverkeel.fleet.routes.settings import parse_routes  # nor one that teams do not route
@@ -311,7 +311,7 @@
     return host.strip("[]"), int(port)
 
 
-def _names(settings: dict[str, Any]) -> Names:
+def _parse_names(settings: dict[str, Any]) -> Names:
     def numbered(key: str) -> dict[str, int]:
         entries = settings.get(key, [])
         named = [str(entry["name"] if isinstance(entry, dict) else entry) for entry in entries]
--- a/cloverkeel/listcall.py
+++ b/cloverkeel/discovery_connection.py
@@ -7,7 +7,7 @@
 
 from cloverkeel.http1 import Reply, ReplyError, ReplyReader
 
-LIST_LIMIT = 16 * 1024 * 1024
+MAX_LIST_BYTES = 16 * 1024 * 1024
 
 
 class CallError(Exception):
@@ -19,9 +19,9 @@
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
-        self.replies = ReplyReader(LIST_LIMIT)
+        self.replies = ReplyReader(MAX_LIST_BYTES)
         self.answer: asyncio.Future[Reply] | None = None
-        self.begun: Any = None
+        self.call_context: Any = None
         self.index: int | None = None  # of the list held then
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -29,15 +29,15 @@
 
     def data_received(self, data: bytes) -> None:
         try:
-            self._take(self.replies.feed(data))
+            self._deliver(self.replies.feed(data))
         except ReplyError as error:
             self.fail(str(error))
 
     def eof_received(self) -> None:
         """A list of which nobody said how long it is ends here; a reset comes without this and ends none."""
-        self._take(self.replies.feed_eof())
+        self._deliver(self.replies.feed_eof())
 
-    def _take(self, reply: Reply | None) -> None:
+    def _deliver(self, reply: Reply | None) -> None:
         if reply is not None and self.is_waiting:
             assert self.answer is not None
             self.answer.set_result(reply)
@@ -74,7 +74,7 @@
     def is_closing(self) -> bool:
         return self.transport is None or self.transport.is_closing()
 
-    def ask(self, head: bytes) -> asyncio.Future[Reply]:
+    def send_request(self, head: bytes) -> asyncio.Future[Reply]:
         """The answer to come. Raises CallError."""
         if self.transport is None or self.transport.is_closing():
             raise CallError("the connection has ended")
--- a/cloverkeel/listtimes.py
+++ b/cloverkeel/discovery_timing.py
@@ -23,35 +23,39 @@
 
 import random
 
-TOLD_S = 6.0  # after a watch has fallen silent, or discovery could be reached again ...
-TOLD_LATE_S = 2.0  # ... but for a watch not before this much after its wait is over
-TOLD_MOVED_S = 4.0  # after SIGHUP has named another address
-CALL_TIMEOUT_S = TOLD_LATE_S / 2  # for an answer beyond its wait, then for a new connection and its answer
-LATE_S = 4.0  # a call that has run out of time is kept for so long beside the next: its answer may yet come
-PATIENCE = 3  # times that, for one that never had a list and whose calls have run out of time
+UPDATE_BOUND_S = 6.0  # after a watch has fallen silent, or discovery could be reached again ...
+SILENCE_BOUND_S = 2.0  # ... but for a watch not before this much after its wait is over
+ADDRESS_CHANGE_BOUND_S = 4.0  # after SIGHUP has named another address
+CALL_TIMEOUT_S = (
+    SILENCE_BOUND_S / 2
+)  # for an answer beyond its wait, then for a new connection and its answer
+LATE_REPLY_S = (
+    4.0  # a call that has run out of time is kept for so long beside the next: its answer may yet come
+)
+MAX_TIMEOUT_FACTOR = 3  # times that, for one that never had a list and whose calls have run out of time
 # A longer wait only puts off news that a silent watch misses, a shorter one costs calls. Each call draws its
 # own from the upper half: gateways that were told of one change must not all ask again in one moment.
-HOLD_S = TOLD_S - TOLD_LATE_S
+HOLD_S = UPDATE_BOUND_S - SILENCE_BOUND_S
 # Pushed: for a call, a wait and an answer at least. The agent answers at once, yet on a busy machine.
-LEAST_PUSHED_S = 0.2
-RETRY_DOUBLED = 2  # times that the wait after failed calls to the agent doubles
+MIN_PUSHED_S = 0.2
+RETRY_DOUBLINGS = 2  # times that the wait after failed calls to the agent doubles
 
 
-def call_s(pushed: bool, stop_sending_s: float) -> float:
+def call_timeout_s(pushed: bool, stop_sending_s: float) -> float:
     """T. Of what a drained server may still be used where its drain is pushed, half."""
-    return min(CALL_TIMEOUT_S, _pushed_s(stop_sending_s) / 2) if pushed else CALL_TIMEOUT_S
+    return min(CALL_TIMEOUT_S, _pushed_bound_s(stop_sending_s) / 2) if pushed else CALL_TIMEOUT_S
 
 
-def retry_s(pushed: bool, stop_sending_s: float, failures: int, moved: bool) -> float:
+def retry_delay_s(pushed: bool, stop_sending_s: float, failures: int, moved: bool) -> float:
     """W: after this many failed calls on end before the one that has just failed, ask again at the latest.
 
     Pushed, calls cost nothing: a quarter of what a drained server may still be used, less at first. Else the
     module asks by itself, by settings that know of no such bound.
     """
     if pushed:
-        longest_s = _pushed_s(stop_sending_s) / 4 / (1 << max(0, RETRY_DOUBLED - failures))
+        longest_s = _pushed_bound_s(stop_sending_s) / 4 / (1 << max(0, RETRY_DOUBLINGS - failures))
         return longest_s * random.uniform(0.5, 1.0)
-    told_s = TOLD_MOVED_S if moved else TOLD_S
+    told_s = ADDRESS_CHANGE_BOUND_S if moved else UPDATE_BOUND_S
     return (told_s - 2 * CALL_TIMEOUT_S) * random.uniform(0.75, 1.0)
 
 
@@ -60,5 +64,5 @@
     return HOLD_S * random.uniform(0.5, 1.0)
 
 
-def _pushed_s(stop_sending_s: float) -> float:
-    return min(max(stop_sending_s, LEAST_PUSHED_S), TOLD_LATE_S)
+def _pushed_bound_s(stop_sending_s: float) -> float:
+    return min(max(stop_sending_s, MIN_PUSHED_S), SILENCE_BOUND_S)
--- a/cloverkeel/fleet/cluster.py
+++ b/cloverkeel/fleet/cluster.py
@@ -7,10 +7,10 @@
 import msgspec
 
 from cloverkeel.errors import ConfigError
-from cloverkeel.fleet.membership.codec import NAME_BYTES, head_of, parse_address
+from cloverkeel.fleet.membership.codec import MAX_NAME_BYTES, datagram_header, parse_address
 from cloverkeel.fleet.membership.messages import Timing
 
-DEFAULT = Timing()
+DEFAULT_TIMING = Timing()
 Seconds = Annotated[float, msgspec.Meta(ge=0.01, le=3600)]
 Factor = Annotated[float, msgspec.Meta(ge=0.5, le=100)]
 
@@ -27,13 +27,13 @@
     list_calls_per_s: Annotated[float, msgspec.Meta(gt=0, le=1e6)] = 20.0  # of the whole fleet, fallen back
     lists: bool = True
     warm: bool = True
-    probe_interval_s: Seconds = DEFAULT.probe_interval_s
-    probe_timeout_s: Seconds = DEFAULT.probe_timeout_s
-    suspicion_alpha: Factor = DEFAULT.suspicion_alpha
-    suspicion_beta: Factor = DEFAULT.suspicion_beta
-    push_pull_s: Seconds = DEFAULT.push_pull_s
-    reap_after_s: Seconds = DEFAULT.reap_after_s
-    join_wait_s: Seconds = DEFAULT.join_wait_s
+    probe_interval_s: Seconds = DEFAULT_TIMING.probe_interval_s
+    probe_timeout_s: Seconds = DEFAULT_TIMING.probe_timeout_s
+    suspicion_alpha: Factor = DEFAULT_TIMING.suspicion_alpha
+    suspicion_beta: Factor = DEFAULT_TIMING.suspicion_beta
+    push_pull_s: Seconds = DEFAULT_TIMING.push_pull_s
+    reap_after_s: Seconds = DEFAULT_TIMING.reap_after_s
+    join_wait_s: Seconds = DEFAULT_TIMING.join_wait_s
 
     @property
     def timing(self) -> Timing:
@@ -60,7 +60,7 @@
     return parse_address(text)
 
 
-def _reach(host: str) -> str:
+def _address_scope(host: str) -> str:
     """Who reaches an address: `loopback`, `nobody` (none that a member can have), or `all`."""
     first, mark, _ = host.partition(".")
     if mark and ":" not in first:  # `ipaddress` takes 1.4 ms to import, of which a start under load pays each
@@ -85,17 +85,17 @@
     except msgspec.ValidationError as error:
         text = str(error).replace("`$.", "`").replace("Object missing required", "missing")
         raise ConfigError("cluster: " + text.replace("Object contains unknown", "unknown")) from None
-    if not isinstance(gateway, str) or not 0 < len(gateway.encode()) <= NAME_BYTES:
-        raise ConfigError(f"cluster: the gateway's own name has to have 1 to {NAME_BYTES} bytes")
+    if not isinstance(gateway, str) or not 0 < len(gateway.encode()) <= MAX_NAME_BYTES:
+        raise ConfigError(f"cluster: the gateway's own name has to have 1 to {MAX_NAME_BYTES} bytes")
     try:
-        head_of(settings.name)
+        datagram_header(settings.name)
     except ValueError as error:
         raise ConfigError(f"cluster: name: {error}") from None
     try:
         host, _ = bind_address(settings.bind)
     except ValueError as error:
         raise ConfigError(f"cluster: bind: {error}") from None
-    reach = _reach(host)
+    reach = _address_scope(host)
     if reach == "nobody":
         raise ConfigError(f"cluster: bind: {settings.bind} is no address that other members can reach")
     if reach != "loopback" and not settings.trusted_network:
--- a/cloverkeel/fleet/duties/command.py
+++ b/cloverkeel/fleet/duties/command.py
@@ -9,7 +9,7 @@
 from typing import Any
 from urllib.parse import urlencode
 
-from cloverkeel.fleet import asking
+from cloverkeel.fleet import operator_commands
 from cloverkeel.fleet.membership.command import CommandError
 
 LACKS = "duties"
@@ -21,7 +21,7 @@
     duties.add_argument("name", nargs="?", metavar="NAME")
     duties.add_argument("--state-dir", metavar="DIR", help="a state directory: the local backend's, offline")
     duties.add_argument("--json", action="store_true", help="one JSON object instead of lines")
-    asking.add_operator(duties, _asked)
+    operator_commands.add_operator_option(duties, _asked)
     guarded = duties.get_default("run")
     duties.set_defaults(run=lambda arguments: _run(arguments, guarded, duties))
 
@@ -56,15 +56,15 @@
     return 0
 
 
-def _asked(address: asking.Address, arguments: argparse.Namespace) -> int:
+def _asked(address: operator_commands.Address, arguments: argparse.Namespace) -> int:
     if arguments.verb is None:
-        answer = asking.call(address, "/api/duties", lacks=LACKS)
+        answer = operator_commands.request_json(address, "/api/duties", lacks=LACKS)
         if not isinstance(answer.get("duties"), list):
             raise CommandError("the answer tells of no duties")
         _print(answer, arguments.json)
         return 0
     query = urlencode({"name": arguments.name})
-    answer = asking.call(address, f"/api/duties/release?{query}", b"", lacks=LACKS)
+    answer = operator_commands.request_json(address, f"/api/duties/release?{query}", b"", lacks=LACKS)
     _released(arguments.name, int(answer["token"]), arguments.json)
     return 0
 
--- a/cloverkeel/fleet/duties/part.py
+++ b/cloverkeel/fleet/duties/part.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from cloverkeel.fleet import events
-from cloverkeel.fleet.answers import JSON, one, refused
+from cloverkeel.fleet.operator_queries import JSON_CONTENT_TYPE, query_value, error_answer
 from cloverkeel.fleet.duties.chores import CHORES, Chore
 from cloverkeel.fleet.duties.founding import Founding
 from cloverkeel.fleet.duties.interface import Duty
@@ -36,7 +36,7 @@
     """`start` after the store and membership; `leave` at the signal to end."""
 
     def __init__(self, settings: DutySettings, name: str, directory: str) -> None:
-        events.setup()
+        events.setup_logging()
         self.settings, self.name, self.directory = settings, name, directory
         self.life = secrets.randbits(62) + 1
         self.holder = f"{name}/{self.life:x}"  # the old and the new process of an upgrade are two
@@ -137,23 +137,23 @@
         try:
             rows = [row.shown() for row in self.backend.table()]
         except (OSError, sqlite3.Error) as error:
-            return refused(503, error)
+            return error_answer(503, error)
         body = {"process": self.holder, "backend": self.settings.backend, "duties": rows}
-        return Answer(200, json.dumps(body).encode(), JSON)
+        return Answer(200, json.dumps(body).encode(), JSON_CONTENT_TYPE)
 
     async def release(self, query: bytes, body: bytes) -> Answer:
         """`name` in the query: let go of it, whoever holds it."""
         if self.service is None or self.backend is None:
             return NOT_YET
         try:
-            name = one(query, "name")
+            name = query_value(query, "name")
             token = await self.service.run(lambda: force(self.backend, name))
         except ValueError as error:
-            return refused(400, error)
+            return error_answer(400, error)
         except (OSError, sqlite3.Error) as error:
-            return refused(503, error)
+            return error_answer(503, error)
         events.event("duties.released", duty=name, token=token, by="operators")
-        return Answer(200, json.dumps({"duty": name, "token": token}).encode(), JSON)
+        return Answer(200, json.dumps({"duty": name, "token": token}).encode(), JSON_CONTENT_TYPE)
 
 
 def force(backend: LocalBackend | QuorumBackend | None, name: str) -> int:
--- a/cloverkeel/fleet/events.py
+++ b/cloverkeel/fleet/events.py
@@ -14,17 +14,17 @@
 LOGGER = logging.getLogger("cloverkeel.fleet")
 
 
-class KeyValue(logging.Formatter):
+class KeyValueFormatter(logging.Formatter):
     """`cloverkeel: event=state.corrupt path=/x reason="not a database"` for `event("state.corrupt", ...)`."""
 
     def format(self, record: logging.LogRecord) -> str:
         fields: dict[str, object] = getattr(record, "fields", {})
         words = [f"event={record.getMessage()}"]
-        words += [f"{key}={_value(value)}" for key, value in fields.items()]
+        words += [f"{key}={_format_value(value)}" for key, value in fields.items()]
         return "cloverkeel: " + " ".join(words)
 
 
-def _value(value: object) -> str:
+def _format_value(value: object) -> str:
     text = f"{value:g}" if isinstance(value, float) else str(value)
     if not text or any(c in text for c in ' "=\n\\'):
         return json.dumps(text)
@@ -36,11 +36,11 @@
     LOGGER.info(name, extra={"fields": fields})
 
 
-def setup() -> None:
+def setup_logging() -> None:
     """Lines to standard error, once however often it is called."""
     if not LOGGER.handlers:
         handler = logging.StreamHandler(sys.stderr)
-        handler.setFormatter(KeyValue())
+        handler.setFormatter(KeyValueFormatter())
         LOGGER.addHandler(handler)
         LOGGER.setLevel(logging.INFO)
         LOGGER.propagate = False
--- a/cloverkeel/fleet/sharers.py
+++ b/cloverkeel/fleet/fleet_size.py
@@ -10,10 +10,10 @@
 from cloverkeel.fleet.membership.service import Membership
 from cloverkeel.gateway import Gateway
 
-GAP_S = 0.5  # between two events at least
+MIN_INTERVAL_S = 0.5  # between two events at least
 
 
-def by_zone(zones: dict[str, int], members: Iterable[str]) -> tuple[int, ...]:
+def count_by_zone(zones: dict[str, int], members: Iterable[str]) -> tuple[int, ...]:
     """Members by the zone's number in the settings, given each one's zone; those of zones that the settings
     do not name are counted together behind."""
     counts = [0] * (len(zones) + 1)
@@ -22,35 +22,35 @@
     return tuple(counts if counts[-1] else counts[:-1])
 
 
-class Sharers:
+class FleetSizeReporter:
     """Posts the number on changes of the view, at most one in `GAP_S`; nothing before it has joined, and
     "not known" while the member's name is another's."""
 
     def __init__(self, membership: Membership, gateway: Gateway) -> None:
         self.membership, self.gateway = membership, gateway
         self.loop = asyncio.get_running_loop()
-        self.due: asyncio.TimerHandle | None = None
-        self.told = Fleet()
-        membership.on_change(lambda rumour, before: self.changed())
-        self.changed()
+        self.timer: asyncio.TimerHandle | None = None
+        self.last_posted = Fleet()
+        membership.on_change(lambda rumour, before: self.schedule())
+        self.schedule()
 
-    def changed(self) -> None:
-        if self.due is None:
-            self.due = self.loop.call_later(GAP_S, self._tell)
+    def schedule(self) -> None:
+        if self.timer is None:
+            self.timer = self.loop.call_later(MIN_INTERVAL_S, self._post)
 
-    def _tell(self) -> None:
-        self.due = None
+    def _post(self) -> None:
+        self.timer = None
         if not self.membership.joined.is_set():
-            self.changed()
+            self.schedule()
             return
         zones = (rumour.zone for rumour in self.membership.live())
-        known = not self.membership.refused
-        seen = Fleet(by_zone(self.gateway.names.zones, zones)) if known else Fleet()
-        if seen != self.told:
-            self.told = seen
+        known = not self.membership.name_taken
+        seen = Fleet(count_by_zone(self.gateway.names.zones, zones)) if known else Fleet()
+        if seen != self.last_posted:
+            self.last_posted = seen
             post: Callable[[Callable[[], Event]], None] = self.gateway.post
             post(lambda: seen)
 
     def close(self) -> None:
-        if self.due is not None:
-            self.due.cancel()
+        if self.timer is not None:
+            self.timer.cancel()
--- a/cloverkeel/fleet/invariants.py
+++ b/cloverkeel/fleet/invariants.py
@@ -12,7 +12,7 @@
 ON = os.environ.get("LB_CHECK") == "1"
 
 
-class BrokenError(AssertionError):
+class InvariantError(AssertionError):
     """An invariant does not hold; the message names it and what was seen."""
 
 
@@ -21,4 +21,4 @@
     seed and the event's number in a lab."""
     if not condition:
         event("invariant.broken", what=what, **fields)
-        raise BrokenError(f"{what} {fields}")
+        raise InvariantError(f"{what} {fields}")
--- a/cloverkeel/fleet/ledger/shell.py
+++ b/cloverkeel/fleet/ledger/shell.py
@@ -36,8 +36,8 @@
 from cloverkeel.fleet.ledger.outbox import KIND, Outbox, pack, unpack
 from cloverkeel.fleet.ledger.records import Record
 from cloverkeel.fleet.ledger.store import Loaded, Store, Writer
-from cloverkeel.fleet.membership.roster import PRESENT
-from cloverkeel.fleet.membership.rumours import Status
+from cloverkeel.fleet.membership.roster import LIVE_STATUSES
+from cloverkeel.fleet.membership.updates import Status
 from cloverkeel.fleet.membership.service import Membership
 
 TICK_S = 0.1
@@ -245,7 +245,7 @@
     def _view_changed(self) -> None:
         others = self.membership.view()
         others.pop(self.membership.name, None)
-        live = tuple(sorted(name for name, r in others.items() if r.status in PRESENT))
+        live = tuple(sorted(name for name, r in others.items() if r.status in LIVE_STATUSES))
         gone = tuple(sorted(name for name, r in others.items() if r.status is Status.DEAD))
         core = self._running()
         if (live, gone) != (core.live, core.gone):
@@ -253,7 +253,7 @@
 
     def _address_of(self, member: str) -> str | None:
         rumour = self.membership.view().get(member)
-        return rumour.address if rumour is not None and rumour.status in PRESENT else None
+        return rumour.address if rumour is not None and rumour.status in LIVE_STATUSES else None
 
 
 def _open(directory: str) -> tuple[Store, Loaded]:
--- a/cloverkeel/fleet/lists/actions.py
+++ b/cloverkeel/fleet/lists/actions.py
@@ -19,13 +19,13 @@
     name: str
 
 
-class Ask(NamedTuple):
+class FetchList(NamedTuple):
     """Ask this member for its list (`list.get`)."""
 
     peer: Peer
 
 
-class Have(NamedTuple):
+class AnnounceList(NamedTuple):
     """Tell this member that there is a newer list here (`list.have`)."""
 
     peer: Peer
@@ -36,25 +36,34 @@
     wait for news as the later ones do."""
 
     on: bool
-    is_fed: bool = False
+    has_live_upstream: bool = False
 
 
-class Depth(NamedTuple):
+class AnnounceDepth(NamedTuple):
     """Tell the followers."""
 
     depth: int | None
 
 
-class Relay(NamedTuple):
+class RelayRoleChanged(NamedTuple):
     """This member acts as a relay from now on, or no longer: for the log."""
 
     on: bool
 
 
-class Fallback(NamedTuple):
+class FallbackStarted(NamedTuple):
     """The moment drawn for a watch of one's own has come: for the log."""
 
     waited_s: float
 
 
-Action = Subscribe | Unsubscribe | Ask | Have | Watch | Depth | Relay | Fallback
+Action = (
+    Subscribe
+    | Unsubscribe
+    | FetchList
+    | AnnounceList
+    | Watch
+    | AnnounceDepth
+    | RelayRoleChanged
+    | FallbackStarted
+)
--- a/cloverkeel/fleet/lists/followers.py
+++ b/cloverkeel/fleet/lists/followers.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from cloverkeel.fleet.lists.follow import Follower
-from cloverkeel.fleet.lists.limits import FULL_NAMES, admits
-from cloverkeel.fleet.lists.order import Body, HeldList, ListVersion, as_raw, encode
+from cloverkeel.fleet.lists.source_selector import SourceSelector
+from cloverkeel.fleet.lists.limits import REFERRALS_PER_REPLY, admits_follower
+from cloverkeel.fleet.lists.versioned_list import ListUpdate, HeldList, ListVersion, encode_version, encode
 
-ON_FEED = 2_000  # entries of a whole list that still go over a feed; a longer one is asked for
+MAX_FEED_ENTRIES = 2_000  # entries of a whole list that still go over a feed; a longer one is asked for
 
 
 class Feed(Protocol):
@@ -29,14 +29,14 @@
     def close(self, reason: str = "closed") -> None: ...
 
 
-def version_or_none(version: ListVersion | None) -> list[int] | None:
-    return None if version is None else as_raw(version)
+def encode_optional_version(version: ListVersion | None) -> list[int] | None:
+    return None if version is None else encode_version(version)
 
 
-def news(body: Body) -> dict[str, Any]:
+def list_message(body: ListUpdate) -> dict[str, Any]:
     """A list as a feed tells it."""
-    told: dict[str, Any] = {"v": as_raw(body.version)}
-    if body.base is not None or len(body.entries) <= ON_FEED:
+    told: dict[str, Any] = {"v": encode_version(body.version)}
+    if body.base is not None or len(body.entries) <= MAX_FEED_ENTRIES:
         told["list"] = encode(body)
     return told
 
@@ -44,28 +44,31 @@
 class Followers:
     """`limit`: how many at once."""
 
-    def __init__(self, held: HeldList, core: Follower, limit: int, rng: random.Random) -> None:
-        self.held, self.core, self.limit, self.rng = held, core, limit, rng
+    def __init__(self, held: HeldList, core: SourceSelector, limit: int, rng: random.Random) -> None:
+        self.held_list, self.selector, self.limit, self.rng = held, core, limit, rng
         self.feeds: dict[Feed, None] = {}
-        self.turned_away = 0
+        self.refused_count = 0
 
-    def open(self, feed: Feed, version: ListVersion | None) -> None:
+    def handle_subscribe(self, feed: Feed, version: ListVersion | None) -> None:
         """A member subscribes that has the list of this version."""
-        if not admits(len(self.feeds), self.limit, self.core.depth, self.core.is_relay):
-            self.turned_away += 1
+        if not admits_follower(len(self.feeds), self.limit, self.selector.depth, self.selector.is_relay):
+            self.refused_count += 1
             names = sorted({other.peer for other in self.feeds} - {feed.peer})
-            feed.send({"full": self.rng.sample(names, min(FULL_NAMES, len(names)))})
+            feed.send({"full": self.rng.sample(names, min(REFERRALS_PER_REPLY, len(names)))})
             feed.close("full")
             return
         self.feeds[feed] = None
         feed.on_close = lambda: self.feeds.pop(feed, None)
-        hello: dict[str, Any] = {"depth": self.core.depth, "v": version_or_none(self.held.version)}
-        whole = self.held.whole()
+        hello: dict[str, Any] = {
+            "depth": self.selector.depth,
+            "v": encode_optional_version(self.held_list.version),
+        }
+        whole = self.held_list.full_list()
         if whole is not None and (version is None or version < whole.version):
-            hello |= news(whole)
+            hello |= list_message(whole)
         feed.send(hello)
 
-    def tell(self, told: dict[str, Any]) -> None:
+    def broadcast(self, told: dict[str, Any]) -> None:
         """To all, in this turn of the loop."""
         for feed in list(self.feeds):
             feed.send(told)
--- a/cloverkeel/fleet/lists/limits.py
+++ b/cloverkeel/fleet/lists/limits.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-FEEDS = 2  # what a member follows at once, and what it asks at once
-DEPTH = 3  # of the tree: a member this deep has no followers
-FULL_NAMES = 4  # named by a full one
+MAX_UPSTREAMS = 2  # what a member follows at once, and what it asks at once
+MAX_DEPTH = 3  # of the tree: a member this deep has no followers
+REFERRALS_PER_REPLY = 4  # named by a full one
 
 
-def admits(followers: int, limit: int, depth: int | None, is_relay: bool) -> bool:
+def admits_follower(followers: int, limit: int, depth: int | None, is_relay: bool) -> bool:
     """Whether a member takes one more follower: below its limit, and no deeper than the tree may be."""
-    return followers < limit and (is_relay or depth is None or depth < DEPTH)
+    return followers < limit and (is_relay or depth is None or depth < MAX_DEPTH)
 
 
-def feeds_limit(sockets: int) -> int:
+def max_followers(sockets: int) -> int:
     """How many followers a member with so many descriptors takes."""
     return max(16, sockets // 8)
--- a/cloverkeel/fleet/lists/relays.py
+++ b/cloverkeel/fleet/lists/relays.py
@@ -21,19 +21,20 @@
 
 
 @lru_cache(4096)  # a view that changes hundreds of times in a start has mostly the same names
-def score(*words: str) -> int:
+def rendezvous_score(*words: str) -> int:
     """64 bits of these words together; the words' ends count."""
     data = b"".join(len(word.encode()).to_bytes(4) + word.encode() for word in words)
     return int.from_bytes(hashlib.blake2b(data, digest_size=8).digest())
 
 
-def choose(cluster: str, members: Iterable[Peer], count: int) -> tuple[str, ...]:
+def choose_relays(cluster: str, members: Iterable[Peer], count: int) -> tuple[str, ...]:
     """The relays' names, best first: the best member of each zone, and the best of the rest up to `count`.
 
     With more zones than `count` there is one relay a zone. Fewer members than that: all of them.
     """
     ranked = sorted(
-        {peer.name: peer for peer in members}.values(), key=lambda p: (score(cluster, p.name), p.name)
+        {peer.name: peer for peer in members}.values(),
+        key=lambda p: (rendezvous_score(cluster, p.name), p.name),
     )
     firsts: dict[str, str] = {}
     for peer in ranked:
@@ -46,13 +47,15 @@
     return tuple(peer.name for peer in ranked if peer.name in chosen)
 
 
-def outranked(cluster: str, me: str, others: Iterable[str]) -> bool:
+def is_outranked(cluster: str, me: str, others: Iterable[str]) -> bool:
     """Whether one of `others` ranks higher than `me`: of two that both may go, one stays."""
-    mine = score(cluster, me), me
-    return any((score(cluster, other), other) < mine for other in others)
+    mine = rendezvous_score(cluster, me), me
+    return any((rendezvous_score(cluster, other), other) < mine for other in others)
 
 
-def preferred(cluster: str, me: Peer, relays: Iterable[Peer]) -> list[Peer]:
+def by_preference(cluster: str, me: Peer, relays: Iterable[Peer]) -> list[Peer]:
     """The relays in the order in which `me` follows them: its own zone first, then spread by hash."""
     others = [peer for peer in relays if peer.name != me.name]
-    return sorted(others, key=lambda p: (p.zone != me.zone, score(cluster, me.name, p.name), p.name))
+    return sorted(
+        others, key=lambda p: (p.zone != me.zone, rendezvous_score(cluster, me.name, p.name), p.name)
+    )
--- a/cloverkeel/fleet/lists/sharing.py
+++ b/cloverkeel/fleet/lists/sharing.py
@@ -16,28 +16,30 @@
 from cloverkeel.fleet.cluster import ClusterSettings
 from cloverkeel.fleet.events import event
 from cloverkeel.fleet.lists import actions
-from cloverkeel.fleet.lists.draws import FollowSettings
-from cloverkeel.fleet.lists.follow import ASK_S, BAD_S, Follower
-from cloverkeel.fleet.lists.followers import Followers, news, version_or_none
-from cloverkeel.fleet.lists.intake import Intake
-from cloverkeel.fleet.lists.limits import feeds_limit
-from cloverkeel.fleet.lists.links import FEED, Links, is_no_frame
-from cloverkeel.fleet.lists.order import Body, Taken, as_version, decode, encode
+from cloverkeel.fleet.lists.jitter import SelectorSettings
+from cloverkeel.fleet.lists.source_selector import FETCH_TIMEOUT_S, INVALID_AVOID_S, SourceSelector
+from cloverkeel.fleet.lists.followers import Followers, list_message, encode_optional_version
+from cloverkeel.fleet.lists.ingest import ListIngest
+from cloverkeel.fleet.lists.limits import max_followers
+from cloverkeel.fleet.lists.upstream_connections import LIST_FEED, UpstreamConnections, is_frame_error
+from cloverkeel.fleet.lists.versioned_list import ListUpdate, ApplyResult, decode_version, decode, encode
 from cloverkeel.fleet.lists.relays import Peer
 from cloverkeel.fleet.membership.calls import CallFailed
 from cloverkeel.fleet.membership.feeds import Feed
 from cloverkeel.fleet.membership.service import Membership
 from cloverkeel.tasks import BackgroundTasks
 
-GET, HAVE = "list.get", "list.have"
+LIST_GET, LIST_HAVE = "list.get", "list.have"
 TICK_S = 0.1
-VIEW_S = 0.1  # changes of the view are taken up together
-SLOW_ASK_S = 2.0  # for one without a list, past its start: its processor and the others' may be busy
-JOIN_S = 3.0  # after this a member acts on what it sees, joined or not
-MOST_DEPTH = 16
+VIEW_DEBOUNCE_S = 0.1  # changes of the view are taken up together
+LATE_FETCH_TIMEOUT_S = (
+    2.0  # for one without a list, past its start: its processor and the others' may be busy
+)
+JOIN_TIMEOUT_S = 3.0  # after this a member acts on what it sees, joined or not
+MAX_REPORTED_DEPTH = 16
 
 
-class Sharing:
+class ListSharing:
     """`start` before the gateway starts; from then on `discovery` asks here what is newer. `sockets`: the
     descriptors that the process may have; `must_ask_s`: the longest silence that the settings allow towards
     the list service without a subscription. A feed is one; without any, the draw for a call of one's own ends
@@ -59,46 +61,46 @@
         self.membership, self.calls = membership, membership.calls
         self.discovery, self.on_list = discovery, on_list
         self.rng = rng or random.Random()
-        self.must_ask_s, self.is_slow = must_ask_s, False
-        self.intake = Intake(discovery, on_list, self._on_news, self._on_service)
-        self.held = self.intake.held
+        self.must_ask_s, self.is_fallback_slow = must_ask_s, False
+        self.ingest = ListIngest(discovery, on_list, self._on_new_list, self._on_service_status)
+        self.held_list = self.ingest.held_list
         me = Peer(membership.name, membership.zone, membership.address)
         seeds = tuple(seed for seed in settings.seeds if seed != me.address)
-        wanted = FollowSettings(
+        wanted = SelectorSettings(
             settings.name, settings.relays, settings.list_calls_per_s, gateways, seeds, discovery.pushed
         )
-        self.core = Follower(me, wanted, self.rng)
-        self.followers = Followers(self.held, self.core, feeds_limit(sockets), self.rng)
-        self.links = Links(self.calls, self._on_body, self._ended)
+        self.selector = SourceSelector(me, wanted, self.rng)
+        self.followers = Followers(self.held_list, self.selector, max_followers(sockets), self.rng)
+        self.connections = UpstreamConnections(self.calls, self._on_feed_body, self._on_upstream_end)
         self.counts: Counter[str] = Counter()
-        self.listed = asyncio.Event()  # there is a list with hosts in it
-        self.asked = asyncio.Event()  # and this: whom the start asked has answered, or will not
+        self.has_hosts = asyncio.Event()  # there is a list with hosts in it
+        self.start_fetches_done = asyncio.Event()  # and this: whom the start asked has answered, or will not
         self.tasks = BackgroundTasks()
         self.loop = asyncio.get_running_loop()
-        self.view_due: asyncio.TimerHandle | None = None
-        self.ticking: asyncio.TimerHandle | None = None
+        self.view_timer: asyncio.TimerHandle | None = None
+        self.tick_timer: asyncio.TimerHandle | None = None
         self.closed = False
 
     def start(self) -> None:
-        self.calls.serve(GET, self._on_get)
-        self.calls.serve(HAVE, self._on_have)
-        self.calls.serve_feed(FEED, self._on_feed)
-        self.discovery.order = self.intake
-        self.membership.on_change(lambda rumour, before: self._view_changes())
+        self.calls.serve(LIST_GET, self._on_get)
+        self.calls.serve(LIST_HAVE, self._on_have)
+        self.calls.serve_feed(LIST_FEED, self._on_feed)
+        self.discovery.ordering = self.ingest
+        self.membership.on_change(lambda rumour, before: self._schedule_view_update())
         self.tasks.spawn(self._join())
         self._tick()
 
     def close(self) -> None:
         self.closed = True
-        for timer in (self.view_due, self.ticking):
+        for timer in (self.view_timer, self.tick_timer):
             if timer is not None:
                 timer.cancel()
         self.tasks.cancel()
-        self.links.close()
+        self.connections.close()
 
-    async def first(self, wait_s: float) -> None:
+    async def wait_for_first_list(self, wait_s: float) -> None:
         """Until there is a list, or nobody who was asked at the start has one; `wait_s` at most."""
-        waits = [self.loop.create_task(word.wait()) for word in (self.listed, self.asked)]
+        waits = [self.loop.create_task(word.wait()) for word in (self.has_hosts, self.start_fetches_done)]
         await asyncio.wait(waits, timeout=wait_s, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
@@ -114,34 +116,34 @@
         if self.discovery.pushed:
             self.discovery.fetch()
         else:
-            self.intake.again()
+            self.ingest.republish()
 
     # The list
 
-    def _on_news(self, body: Body) -> None:
-        if self.held.entries:
-            self.listed.set()
-        self.followers.tell(news(body))
+    def _on_new_list(self, body: ListUpdate) -> None:
+        if self.held_list.entries:
+            self.has_hosts.set()
+        self.followers.broadcast(list_message(body))
 
-    def _on_service(self, up: bool) -> None:
+    def _on_service_status(self, up: bool) -> None:
         now_s = self.loop.time()
-        self._do(self.core.service_answered(now_s) if up else self.core.service_failed(now_s))
+        self._perform(self.selector.service_answered(now_s) if up else self.selector.service_failed(now_s))
 
     # What members send
 
-    def _take(self, name: str, raw: object) -> None:
+    def _receive_list(self, name: str, raw: object) -> None:
         """A list or a change from this member. Raises ValueError where it is none."""
         body = decode(raw)
-        self.core.told(name, body.version)
-        if self.intake.take(body) is Taken.GAP:
-            self._do(self.core.gap(self.loop.time(), name))
+        self.selector.version_received(name, body.version)
+        if self.ingest.apply_from_peer(body) is ApplyResult.GAP:
+            self._perform(self.selector.newer_list_reported(self.loop.time(), name))
 
-    def _refuse(self, name: str, reason: str) -> None:
+    def _set_aside(self, name: str, reason: str) -> None:
         self.counts["peers_set_aside"] += 1
-        event("lists.peer_refused", peer=name, reason=reason[:200], for_s=BAD_S)
-        self._do(self.core.bad(self.loop.time(), name))
+        event("lists.peer_refused", peer=name, reason=reason[:200], for_s=INVALID_AVOID_S)
+        self._perform(self.selector.invalid_list_received(self.loop.time(), name))
 
-    def _on_body(self, name: str, raw: object) -> None:
+    def _on_feed_body(self, name: str, raw: object) -> None:
         """News over a feed that this member follows."""
         try:
             if not isinstance(raw, dict):
@@ -150,136 +152,149 @@
                 names = raw["full"]
                 if not isinstance(names, list) or not all(isinstance(other, str) for other in names):
                     raise ValueError(f"no names: {names!r:.40}")
-                self.links.drop(name)
-                self._do(self.core.full(self.loop.time(), name, names))
+                self.connections.drop(name)
+                self._perform(self.selector.upstream_full(self.loop.time(), name, names))
                 return
             if "depth" in raw:
                 depth = raw["depth"]
-                if depth is not None and (type(depth) is not int or not 0 <= depth <= MOST_DEPTH):
+                if depth is not None and (type(depth) is not int or not 0 <= depth <= MAX_REPORTED_DEPTH):
                     raise ValueError(f"no depth: {depth!r:.40}")
-                feed = self.core.feeds.get(name)
-                if feed is not None and not feed.heard:
+                feed = self.selector.upstreams.get(name)
+                if feed is not None and not feed.has_reported:
                     event("lists.follow", member=name, depth=depth)
-                self._do(self.core.opened(self.loop.time(), name, depth))
+                self._perform(self.selector.depth_received(self.loop.time(), name, depth))
             if raw.get("list") is not None:
-                self._take(name, raw["list"])
+                self._receive_list(name, raw["list"])
             elif raw.get("v") is not None:
-                self._compare(name, raw["v"])
+                self._compare_version(name, raw["v"])
         except ValueError as error:
-            self._refuse(name, str(error))
+            self._set_aside(name, str(error))
 
-    def _compare(self, name: str, raw: object) -> None:
+    def _compare_version(self, name: str, raw: object) -> None:
         """A member has the list of this version. Raises ValueError where it is none."""
-        version = as_version(raw)
-        self.core.told(name, version)
-        if self.held.version is None or version > self.held.version:
-            self._do(self.core.gap(self.loop.time(), name))
+        version = decode_version(raw)
+        self.selector.version_received(name, version)
+        if self.held_list.version is None or version > self.held_list.version:
+            self._perform(self.selector.newer_list_reported(self.loop.time(), name))
 
     # What members ask
 
     def _on_get(self, peer: str, raw: Any) -> dict[str, Any]:
-        version = as_version(raw) if raw is not None else None
-        whole = self.held.whole()
+        version = decode_version(raw) if raw is not None else None
+        whole = self.held_list.full_list()
         if whole is None or (version is not None and version >= whole.version):
             return {"list": None}
         return {"list": encode(whole)}
 
     def _on_have(self, peer: str, raw: Any) -> None:
-        self._compare(peer, raw)
+        self._compare_version(peer, raw)
 
     def _on_feed(self, feed: Feed, raw: Any) -> None:
-        self.followers.open(feed, as_version(raw) if raw is not None else None)
+        self.followers.handle_subscribe(feed, decode_version(raw) if raw is not None else None)
         if raw is not None:
-            self._compare(feed.peer, raw)
+            self._compare_version(feed.peer, raw)
 
     # The core and the clock
 
     async def _join(self) -> None:
         try:
-            async with asyncio.timeout(JOIN_S):
+            async with asyncio.timeout(JOIN_TIMEOUT_S):
                 await self.membership.joined.wait()
         except TimeoutError:
-            event("lists.not_joined", waited_s=JOIN_S)
-        self._see()
-        if not self.core.asking:
-            self.asked.set()
+            event("lists.not_joined", waited_s=JOIN_TIMEOUT_S)
+        self._update_view()
+        if not self.selector.pending_fetches:
+            self.start_fetches_done.set()
 
-    def _view_changes(self) -> None:
-        if self.view_due is None and self.core.joined_s is not None and not self.closed:
-            self.view_due = self.loop.call_later(VIEW_S, self._see)
+    def _schedule_view_update(self) -> None:
+        if self.view_timer is None and self.selector.joined_s is not None and not self.closed:
+            self.view_timer = self.loop.call_later(VIEW_DEBOUNCE_S, self._update_view)
 
-    def _see(self) -> None:
-        self.view_due = None
+    def _update_view(self) -> None:
+        self.view_timer = None
         peers = [Peer(r.name, r.zone, r.address) for r in self.membership.live()]
-        draw_s = len(peers) / self.core.settings.list_calls_per_s
-        if draw_s > self.must_ask_s and not self.is_slow:
+        draw_s = len(peers) / self.selector.settings.list_calls_per_s
+        if draw_s > self.must_ask_s and not self.is_fallback_slow:
             event("lists.slow_fallback", draw_s=draw_s, must_ask_s=self.must_ask_s, live=len(peers),
                   reason="list_calls_per_s is too low for so many members")  # fmt: skip
-        self.is_slow = draw_s > self.must_ask_s
-        self._do(self.core.view(self.loop.time(), True, peers))
+        self.is_fallback_slow = draw_s > self.must_ask_s
+        self._perform(self.selector.view_changed(self.loop.time(), True, peers))
 
     def _tick(self) -> None:
-        self.ticking = self.loop.call_later(TICK_S, self._tick)
+        self.tick_timer = self.loop.call_later(TICK_S, self._tick)
         pushed = self.discovery.pushed
-        if pushed != self.core.settings.own_watch:  # other settings were taken up
-            self.core.settings = self.core.settings._replace(own_watch=pushed)
-            self.discovery.watch(pushed or self.core.watching)
-        elif self.core.watching and self.discovery.watching is None:
-            self._on_service(False)  # it ended without a word
-        self._do(self.core.tick(self.loop.time(), self.held.version))
-
-    def _do(self, wanted: list[actions.Action]) -> None:
+        if pushed != self.selector.settings.own_watch:  # other settings were taken up
+            self.selector.settings = self.selector.settings._replace(own_watch=pushed)
+            self.discovery.watch(pushed or self.selector.watching)
+        elif self.selector.watching and self.discovery.watching is None:
+            self._on_service_status(False)  # it ended without a word
+        self._perform(self.selector.tick(self.loop.time(), self.held_list.version))
+
+    def _perform(self, wanted: list[actions.Action]) -> None:
         if self.closed:
             return
         for action in wanted:
             match action:
                 case actions.Subscribe(peer):
-                    self.tasks.spawn(self.links.follow(peer, self.held.version))
+                    self.tasks.spawn(self.connections.open(peer, self.held_list.version))
                 case actions.Unsubscribe(name):
-                    self.links.drop(name)
+                    self.connections.drop(name)
                 case actions.Ask(peer):
-                    self.tasks.spawn(self._ask(peer))
+                    self.tasks.spawn(self._fetch_list(peer))
                 case actions.Have(peer):
-                    self.tasks.spawn(self._have(peer))
+                    self.tasks.spawn(self._announce_list(peer))
                 case actions.Watch(on, is_fed):
                     self.discovery.watch(on, is_fed)
                 case actions.Depth(depth):
-                    self.followers.tell({"depth": depth})
+                    self.followers.broadcast({"depth": depth})
                 case actions.Relay(on):
-                    event("lists.relay", on=on, relays=",".join(self.core.relays), live=len(self.core.peers))
+                    event(
+                        "lists.relay",
+                        on=on,
+                        relays=",".join(self.selector.relays),
+                        live=len(self.selector.peers),
+                    )
                 case actions.Fallback(waited_s):
                     self.counts["list_fallbacks"] += 1
-                    event("lists.fallback", waited_s=waited_s, live=len(self.core.peers))
+                    event("lists.fallback", waited_s=waited_s, live=len(self.selector.peers))
 
-    def _ended(self, name: str, reason: str) -> None:
-        if is_no_frame(reason):
-            self._refuse(name, reason)
+    def _on_upstream_end(self, name: str, reason: str) -> None:
+        if is_frame_error(reason):
+            self._set_aside(name, reason)
             return
         event("lists.feed_ended", member=name, reason=reason)
-        self._do(self.core.ended(self.loop.time(), name))
+        self._perform(self.selector.upstream_ended(self.loop.time(), name))
 
-    async def _ask(self, peer: Peer) -> None:
+    async def _fetch_list(self, peer: Peer) -> None:
         answered = False
         try:
-            wait_s = SLOW_ASK_S if self.asked.is_set() and self.held.version is None else ASK_S
-            raw = await self.calls.call(peer.address, GET, version_or_none(self.held.version), wait_s)
+            wait_s = (
+                LATE_FETCH_TIMEOUT_S
+                if self.start_fetches_done.is_set() and self.held_list.version is None
+                else FETCH_TIMEOUT_S
+            )
+            raw = await self.calls.call(
+                peer.address, LIST_GET, encode_optional_version(self.held_list.version), wait_s
+            )
             if not isinstance(raw, dict):
-                raise ValueError(f"no answer to {GET}: {raw!r:.40}")
+                raise ValueError(f"no answer to {LIST_GET}: {raw!r:.40}")
             if raw.get("list") is not None:
-                self._take(peer.name, raw["list"])
+                self._receive_list(peer.name, raw["list"])
             answered = True
         except CallFailed as error:  # it has gone, or is too slow: others are asked, or the service
-            if is_no_frame(str(error)):
-                self._refuse(peer.name, str(error))
+            if is_frame_error(str(error)):
+                self._set_aside(peer.name, str(error))
         except ValueError as error:
-            self._refuse(peer.name, str(error))
-        self._do(self.core.asked(self.loop.time(), peer.name, answered))
-        if not self.core.asking:
-            self.asked.set()
+            self._set_aside(peer.name, str(error))
+        self._perform(self.selector.fetch_ended(self.loop.time(), peer.name, answered))
+        if not self.selector.pending_fetches:
+            self.start_fetches_done.set()
 
-    async def _have(self, peer: Peer) -> None:
+    async def _announce_list(self, peer: Peer) -> None:
         try:
-            await self.calls.call(peer.address, HAVE, version_or_none(self.held.version), ASK_S)
+            await self.calls.call(
+                peer.address, LIST_HAVE, encode_optional_version(self.held_list.version), FETCH_TIMEOUT_S
+            )
         except CallFailed:
             return  # said again while it stays behind
 
@@ -287,28 +302,28 @@
 
     def is_relay(self, name: str) -> bool:
         """Whether a member relays, as far as this one sees; none does where lists are pushed."""
-        return name in self.core.relays and not self.core.settings.own_watch
+        return name in self.selector.relays and not self.selector.settings.own_watch
 
     def status(self) -> dict[str, Any]:
         """How this member hears: `depth` 0 by its own watch, 1 of one that does, None not at all."""
-        version = self.held.version
+        version = self.held_list.version
         return {
-            "relay": self.core.is_relay, "depth": self.core.depth,
+            "relay": self.selector.is_relay, "depth": self.selector.depth,
             "own_watch": self.discovery.watching is not None,
-            "follows": sorted(self.core.feeds), "followers": len(self.followers.feeds),
+            "follows": sorted(self.selector.upstreams), "followers": len(self.followers.feeds),
             "epoch": version and version.service_epoch, "index": version and version.index,
-            "confirmed": version is not None and version.epoch >= 0, "hosts": len(self.held.entries),
+            "confirmed": version is not None and version.epoch >= 0, "hosts": len(self.held_list.entries),
         }  # fmt: skip
 
     def counters(self) -> dict[str, int]:
-        counts = self.intake.counts + self.counts
+        counts = self.ingest.counts + self.counts
         names = ("lists_from_peers", "lists_from_service", "list_service_calls", "list_fallbacks",
                  "peers_set_aside")  # fmt: skip
         return {f"{name}_total": counts[name] for name in names}
 
     def gauges(self) -> dict[str, int]:
         return {
-            "list_feeds": len(self.core.feeds),
+            "list_feeds": len(self.selector.upstreams),
             "list_followers": len(self.followers.feeds),
-            "list_relay": int(self.core.is_relay),
+            "list_relay": int(self.selector.is_relay),
         }
--- a/cloverkeel/fleet/membership/bind.py
+++ b/cloverkeel/fleet/membership/bind.py
@@ -5,7 +5,7 @@
 import errno
 import socket
 
-TRIES = 50
+BIND_ATTEMPTS = 50
 UDP_BUFFER_BYTES = 1024 * 1024  # a whole fleet that joins at once answers within a millisecond
 
 
@@ -17,20 +17,20 @@
     """
     try:
         if port:
-            return _pair(host, port)
+            return _bind_pair(host, port)
     except OSError as error:
         if not elsewhere or error.errno != errno.EADDRINUSE:
             raise
-    for left in reversed(range(TRIES)):
+    for left in reversed(range(BIND_ATTEMPTS)):
         try:
-            return _pair(host, 0)
+            return _bind_pair(host, 0)
         except OSError as error:
             if not left or error.errno != errno.EADDRINUSE:
                 raise
     raise AssertionError("not reached")
 
 
-def udp_at(host: str, port: int) -> socket.socket:
+def bind_udp(host: str, port: int) -> socket.socket:
     """A bound UDP socket. Raises OSError."""
     udp = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_DGRAM)
     try:
@@ -43,8 +43,8 @@
     return udp
 
 
-def _pair(host: str, port: int) -> tuple[socket.socket, socket.socket]:
-    udp = udp_at(host, port)
+def _bind_pair(host: str, port: int) -> tuple[socket.socket, socket.socket]:
+    udp = bind_udp(host, port)
     tcp = socket.socket(udp.family, socket.SOCK_STREAM)
     try:
         tcp.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # despite past ones' TIME_WAIT
--- a/cloverkeel/fleet/membership/broadcasts.py
+++ b/cloverkeel/fleet/membership/broadcasts.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from cloverkeel.fleet.membership.rumours import Rumour
+from cloverkeel.fleet.membership.updates import MemberUpdate
 
 
 @dataclass(slots=True)
-class Broadcasts:
+class BroadcastQueue:
     """Rumours that wait to ride on outgoing messages (SWIM's piggybacking, section 4.1).
 
     One a name: a newer rumour of a name replaces the one before, sent or not. Each goes out at most `limit`
@@ -18,32 +18,32 @@
     """
 
     # By name: times sent, less the newer it is, bytes (0: not yet asked), the rumour. Sorts as it stands.
-    waiting: dict[str, tuple[int, int, int, Rumour]] = field(default_factory=dict)
-    stamp: int = 0
+    queued: dict[str, tuple[int, int, int, MemberUpdate]] = field(default_factory=dict)
+    age_stamp: int = 0
 
-    def add(self, rumour: Rumour) -> None:
-        self.stamp -= 1
-        self.waiting[rumour.name] = (0, self.stamp, 0, rumour)
+    def add(self, rumour: MemberUpdate) -> None:
+        self.age_stamp -= 1
+        self.queued[rumour.name] = (0, self.age_stamp, 0, rumour)
 
-    def take(self, budget: int, size: Callable[[Rumour], int], limit: int) -> list[Rumour]:
+    def select(self, budget: int, size: Callable[[MemberUpdate], int], limit: int) -> list[MemberUpdate]:
         """As many as fit in `budget` bytes by `size`, in the order above; each taken counts as sent once. A
         rumour's size is asked for once."""
-        chosen: list[Rumour] = []
-        for sent, stamp, cost, rumour in sorted(self.waiting.values()):
+        chosen: list[MemberUpdate] = []
+        for sent, stamp, cost, rumour in sorted(self.queued.values()):
             if not cost:
                 cost = size(rumour)
-                self.waiting[rumour.name] = (sent, stamp, cost, rumour)
+                self.queued[rumour.name] = (sent, stamp, cost, rumour)
             if cost > budget:
                 continue
             budget -= cost
             chosen.append(rumour)
             if sent + 1 >= limit:
-                del self.waiting[rumour.name]
+                del self.queued[rumour.name]
             else:
-                self.waiting[rumour.name] = (sent + 1, stamp, cost, rumour)
+                self.queued[rumour.name] = (sent + 1, stamp, cost, rumour)
         return chosen
 
 
-def retransmits(mult: int, members: int) -> int:
+def retransmit_limit(mult: int, members: int) -> int:
     """How many times a rumour rides on messages before it is dropped: `mult * ceil(log2(members + 1))`."""
     return mult * math.ceil(math.log2(members + 1))
--- a/cloverkeel/fleet/membership/calls.py
+++ b/cloverkeel/fleet/membership/calls.py
@@ -14,11 +14,11 @@
 from typing import Any
 
 from cloverkeel.fleet.membership.codec import parse_address
-from cloverkeel.fleet.membership.feeds import BEAT_S, OK, Feed, Subscription
-from cloverkeel.fleet.membership.frames import FRAME_BYTES, FrameError, Frames, Stream
-from cloverkeel.fleet.membership.serving import Served
+from cloverkeel.fleet.membership.feeds import HEARTBEAT_S, OK, Feed, Subscription
+from cloverkeel.fleet.membership.frames import MAX_FRAME_BYTES, FrameError, FrameCodec, Stream
+from cloverkeel.fleet.membership.serving import IncomingConnection
 
-CONNECT_S = 1.0  # for a feed's connection
+CONNECT_TIMEOUT_S = 1.0  # for a feed's connection
 
 Handler = Callable[[str, Any], Any | Awaitable[Any]]
 OnOpen = Callable[[Feed, Any], None]
@@ -32,25 +32,29 @@
     """Both sides: handlers served by kind, and calls to other members. `name` is this member's, sent with
     each request; `listen` takes a listening socket; without it calls go out and none come in."""
 
-    def __init__(self, cluster: str, name: str, frame_bytes: int = FRAME_BYTES) -> None:
-        self.frames, self.name = Frames(cluster, frame_bytes), name
+    def __init__(self, cluster: str, name: str, frame_bytes: int = MAX_FRAME_BYTES) -> None:
+        self.frame_codec, self.name = FrameCodec(cluster, frame_bytes), name
         self.handlers: dict[str, Handler] = {}
         self.feed_handlers: dict[str, OnOpen] = {}
         self.feeds: set[Feed] = set()
-        self.serving: set[Served] = set()
+        self.connections: set[IncomingConnection] = set()
         self.subscriptions: set[Subscription] = set()
         self.counts: Counter[str] = Counter()
         self.listener: asyncio.Server | None = None
-        self.beat: asyncio.TimerHandle | None = None
-        self.local: tuple[str, int] | None = None  # connections go out from the host that this member binds
+        self.heartbeat_timer: asyncio.TimerHandle | None = None
+        self.local_addr: tuple[str, int] | None = (
+            None  # connections go out from the host that this member binds
+        )
         self.closed = False
 
     async def listen(self, sock: socket.socket) -> None:
         """Serve on a bound TCP socket. Raises OSError."""
         loop = asyncio.get_running_loop()
-        self.local = sock.getsockname()[0], 0
-        self.listener = await loop.create_server(lambda: Served(self).stream, sock=sock, backlog=1024)
-        self.beat = loop.call_later(BEAT_S, self._beat)
+        self.local_addr = sock.getsockname()[0], 0
+        self.listener = await loop.create_server(
+            lambda: IncomingConnection(self).stream, sock=sock, backlog=1024
+        )
+        self.heartbeat_timer = loop.call_later(HEARTBEAT_S, self._send_heartbeats)
 
     def serve(self, kind: str, handler: Handler) -> None:
         """Answer calls of a kind: `handler(peer's name, body)` gives the answer's body, or an awaitable of
@@ -61,13 +65,13 @@
         """Let members follow: `on_open(feed, body)` is called for each that subscribes."""
         self.feed_handlers[kind] = on_open
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         for feed in list(self.feeds):
-            feed.beat()
-        self.beat = asyncio.get_running_loop().call_later(BEAT_S, self._beat)
+            feed.send_heartbeat()
+        self.heartbeat_timer = asyncio.get_running_loop().call_later(HEARTBEAT_S, self._send_heartbeats)
 
     @asynccontextmanager
-    async def _attempt(self, what: str, timeout_s: float) -> AsyncIterator[None]:
+    async def _translate_errors(self, what: str, timeout_s: float) -> AsyncIterator[None]:
         """Whatever stands in the way within becomes one CallFailed, and is counted."""
         try:
             if self.closed:
@@ -85,7 +89,7 @@
     async def _connect(self, address: str, stream: Stream) -> None:
         host, port = parse_address(address)
         loop = asyncio.get_running_loop()
-        await loop.create_connection(lambda: stream, host, port, local_addr=self.local)
+        await loop.create_connection(lambda: stream, host, port, local_addr=self.local_addr)
 
     async def call(self, address: str, kind: str, body: Any, timeout_s: float) -> Any:
         """Ask the member at `address`; raises CallFailed where no answer comes within `timeout_s`, the
@@ -102,10 +106,10 @@
             if not answer.done():
                 answer.set_exception(CallFailed(reason))
 
-        stream = Stream(self.frames, on_frame, on_lost)
+        stream = Stream(self.frame_codec, on_frame, on_lost)
         self.counts["calls_out"] += 1
         try:
-            async with self._attempt(f"{address} {kind}", timeout_s):
+            async with self._translate_errors(f"{address} {kind}", timeout_s):
                 await self._connect(address, stream)
                 stream.write(kind, (self.name, body))
                 return await answer
@@ -127,16 +131,16 @@
         has ended. Raises CallFailed where no connection comes about; `on_end` is not called then."""
         self.counts["subscriptions"] += 1
         subscription = Subscription(on_body, on_end)
-        subscription.on_over = lambda: self.subscriptions.discard(subscription)
+        subscription.on_finished = lambda: self.subscriptions.discard(subscription)
         self.subscriptions.add(subscription)
-        stream = Stream(self.frames, subscription.on_frame, subscription.on_lost)
+        stream = Stream(self.frame_codec, subscription.on_frame, subscription.on_stream_ended)
         try:
-            async with self._attempt(f"{address} {kind}", CONNECT_S):
+            async with self._translate_errors(f"{address} {kind}", CONNECT_TIMEOUT_S):
                 await self._connect(address, stream)
                 if subscription.ended:
                     raise CallFailed("closed at once")
                 stream.write(kind, (self.name, body))
-                subscription.begin(stream)
+                subscription.start(stream)
         finally:
             if subscription.stream is None:
                 subscription.close()
@@ -148,9 +152,9 @@
         self.closed = True
         if self.listener is not None:
             self.listener.close()
-        if self.beat is not None:
-            self.beat.cancel()
-        for served in list(self.serving):
+        if self.heartbeat_timer is not None:
+            self.heartbeat_timer.cancel()
+        for served in list(self.connections):
             served.stream.end("closed")
         for subscription in list(self.subscriptions):
             subscription.close()
--- a/cloverkeel/fleet/membership/codec.py
+++ b/cloverkeel/fleet/membership/codec.py
@@ -15,8 +15,8 @@
 import msgspec
 
 from cloverkeel.fleet.membership.messages import (
-    CLUSTER_BYTES,
-    DATAGRAM_BYTES,
+    MAX_CLUSTER_BYTES,
+    MAX_DATAGRAM_BYTES,
     Ack,
     Gossip,
     Join,
@@ -26,16 +26,16 @@
     PingReq,
     Push,
 )
-from cloverkeel.fleet.membership.rumours import RANK, Rumour
+from cloverkeel.fleet.membership.updates import STATUS_RANK, MemberUpdate
 
 VERSION = 1
-NAME_BYTES, ADDRESS_BYTES, ZONE_BYTES = 128, 64, 64
-MOST_INCARNATION = 2**62  # room to refute it within an int64
-KNOWN = 1_024  # rumours as last read, kept to be known again
+MAX_NAME_BYTES, MAX_ADDRESS_BYTES, MAX_ZONE_BYTES = 128, 64, 64
+MAX_INCARNATION = 2**62  # room to refute it within an int64
+UPDATE_CACHE_SIZE = 1_024  # rumours as last read, kept to be known again
 
-Name = Annotated[str, msgspec.Meta(min_length=1, max_length=NAME_BYTES)]
+Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_BYTES)]
 Number = Annotated[int, msgspec.Meta(ge=0, le=2**62)]
-STATUSES = {rank: status for status, rank in RANK.items()}
+STATUS_BY_RANK = {rank: status for status, rank in STATUS_RANK.items()}
 
 
 class DatagramError(ValueError):
@@ -46,66 +46,66 @@
         self.reason = reason
 
 
-class _Array(msgspec.Struct, array_like=True, forbid_unknown_fields=True, frozen=True):
+class _WireArray(msgspec.Struct, array_like=True, forbid_unknown_fields=True, frozen=True):
     pass
 
 
-class _Rumour(_Array, frozen=True):
+class _WireUpdate(_WireArray, frozen=True):
     name: Name
-    address: Annotated[str, msgspec.Meta(max_length=ADDRESS_BYTES)]
-    incarnation: Annotated[int, msgspec.Meta(ge=0, le=MOST_INCARNATION)]
-    status: Annotated[int, msgspec.Meta(ge=0, le=max(STATUSES))]
-    zone: Annotated[str, msgspec.Meta(max_length=ZONE_BYTES)]
-    by: Annotated[str, msgspec.Meta(max_length=NAME_BYTES)]
+    address: Annotated[str, msgspec.Meta(max_length=MAX_ADDRESS_BYTES)]
+    incarnation: Annotated[int, msgspec.Meta(ge=0, le=MAX_INCARNATION)]
+    status: Annotated[int, msgspec.Meta(ge=0, le=max(STATUS_BY_RANK))]
+    zone: Annotated[str, msgspec.Meta(max_length=MAX_ZONE_BYTES)]
+    suspected_by: Annotated[str, msgspec.Meta(max_length=MAX_NAME_BYTES)]
 
 
-class _Ping(_Array, tag=1, frozen=True):
+class _Ping(_WireArray, tag=1, frozen=True):
     seq: Number
-    sender: _Rumour
+    sender: _WireUpdate
     target: Name
-    rumours: list[_Rumour]
+    updates: list[_WireUpdate]
     suspect: bool
 
 
-class _Ack(_Array, tag=2, frozen=True):
+class _Ack(_WireArray, tag=2, frozen=True):
     seq: Number
-    sender: _Rumour
-    rumours: list[_Rumour]
+    sender: _WireUpdate
+    updates: list[_WireUpdate]
 
 
-class _PingReq(_Array, tag=3, frozen=True):
+class _PingReq(_WireArray, tag=3, frozen=True):
     seq: Number
-    sender: _Rumour
-    target: _Rumour
-    rumours: list[_Rumour]
+    sender: _WireUpdate
+    target: _WireUpdate
+    updates: list[_WireUpdate]
 
 
-class _Nack(_Array, tag=4, frozen=True):
+class _Nack(_WireArray, tag=4, frozen=True):
     seq: Number
-    sender: _Rumour
-    rumours: list[_Rumour]
+    sender: _WireUpdate
+    updates: list[_WireUpdate]
 
 
-class _Push(_Array, tag=5, frozen=True):
-    sender: _Rumour
-    rumours: list[_Rumour]
+class _Push(_WireArray, tag=5, frozen=True):
+    sender: _WireUpdate
+    updates: list[_WireUpdate]
     reply: bool
-    more: bool
+    truncated: bool
 
 
-class _Join(_Array, tag=6, frozen=True):
-    sender: _Rumour
-    rumours: list[_Rumour]
+class _Join(_WireArray, tag=6, frozen=True):
+    sender: _WireUpdate
+    updates: list[_WireUpdate]
 
 
-class _Gossip(_Array, tag=7, frozen=True):
-    sender: _Rumour
-    rumours: list[_Rumour]
+class _Gossip(_WireArray, tag=7, frozen=True):
+    sender: _WireUpdate
+    updates: list[_WireUpdate]
 
 
-_Wire = _Ping | _Ack | _PingReq | _Nack | _Push | _Join | _Gossip
+_WireMessage = _Ping | _Ack | _PingReq | _Nack | _Push | _Join | _Gossip
 _encoder = msgspec.msgpack.Encoder()
-_decoder: msgspec.msgpack.Decoder[_Wire] = msgspec.msgpack.Decoder(_Wire)
+_decoder: msgspec.msgpack.Decoder[_WireMessage] = msgspec.msgpack.Decoder(_WireMessage)
 
 
 @functools.lru_cache(maxsize=4096)
@@ -129,44 +129,52 @@
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
-def _from_wire(wire: _Rumour) -> Rumour:
-    return _checked(wire.name, wire.address, wire.incarnation, wire.status, wire.zone, wire.by)
+def _from_wire(wire: _WireUpdate) -> MemberUpdate:
+    return _validated_update(
+        wire.name, wire.address, wire.incarnation, wire.status, wire.zone, wire.suspected_by
+    )
 
 
-@functools.lru_cache(KNOWN)  # each member hears each rumour some tens of times
-def _checked(name: str, address: str, incarnation: int, status: int, zone: str, by: str) -> Rumour:
-    sizes = (name, NAME_BYTES), (zone, ZONE_BYTES), (by, NAME_BYTES)
+@functools.lru_cache(UPDATE_CACHE_SIZE)  # each member hears each rumour some tens of times
+def _validated_update(
+    name: str, address: str, incarnation: int, status: int, zone: str, by: str
+) -> MemberUpdate:
+    sizes = (name, MAX_NAME_BYTES), (zone, MAX_ZONE_BYTES), (by, MAX_NAME_BYTES)
     if any(len(text.encode()) > most for text, most in sizes):
         raise DatagramError("malformed", f"a name or zone is too long: {name!r:.40}")
     try:
         parse_address(address)
     except ValueError as error:
         raise DatagramError("malformed", str(error)) from None
-    return Rumour(name, address, incarnation, STATUSES[status], zone, by)
+    return MemberUpdate(name, address, incarnation, STATUS_BY_RANK[status], zone, by)
 
 
-def _to_wire(rumour: Rumour) -> _Rumour:
-    status = RANK[rumour.status]
-    return _Rumour(rumour.name, rumour.address, rumour.incarnation, status, rumour.zone, rumour.by)
+def _to_wire(rumour: MemberUpdate) -> _WireUpdate:
+    status = STATUS_RANK[rumour.status]
+    return _WireUpdate(
+        rumour.name, rumour.address, rumour.incarnation, status, rumour.zone, rumour.suspected_by
+    )
 
 
-def rumours_to_body(rumours: Iterable[Rumour]) -> list[Any]:
+def updates_to_body(rumours: Iterable[MemberUpdate]) -> list[Any]:
     """Rumours as plain lists, for a body of `calls`."""
-    return [[r.name, r.address, r.incarnation, RANK[r.status], r.zone, r.by] for r in rumours]
+    return [
+        [r.name, r.address, r.incarnation, STATUS_RANK[r.status], r.zone, r.suspected_by] for r in rumours
+    ]
 
 
-def rumours_from_body(body: Any) -> list[Rumour]:
+def updates_from_body(body: Any) -> list[MemberUpdate]:
     """The inverse. Raises DatagramError."""
     try:
-        return [_from_wire(wire) for wire in msgspec.convert(body, list[_Rumour])]
+        return [_from_wire(wire) for wire in msgspec.convert(body, list[_WireUpdate])]
     except msgspec.ValidationError as error:
         raise DatagramError("malformed", str(error)) from None
 
 
-def head_of(cluster: str) -> bytes:
+def datagram_header(cluster: str) -> bytes:
     name = cluster.encode()
-    if not 0 < len(name) <= CLUSTER_BYTES:
-        raise ValueError(f"a cluster's name has 1 to {CLUSTER_BYTES} bytes, not {len(name)}")
+    if not 0 < len(name) <= MAX_CLUSTER_BYTES:
+        raise ValueError(f"a cluster's name has 1 to {MAX_CLUSTER_BYTES} bytes, not {len(name)}")
     return bytes((VERSION, len(name))) + name
 
 
@@ -175,11 +183,11 @@
     sizes keeps within it); `decode` raises DatagramError alone."""
 
     def __init__(self, cluster: str) -> None:
-        self.head = head_of(cluster)
+        self.header = datagram_header(cluster)
 
     def encode(self, message: Message) -> bytes:
-        sender, rumours = _to_wire(message.sender), [_to_wire(r) for r in message.rumours]
-        wire: _Wire
+        sender, rumours = _to_wire(message.sender), [_to_wire(r) for r in message.updates]
+        wire: _WireMessage
         match message:
             case Ping():
                 wire = _Ping(message.seq, sender, message.target, rumours, message.suspect)
@@ -190,22 +198,22 @@
             case Nack():
                 wire = _Nack(message.seq, sender, rumours)
             case Push():
-                wire = _Push(sender, rumours, message.reply, message.more)
+                wire = _Push(sender, rumours, message.reply, message.truncated)
             case Join():
                 wire = _Join(sender, rumours)
             case Gossip():
                 wire = _Gossip(sender, rumours)
-        data = self.head + _encoder.encode(wire)
-        if len(data) > DATAGRAM_BYTES:
-            raise ValueError(f"{type(message).__name__} of {len(data)} bytes, over {DATAGRAM_BYTES}")
+        data = self.header + _encoder.encode(wire)
+        if len(data) > MAX_DATAGRAM_BYTES:
+            raise ValueError(f"{type(message).__name__} of {len(data)} bytes, over {MAX_DATAGRAM_BYTES}")
         return data
 
     def decode(self, data: bytes) -> Message:
-        if len(data) > DATAGRAM_BYTES:
+        if len(data) > MAX_DATAGRAM_BYTES:
             raise DatagramError("oversized", f"{len(data)} bytes")
         if not data or data[0] != VERSION:
             raise DatagramError("version", f"{data[:1].hex() or 'empty'}, not {VERSION:02x}")
-        head = self.head
+        head = self.header
         if len(data) < 2 or len(data) < 2 + data[1]:
             raise DatagramError("malformed", "ends within the cluster's name")
         if not data.startswith(head):
@@ -214,10 +222,10 @@
             wire = _decoder.decode(memoryview(data)[len(head) :])
         except (msgspec.DecodeError, ValueError, RecursionError) as error:
             raise DatagramError("malformed", f"{error!s:.120}") from None
-        sender, rumours = _from_wire(wire.sender), tuple(_from_wire(r) for r in wire.rumours)
+        sender, rumours = _from_wire(wire.sender), tuple(_from_wire(r) for r in wire.updates)
         match wire:
             case _Ping():
-                if len(wire.target.encode()) > NAME_BYTES:
+                if len(wire.target.encode()) > MAX_NAME_BYTES:
                     raise DatagramError("malformed", "the target's name is too long")
                 return Ping(wire.seq, sender, wire.target, rumours, wire.suspect)
             case _Ack():
@@ -227,7 +235,7 @@
             case _Nack():
                 return Nack(wire.seq, sender, rumours)
             case _Push():
-                return Push(sender, rumours, wire.reply, wire.more)
+                return Push(sender, rumours, wire.reply, wire.truncated)
             case _Join():
                 return Join(sender, rumours)
             case _Gossip():
--- a/cloverkeel/fleet/membership/command.py
+++ b/cloverkeel/fleet/membership/command.py
@@ -13,8 +13,8 @@
 from cloverkeel.config import load, parse_address
 from cloverkeel.errors import ConfigError
 
-ANSWER_S = 5.0  # for all of it
-ANSWER_BYTES = 8 * 1024 * 1024
+ANSWER_TIMEOUT_S = 5.0  # for all of it
+MAX_ANSWER_BYTES = 8 * 1024 * 1024
 COLUMNS = ("name", "zone", "address", "status", "incarnation", "heard_s", "relay")
 
 
@@ -25,13 +25,13 @@
 def run(operator: str | None, as_json: bool) -> int:
     """Exit code 0 with the table (or the JSON), 1 where the gateway gives none, 2 for a wrong address."""
     try:
-        address = address_of(operator)
+        address = operator_address(operator)
     except ConfigError as error:
         print(f"cloverkeel: {error}", file=sys.stderr)
         return 2
     try:
-        answer = fetch(*address)
-        lines = [json.dumps(answer)] if as_json else table(answer)
+        answer = fetch_members(*address)
+        lines = [json.dumps(answer)] if as_json else format_table(answer)
     except CommandError as error:
         print(f"cloverkeel: {address[0]}:{address[1]}: {error}", file=sys.stderr)
         return 1
@@ -39,7 +39,7 @@
     return 0
 
 
-def address_of(operator: str | None) -> tuple[str, int]:
+def operator_address(operator: str | None) -> tuple[str, int]:
     """The operators' address: as given, else $LB_OPERATOR, else of the file that $LB_CONFIG names. Raises
     ConfigError."""
     if operator is not None:
@@ -52,9 +52,9 @@
     return found
 
 
-def fetch(host: str, port: int) -> dict[str, Any]:
+def fetch_members(host: str, port: int) -> dict[str, Any]:
     """The gateway's answer, within ANSWER_S. Raises CommandError."""
-    status, body = ask(host, port, "GET", "/api/members")
+    status, body = request_operator(host, port, "GET", "/api/members")
     if status == 404:
         raise CommandError("this gateway has no cluster in its configuration")
     if status != 200:
@@ -70,8 +70,13 @@
     return dict(answer)
 
 
-def ask(
-    host: str, port: int, method: str, target: str, body: bytes | None = None, answer_s: float = ANSWER_S
+def request_operator(
+    host: str,
+    port: int,
+    method: str,
+    target: str,
+    body: bytes | None = None,
+    answer_s: float = ANSWER_TIMEOUT_S,
 ) -> tuple[int, bytes]:
     """A gateway's answer to its operators: status and body, all of it within `answer_s`. Raises
     CommandError."""
@@ -86,7 +91,7 @@
         headers = {"Content-Type": "application/octet-stream"} if body is not None else {}
         connection.request(method, target, body, headers)
         response = connection.getresponse()
-        return response.status, response.read(ANSWER_BYTES + 1)
+        return response.status, response.read(MAX_ANSWER_BYTES + 1)
     except (OSError, http.client.HTTPException) as error:
         raise CommandError(getattr(error, "strerror", None) or str(error) or repr(error)) from None
     finally:
@@ -95,11 +100,11 @@
         connection.close()
 
 
-def cell(value: object) -> str:
+def format_cell(value: object) -> str:
     return ("yes" if value else "-") if isinstance(value, bool) else str(value) or "-"
 
 
-def table(answer: dict[str, Any]) -> list[str]:
+def format_table(answer: dict[str, Any]) -> list[str]:
     """Lines to print: one on the cluster, a head, and one for each member."""
     rows = answer["members"]
     count = sum(row["status"] == "alive" for row in rows)
@@ -107,7 +112,7 @@
         f"cluster {answer['cluster']}: {len(rows)} members, {count} alive; "
         f"as {answer['name']} at {answer['address']} sees it (state: {answer['state']})"
     )
-    cells = [list(COLUMNS)] + [[cell(row[column]) for column in COLUMNS] for row in rows]
+    cells = [list(COLUMNS)] + [[format_cell(row[column]) for column in COLUMNS] for row in rows]
     widths = [max(len(row[n]) for row in cells) for n in range(len(COLUMNS))]
     return [first] + [
         "  ".join(c.ljust(w) for c, w in zip(row, widths, strict=True)).rstrip() for row in cells
--- a/cloverkeel/fleet/membership/feeds.py
+++ b/cloverkeel/fleet/membership/feeds.py
@@ -9,12 +9,12 @@
 
 from cloverkeel.fleet.membership.frames import FrameError, Stream
 
-BEAT_S = 0.25  # a heartbeat from the serving side so often
-SILENCE_S = 1.0  # a feed without a frame for so long has ended
-UNSENT_BYTES = 1024 * 1024  # a follower that leaves more than this unread is let go
-FLUSH_S = 2.0  # for a last answer to go out
+HEARTBEAT_S = 0.25  # a heartbeat from the serving side so often
+SILENCE_TIMEOUT_S = 1.0  # a feed without a frame for so long has ended
+MAX_UNSENT_BYTES = 1024 * 1024  # a follower that leaves more than this unread is let go
+FLUSH_TIMEOUT_S = 2.0  # for a last answer to go out
 
-BEAT, FEED, END, OK, ERROR = "beat", "feed", "end", "ok", "error"
+HEARTBEAT, FEED, END, OK, ERROR = "beat", "feed", "end", "ok", "error"
 
 
 class Feed:
@@ -31,8 +31,8 @@
         a follower that does not read end the feed."""
         self._write(FEED, body)
 
-    def beat(self) -> None:
-        self._write(BEAT, None)
+    def send_heartbeat(self) -> None:
+        self._write(HEARTBEAT, None)
 
     def _write(self, kind: str, body: Any) -> None:
         if self.closed:
@@ -42,15 +42,15 @@
         except FrameError as error:
             self.close(str(error))
             return
-        if self.stream.unsent > UNSENT_BYTES:
+        if self.stream.unsent_bytes > MAX_UNSENT_BYTES:
             self.stream.end("the follower does not read")
 
     def close(self, reason: str = "closed") -> None:
         if not self.closed:
             self.stream.write(END, reason)
-            self.stream.end(reason, FLUSH_S)
+            self.stream.end(reason, FLUSH_TIMEOUT_S)
 
-    def ended(self) -> None:
+    def on_stream_ended(self) -> None:
         """The stream has gone."""
         if not self.closed:
             self.closed = True
@@ -66,37 +66,39 @@
         self.on_body, self.on_end = on_body, on_end
         self.stream: Stream | None = None
         self.ended = False
-        self.on_over: Callable[[], None] | None = None  # ended, whichever side did it
+        self.on_finished: Callable[[], None] | None = None  # ended, whichever side did it
         self.timer: asyncio.TimerHandle | None = None
-        self.heard_s = self.checked_s = 0.0
+        self.last_frame_s = self.last_check_s = 0.0
 
-    def begin(self, stream: Stream) -> None:
+    def start(self, stream: Stream) -> None:
         """The request has gone out on a connection that stands."""
         self.stream = stream
         self.loop = asyncio.get_running_loop()
-        self.heard_s = self.checked_s = self.loop.time()
-        self.timer = self.loop.call_later(BEAT_S / 2, self._check)
+        self.last_frame_s = self.last_check_s = self.loop.time()
+        self.timer = self.loop.call_later(HEARTBEAT_S / 2, self._check_silence)
 
     def on_frame(self, kind: str, body: Any) -> None:
         if self.ended:
             return
-        self.heard_s = self.loop.time()
+        self.last_frame_s = self.loop.time()
         if kind == FEED:
             try:
                 self.on_body(body)
             except Exception as error:  # a body that its reader cannot take ends the feed, not the process
                 self._end(f"not understood: {error!r:.120}")
-        elif kind != BEAT:
+        elif kind != HEARTBEAT:
             self._end(f"{kind}: {body!s:.120}")
 
-    def _check(self) -> None:
+    def _check_silence(self) -> None:
         now_s = self.loop.time()
-        stalled = now_s - self.checked_s > 2 * BEAT_S  # this process stood still: what came is not read yet
-        self.checked_s = now_s
-        if not stalled and now_s - self.heard_s > SILENCE_S:
-            self._end(f"silent for {SILENCE_S:g} s")
+        stalled = (
+            now_s - self.last_check_s > 2 * HEARTBEAT_S
+        )  # this process stood still: what came is not read yet
+        self.last_check_s = now_s
+        if not stalled and now_s - self.last_frame_s > SILENCE_TIMEOUT_S:
+            self._end(f"silent for {SILENCE_TIMEOUT_S:g} s")
             return
-        self.timer = self.loop.call_later(BEAT_S / 2, self._check)
+        self.timer = self.loop.call_later(HEARTBEAT_S / 2, self._check_silence)
 
     def _end(self, reason: str) -> None:
         if self.ended:
@@ -106,7 +108,7 @@
         if begun:
             self.on_end(reason)
 
-    def on_lost(self, reason: str) -> None:
+    def on_stream_ended(self, reason: str) -> None:
         self._end(reason)
 
     def close(self) -> None:
@@ -118,5 +120,5 @@
             self.timer.cancel()
         if self.stream is not None:
             self.stream.end("closed")
-        if self.on_over is not None:
-            self.on_over()
+        if self.on_finished is not None:
+            self.on_finished()
--- a/cloverkeel/fleet/membership/frames.py
+++ b/cloverkeel/fleet/membership/frames.py
@@ -11,8 +11,8 @@
 import msgspec
 
 VERSION = 1
-FRAME_BYTES = 4 * 1024 * 1024  # of one frame, unless told otherwise
-REASONS = ("malformed", "oversized", "version", "cluster")  # why a frame is dropped
+MAX_FRAME_BYTES = 4 * 1024 * 1024  # of one frame, unless told otherwise
+DROP_REASONS = ("malformed", "oversized", "version", "cluster")  # why a frame is dropped
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[tuple[int, str, str, Any]] = msgspec.msgpack.Decoder(
@@ -28,11 +28,11 @@
         self.reason = reason
 
 
-class Frames:
+class FrameCodec:
     """Coding for one cluster, bounded in both directions."""
 
-    def __init__(self, cluster: str, most: int = FRAME_BYTES) -> None:
-        self.cluster, self.most = cluster, most
+    def __init__(self, cluster: str, most: int = MAX_FRAME_BYTES) -> None:
+        self.cluster, self.max_bytes = cluster, most
 
     def encode(self, kind: str, body: Any) -> bytes:
         """Raises FrameError for a body that is too long or that msgpack has no form for."""
@@ -40,18 +40,18 @@
             data = _encoder.encode((VERSION, self.cluster, kind, body))
         except (TypeError, ValueError, OverflowError, RecursionError) as error:
             raise FrameError("malformed", f"{error!s:.120}") from None
-        if len(data) > self.most:
-            raise FrameError("oversized", f"{len(data)} bytes, over {self.most}")
+        if len(data) > self.max_bytes:
+            raise FrameError("oversized", f"{len(data)} bytes, over {self.max_bytes}")
         return len(data).to_bytes(4, "big") + data
 
-    def take(self, held: bytearray) -> tuple[str, Any] | None:
+    def decode_next(self, held: bytearray) -> tuple[str, Any] | None:
         """The first whole frame's kind and body, taken off `held`; None: not whole yet. Raises FrameError as
         soon as what is there cannot become a frame."""
         if len(held) < 4:
             return None
         size = int.from_bytes(held[:4], "big")
-        if size > self.most:
-            raise FrameError("oversized", f"{size} bytes, over {self.most}")
+        if size > self.max_bytes:
+            raise FrameError("oversized", f"{size} bytes, over {self.max_bytes}")
         if len(held) < 4 + size:
             return None
         data = bytes(held[4 : 4 + size])
@@ -73,29 +73,29 @@
 
     def __init__(
         self,
-        frames: Frames,
+        frames: FrameCodec,
         on_frame: Callable[[str, Any], None],
         on_lost: Callable[[str], None],
         on_made: Callable[[], None] | None = None,
     ) -> None:
-        self.frames, self.on_frame, self.on_lost, self.on_made = frames, on_frame, on_lost, on_made
-        self.held = bytearray()
+        self.codec, self.on_frame, self.on_end, self.on_connected = frames, on_frame, on_lost, on_made
+        self.buffer = bytearray()
         self.transport: asyncio.Transport | None = None
-        self.lost = False
+        self.ended = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        if self.lost:
+        if self.ended:
             self.transport.abort()
-        elif self.on_made is not None:
-            self.on_made()
+        elif self.on_connected is not None:
+            self.on_connected()
 
     def data_received(self, data: bytes) -> None:
-        if self.lost:
+        if self.ended:
             return
-        self.held += data
+        self.buffer += data
         try:
-            while not self.lost and (frame := self.frames.take(self.held)) is not None:
+            while not self.ended and (frame := self.codec.decode_next(self.buffer)) is not None:
                 self.on_frame(*frame)
         except FrameError as error:
             self.end(str(error))
@@ -105,25 +105,25 @@
 
     def write(self, kind: str, body: Any) -> None:
         """Raises FrameError for a body that no frame holds."""
-        data = self.frames.encode(kind, body)
-        if self.transport is not None and not self.lost:
+        data = self.codec.encode(kind, body)
+        if self.transport is not None and not self.ended:
             self.transport.write(data)
 
     @property
-    def unsent(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes that the peer has not taken yet."""
-        return self.transport.get_write_buffer_size() if self.transport is not None and not self.lost else 0
+        return self.transport.get_write_buffer_size() if self.transport is not None and not self.ended else 0
 
     def end(self, reason: str, flush_s: float = 0.0) -> None:
         """Close; with `flush_s` what is unsent may still go out for so long."""
-        if self.lost:
+        if self.ended:
             return
-        self.lost = True
-        self.held.clear()
+        self.ended = True
+        self.buffer.clear()
         if self.transport is not None:
             if flush_s > 0:
                 self.transport.close()
                 asyncio.get_running_loop().call_later(flush_s, self.transport.abort)
             else:
                 self.transport.abort()
-        self.on_lost(reason)
+        self.on_end(reason)
--- a/cloverkeel/fleet/membership/gossip.py
+++ b/cloverkeel/fleet/membership/gossip.py
@@ -14,10 +14,10 @@
 from cloverkeel.fleet.membership.member import Member
 from cloverkeel.fleet.membership.messages import Action, Message, Ping, PingReq, Send
 
-LOG_S = 1.0  # a line on dropped datagrams at most so often
+DROP_LOG_INTERVAL_S = 1.0  # a line on dropped datagrams at most so often
 
 
-class Gossip(asyncio.DatagramProtocol):
+class GossipTransport(asyncio.DatagramProtocol):
     """Carries one core at a time on one socket. `on_action` is given every action but Send; `heard` has when
     each member last spoke, by the loop's clock."""
 
@@ -26,12 +26,12 @@
         self.member: Member | None = None
         self.transport: asyncio.DatagramTransport | None = None
         self.counts: Counter[str] = Counter()
-        self.heard: dict[str, float] = {}
+        self.last_heard_s: dict[str, float] = {}
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
-        self.logged_s = -LOG_S
-        self.unlogged = 0
-        self.ears: list[asyncio.BaseTransport] = []
+        self.last_drop_log_s = -DROP_LOG_INTERVAL_S
+        self.drops_since_log = 0
+        self.extra_transports: list[asyncio.BaseTransport] = []
 
     async def open(self, sock: socket.socket) -> None:
         """Take a bound UDP socket. Raises OSError."""
@@ -40,40 +40,40 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
-    async def open_too(self, sock: socket.socket) -> None:
+    async def open_extra(self, sock: socket.socket) -> None:
         """Hear datagrams at another socket as well; answers go out by the first. Raises OSError."""
-        transport, _ = await self.loop.create_datagram_endpoint(lambda: _Ear(self), sock=sock)
-        self.ears.append(transport)
+        transport, _ = await self.loop.create_datagram_endpoint(lambda: _ExtraSocketProtocol(self), sock=sock)
+        self.extra_transports.append(transport)
 
-    def run(self, member: Member) -> None:
+    def run_member(self, member: Member) -> None:
         """Begin with a core (a new one in place of the one before)."""
         self.member = member
         timing = member.timing
         self.tick_s = min(timing.probe_interval_s, timing.probe_timeout_s) / 4
-        self.carry(member.start(self.loop.time()))
+        self.perform(member.start(self.loop.time()))
         if self.timer is None:
-            self.due_s = self.loop.time() + self.tick_s
+            self.next_tick_s = self.loop.time() + self.tick_s
             self.timer = self.loop.call_later(self.tick_s, self.tick)
 
     def tick(self) -> None:
         now_s = self.loop.time()
-        late_s = now_s - self.due_s
-        self.due_s = now_s + self.tick_s
+        late_s = now_s - self.next_tick_s
+        self.next_tick_s = now_s + self.tick_s
         self.timer = self.loop.call_later(self.tick_s, self.tick)
         member = self.member
         if member is None:
             return
         if late_s > 2 * self.tick_s:  # what came meanwhile is read after this turn of the loop, or before it
             self.counts["stalls"] += 1
-            member.stalled(late_s)
-        self.guarded(lambda: member.tick(now_s))
+            member.on_stall(late_s)
+        self.run_step(lambda: member.tick(now_s))
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         self.counts["datagrams_in"] += 1
         try:
             message = self.codec.decode(data)
         except DatagramError as error:
-            self.dropped(error.reason, f"{addr[0]}:{addr[1]}", str(error))
+            self.record_drop(error.reason, f"{addr[0]}:{addr[1]}", str(error))
             return
         self.receive(message)
 
@@ -82,24 +82,24 @@
         member = self.member
         if member is not None:
             now_s = self.loop.time()
-            self.guarded(lambda: member.receive(message, now_s))
+            self.run_step(lambda: member.receive(message, now_s))
             if message.sender.name in member.view.members:
-                self.heard[message.sender.name] = now_s
+                self.last_heard_s[message.sender.name] = now_s
 
-    def forget(self, names: Container[str]) -> None:
+    def retain_members(self, names: Container[str]) -> None:
         """Of members that are known no more nothing is kept."""
-        self.heard = {name: at_s for name, at_s in self.heard.items() if name in names}
+        self.last_heard_s = {name: at_s for name, at_s in self.last_heard_s.items() if name in names}
 
-    def guarded(self, step: Callable[[], list[Action]]) -> None:
+    def run_step(self, step: Callable[[], list[Action]]) -> None:
         """One step of the core; an error in it is a fault of this program, told while the member goes on."""
         try:
             actions = step()
         except Exception:
-            self.dropped("failed", "", traceback.format_exc(limit=-3))
+            self.record_drop("failed", "", traceback.format_exc(limit=-3))
             return
-        self.carry(actions)
+        self.perform(actions)
 
-    def carry(self, actions: list[Action]) -> None:
+    def perform(self, actions: list[Action]) -> None:
         for action in actions:
             if isinstance(action, Send):
                 self.send(action)
@@ -107,7 +107,7 @@
             try:
                 self.on_action(action)
             except Exception:  # a listener's: the other actions are not its to stop
-                self.dropped("failed", "", traceback.format_exc(limit=-3))
+                self.record_drop("failed", "", traceback.format_exc(limit=-3))
 
     def send(self, action: Send) -> None:
         message = action.message
@@ -121,30 +121,36 @@
                 self.transport.sendto(data, parse_address(action.address))
                 self.counts["datagrams_out"] += 1
         except (ValueError, OSError) as error:
-            self.dropped("unsendable", action.address, str(error))
+            self.record_drop("unsendable", action.address, str(error))
 
     def error_received(self, exc: Exception) -> None:
         self.counts["send_errors"] += 1
 
-    def dropped(self, reason: str, source: str, detail: str) -> None:
+    def record_drop(self, reason: str, source: str, detail: str) -> None:
         self.counts[f"dropped_{reason}"] += 1
-        self.unlogged += 1
+        self.drops_since_log += 1
         now_s = self.loop.time()
-        if now_s - self.logged_s >= LOG_S:
-            event("members.dropped", reason=reason, source=source, detail=detail, since_last=self.unlogged)
-            self.logged_s, self.unlogged = now_s, 0
+        if now_s - self.last_drop_log_s >= DROP_LOG_INTERVAL_S:
+            event(
+                "members.dropped",
+                reason=reason,
+                source=source,
+                detail=detail,
+                since_last=self.drops_since_log,
+            )
+            self.last_drop_log_s, self.drops_since_log = now_s, 0
 
     def close(self) -> None:
         self.member = None
         if self.timer is not None:
             self.timer.cancel()
-        for transport in (self.transport, *self.ears):
+        for transport in (self.transport, *self.extra_transports):
             if transport is not None:
                 transport.close()
 
 
-class _Ear(asyncio.DatagramProtocol):
+class _ExtraSocketProtocol(asyncio.DatagramProtocol):
     """A second socket of one member."""
 
-    def __init__(self, gossip: Gossip) -> None:
+    def __init__(self, gossip: GossipTransport) -> None:
         self.datagram_received = gossip.datagram_received  # type: ignore[method-assign]
--- a/cloverkeel/fleet/membership/health.py
+++ b/cloverkeel/fleet/membership/health.py
@@ -34,18 +34,18 @@
     and waits longer before it suspects others.
     """
 
-    most: int = 8
+    max_score: int = 8
     score: int = 0
 
-    def worse(self) -> None:
+    def degrade(self) -> None:
         """A probe of ours failed and nothing tells that the fault is not ours, we stood still for a probe
         period, or we had to refute a suspicion of ourselves."""
-        self.score = min(self.most, self.score + 1)
+        self.score = min(self.max_score, self.score + 1)
 
-    def better(self) -> None:
+    def improve(self) -> None:
         """A probe of ours was answered."""
         self.score = max(0, self.score - 1)
 
     @property
-    def scale(self) -> int:
+    def multiplier(self) -> int:
         return self.score + 1
--- a/cloverkeel/fleet/membership/member.py
+++ b/cloverkeel/fleet/membership/member.py
@@ -14,9 +14,9 @@
 from cloverkeel.fleet.membership.messages import (
     Ack,
     Action,
-    Alone,
-    Changed,
-    Exchange,
+    NoSeedAnswered,
+    MemberChanged,
+    ExchangeViews,
     Gossip,
     Join,
     Message,
@@ -24,15 +24,15 @@
     Ping,
     PingReq,
     Push,
-    Refused,
+    NameConflict,
     Send,
     Timing,
 )
 from cloverkeel.fleet.membership.probe import ProbeCycle
-from cloverkeel.fleet.membership.roster import PRESENT, Roster
-from cloverkeel.fleet.membership.rumours import Rumour, Status, View
+from cloverkeel.fleet.membership.roster import LIVE_STATUSES, Roster
+from cloverkeel.fleet.membership.updates import MemberUpdate, Status, View
 
-MOST_OUTRANKED = 4  # times that a successor raises its incarnation above its older self's
+MAX_OUTRANKS = 4  # times that a successor raises its incarnation above its older self's
 
 
 class Member:
@@ -47,7 +47,7 @@
 
     def __init__(
         self,
-        me: Rumour,
+        me: MemberUpdate,
         timing: Timing,
         seeds: tuple[str, ...] = (),
         take_over: bool = False,
@@ -61,15 +61,17 @@
         self.roster = Roster(me, timing, self.rng)
         self.cycle = ProbeCycle(self.roster)
         self.joining_until_s: float | None = None
-        self.met = False  # another member has been heard since the join: the name is this one's
+        self.name_confirmed = False  # another member has been heard since the join: the name is this one's
         self.refused = False
-        self.older = set(older)  # where the processes are heard that this one takes over from
-        self.outranked = 0  # how often it had to outrank them
-        self.next_push_s = self.next_ask_s = self.next_gossip_s = 0.0
-        self.ask_gap_s = timing.probe_interval_s  # between two calls to the seeds while nobody is known
+        self.older_addresses = set(older)  # where the processes are heard that this one takes over from
+        self.outrank_count = 0  # how often it had to outrank them
+        self.next_push_s = self.next_seed_contact_s = self.next_gossip_s = 0.0
+        self.seed_contact_interval_s = (
+            timing.probe_interval_s
+        )  # between two calls to the seeds while nobody is known
 
     @property
-    def me(self) -> Rumour:
+    def me(self) -> MemberUpdate:
         return self.roster.me
 
     @property
@@ -80,7 +82,7 @@
     def left(self) -> bool:
         return self.me.status is Status.LEFT
 
-    def members(self) -> dict[str, Rumour]:
+    def members(self) -> dict[str, MemberUpdate]:
         """Every member this one knows, itself included: name to rumour."""
         return self.roster.members()
 
@@ -92,13 +94,13 @@
         if not self.seeds:
             return []
         self.joining_until_s = now_s + self.timing.join_wait_s
-        return self._ask_seeds(now_s)
+        return self._contact_seeds(now_s)
 
-    def _ask_seeds(self, now_s: float) -> list[Action]:
+    def _contact_seeds(self, now_s: float) -> list[Action]:
         """While joining, again each probe interval; once alone, at gaps that double up to `push_pull_s`."""
         if self.joining_until_s is None:
-            self.ask_gap_s = min(2 * self.ask_gap_s, self.timing.push_pull_s)
-        self.next_ask_s = now_s + self.ask_gap_s
+            self.seed_contact_interval_s = min(2 * self.seed_contact_interval_s, self.timing.push_pull_s)
+        self.next_seed_contact_s = now_s + self.seed_contact_interval_s
         if self.joining_until_s is not None:
             return [Send(seed, Join(self.me)) for seed in self.seeds]
         return [Send(seed, Push(self.me, (self.me,), reply=True)) for seed in self.seeds]
@@ -108,50 +110,50 @@
         if self.refused or self.left:
             return []
         self.view.me = replace(self.me, status=Status.LEFT)
-        return [Send(r.address, Push(self.me, (self.me,))) for r in self.roster.live()]
+        return [Send(r.address, Push(self.me, (self.me,))) for r in self.roster.live_others()]
 
-    def _learn(self, rumour: Rumour, now_s: float, source: str) -> list[Action]:
+    def _apply_update(self, rumour: MemberUpdate, now_s: float, source: str) -> list[Action]:
         if rumour.name == self.me.name:
-            return self._about_me(rumour, source)
-        return self.roster.learn(rumour, now_s, source)
+            return self._handle_own_update(rumour, source)
+        return self.roster.apply_update(rumour, now_s, source)
 
-    def _about_me(self, rumour: Rumour, source: str) -> list[Action]:
+    def _handle_own_update(self, rumour: MemberUpdate, source: str) -> list[Action]:
         if self.left or self.refused:
             return []
         # Until another is met the name is but a claim; one that claims it by itself later is a successor.
-        claims = self.joining_until_s is not None or not (self.met or source == self.me.name)
+        claims = self.joining_until_s is not None or not (self.name_confirmed or source == self.me.name)
         # Who is suspected there at no higher incarnation is no successor, but a claim that went.
         went = not claims and rumour.status is Status.SUSPECT and rumour.incarnation <= self.me.incarnation
-        if rumour.address != self.me.address and rumour.status in PRESENT and not went:
-            if self._follows(rumour, claims):  # our older self, in an upgrade: outrank it
-                self.older.add(rumour.address)
-                if not claims and rumour.order < self.me.order:
+        if rumour.address != self.me.address and rumour.status in LIVE_STATUSES and not went:
+            if self._is_successor_of(rumour, claims):  # our older self, in an upgrade: outrank it
+                self.older_addresses.add(rumour.address)
+                if not claims and rumour.precedence < self.me.precedence:
                     return []
                 # In leaps, each four times the last: where news is slow the older one goes on refuting.
-                incarnation = max(self.me.incarnation, rumour.incarnation + 4**self.outranked)
-                self.outranked += 1
+                incarnation = max(self.me.incarnation, rumour.incarnation + 4**self.outrank_count)
+                self.outrank_count += 1
                 self.view.me = replace(self.me, incarnation=incarnation)
                 self.roster.broadcasts.add(self.me)
                 return []
-            if not claims and rumour.order < self.me.order:
+            if not claims and rumour.precedence < self.me.precedence:
                 return []
             self.refused = True
-            return [Refused(rumour, joining=claims)]
+            return [NameConflict(rumour, joining=claims)]
         before = self.me
         if self.view.merge(rumour) is None:
             return []
         if rumour.status is not Status.ALIVE:
-            self.roster.health.worse()
+            self.roster.health.degrade()
         self.roster.broadcasts.add(self.me)
-        return [Changed(self.me, before, f"refuted {rumour.status.value} at {rumour.incarnation}")]
+        return [MemberChanged(self.me, before, f"refuted {rumour.status.value} at {rumour.incarnation}")]
 
-    def _follows(self, rumour: Rumour, claims: bool) -> bool:
+    def _is_successor_of(self, rumour: MemberUpdate, claims: bool) -> bool:
         """Whether `rumour` is of a process that this one takes over from: it refutes what is said of it until
         it hears of this one. Who comes after the join from another address is its own successor, though this
         one may have found nobody to follow (the first process on an inherited socket). Bounded, so that two
         that each follow the other do not go on for ever."""
-        older = claims or rumour.address in self.older
-        return self.take_over and older and self.outranked < MOST_OUTRANKED
+        older = claims or rumour.address in self.older_addresses
+        return self.take_over and older and self.outrank_count < MAX_OUTRANKS
 
     def receive(self, message: Message, now_s: float) -> list[Action]:
         """Take one message; what it says of members is merged, then it is answered as SWIM says."""
@@ -159,26 +161,28 @@
             return []
         sender, roster = message.sender, self.roster
         if isinstance(message, Join):
-            return roster.push_to(sender.address, reply=False, first=sender.name)
+            return roster.push_view_to(sender.address, reply=False, first=sender.name)
         actions: list[Action] = []
         incarnation = self.me.incarnation
-        for rumour in (*message.rumours, sender):  # a view's answer to our join is judged before we join
+        for rumour in (*message.updates, sender):  # a view's answer to our join is judged before we join
             if isinstance(message, Push):
-                if roster.forgotten(rumour):
+                if roster.is_reaped(rumour):
                     continue
-                rumour = roster.doubted(rumour)
-            actions += self._learn(rumour, now_s, sender.name)
+                rumour = roster.death_as_suspicion(rumour)
+            actions += self._apply_update(rumour, now_s, sender.name)
             if self.refused:
                 return actions
         if sender.name != self.me.name and (isinstance(message, Push) or self.joining_until_s is None):
-            self.joining_until_s, self.met = None, True
+            self.joining_until_s, self.name_confirmed = None, True
         if isinstance(message, Ping):
             if message.target == self.me.name:
                 if message.suspect and self.me.incarnation == incarnation:  # not yet refuted above
-                    actions += self._about_me(replace(self.me, status=Status.SUSPECT), sender.name)
-                gone = roster.held_gone(sender)  # it hears so, and refutes it; nobody else is told
+                    actions += self._handle_own_update(replace(self.me, status=Status.SUSPECT), sender.name)
+                gone = roster.gone_update_of(sender)  # it hears so, and refutes it; nobody else is told
                 told = (gone,) if gone is not None else ()
-                ack = roster.send(sender.address, lambda r: Ack(message.seq, self.me, told + r), gone)
+                ack = roster.send_with_updates(
+                    sender.address, lambda r: Ack(message.seq, self.me, told + r), gone
+                )
                 actions.append(ack)
         elif isinstance(message, Ack):
             actions += self.cycle.on_ack(message)
@@ -187,9 +191,9 @@
         elif isinstance(message, Nack):
             self.cycle.on_nack(message)
         elif isinstance(message, Push) and message.reply:
-            actions += roster.push_to(sender.address, reply=False)
-        elif isinstance(message, Push) and message.more:
-            actions.append(Exchange(sender.address))
+            actions += roster.push_view_to(sender.address, reply=False)
+        elif isinstance(message, Push) and message.truncated:
+            actions.append(ExchangeViews(sender.address))
         return actions
 
     def tick(self, now_s: float) -> list[Action]:
@@ -199,20 +203,22 @@
         actions: list[Action] = []
         if self.joining_until_s is not None and now_s >= self.joining_until_s:
             self.joining_until_s = None
-            if not self.roster.live():
-                actions.append(Alone(self.seeds))
+            if not self.roster.live_others():
+                actions.append(NoSeedAnswered(self.seeds))
         actions += self.cycle.step(now_s)
-        actions += self.roster.end_suspicions(now_s)
-        actions += self.cycle.end_relays(now_s)
-        if not self.roster.live():
-            if now_s >= self.next_ask_s:
-                actions += self._ask_seeds(now_s) + self._look_for_the_gone(())
+        actions += self.roster.expire_suspicions(now_s)
+        actions += self.cycle.expire_indirect_pings(now_s)
+        if not self.roster.live_others():
+            if now_s >= self.next_seed_contact_s:
+                actions += self._contact_seeds(now_s) + self._push_to_lost_member(())
         elif now_s >= self.next_push_s:
             self.next_push_s = now_s + self.timing.push_pull_s
-            self.ask_gap_s = self.timing.probe_interval_s
-            actions += self.roster.push_to(self.rng.choice(self.roster.live()).address, reply=True)
-            actions += self._look_for_the_gone(self.seeds)
-        if self.roster.broadcasts.waiting and now_s >= self.next_gossip_s:
+            self.seed_contact_interval_s = self.timing.probe_interval_s
+            actions += self.roster.push_view_to(
+                self.rng.choice(self.roster.live_others()).address, reply=True
+            )
+            actions += self._push_to_lost_member(self.seeds)
+        if self.roster.broadcasts.queued and now_s >= self.next_gossip_s:
             self.next_gossip_s = now_s + self.timing.gossip_interval_s
             actions += self._gossip()
         self.roster.reap(now_s)
@@ -220,30 +226,32 @@
 
     def _gossip(self) -> list[Action]:
         """What waits to be passed on, to a few members chosen at random."""
-        live = self.roster.live()
+        live = self.roster.live_others()
         chosen = self.rng.sample(live, min(self.timing.gossip_fanout, len(live)))
-        sends = [self.roster.send(r.address, lambda riders: Gossip(self.me, riders)) for r in chosen]
-        return [s for s in sends if s.message.rumours]
+        sends = [
+            self.roster.send_with_updates(r.address, lambda riders: Gossip(self.me, riders)) for r in chosen
+        ]
+        return [s for s in sends if s.message.updates]
 
-    def _look_for_the_gone(self, seeds: tuple[str, ...]) -> list[Action]:
+    def _push_to_lost_member(self, seeds: tuple[str, ...]) -> list[Action]:
         """A view to one that is dead here, or to one of `seeds` that is not known, so that what a partition
         has parted meets again."""
-        live = {r.address for r in self.roster.live()}
+        live = {r.address for r in self.roster.live_others()}
         dead = [r.address for r in self.view.members.values() if r.status is Status.DEAD]
         gone = dead + [seed for seed in seeds if seed not in live]
         if not gone:
             return []
         address = self.rng.choice(gone)
         held = tuple(r for r in self.view.members.values() if r.address == address)
-        pushes = self.roster.push_to(address, reply=True)
+        pushes = self.roster.push_view_to(address, reply=True)
         return pushes if isinstance(pushes[0], Send) else [Send(address, Push(self.me, held, reply=True))]
 
-    def stalled(self, for_s: float) -> None:
+    def on_stall(self, for_s: float) -> None:
         """This process stood still for so long: nobody's silence meanwhile is held against them, and each
         whole probe period of it counts against this member's own health."""
-        for _ in range(min(self.roster.health.most, int(for_s / self.timing.probe_interval_s))):
-            self.roster.health.worse()
-        self.cycle.put_off(for_s)
-        self.roster.put_off(for_s)
+        for _ in range(min(self.roster.health.max_score, int(for_s / self.timing.probe_interval_s))):
+            self.roster.health.degrade()
+        self.cycle.postpone(for_s)
+        self.roster.postpone(for_s)
         if self.joining_until_s is not None:
             self.joining_until_s += for_s
--- a/cloverkeel/fleet/membership/messages.py
+++ b/cloverkeel/fleet/membership/messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from cloverkeel.fleet.membership.rumours import Rumour
+from cloverkeel.fleet.membership.updates import MemberUpdate
 
 
 # Structs of msgspec are made some ten times as fast as dataclasses, and a start under load pays for each.
@@ -30,54 +30,54 @@
 # never heard of the sender can answer it, and the rumours that ride on it.
 class Ping(msgspec.Struct, frozen=True):
     seq: int
-    sender: Rumour
+    sender: MemberUpdate
     target: str
-    rumours: tuple[Rumour, ...] = ()
+    updates: tuple[MemberUpdate, ...] = ()
     suspect: bool = False  # Lifeguard's buddy system: the sender holds the target suspect
 
 
 class Ack(msgspec.Struct, frozen=True):
     seq: int
-    sender: Rumour
-    rumours: tuple[Rumour, ...] = ()
+    sender: MemberUpdate
+    updates: tuple[MemberUpdate, ...] = ()
 
 
 class PingReq(msgspec.Struct, frozen=True):
     seq: int
-    sender: Rumour
-    target: Rumour
-    rumours: tuple[Rumour, ...] = ()
+    sender: MemberUpdate
+    target: MemberUpdate
+    updates: tuple[MemberUpdate, ...] = ()
 
 
 class Nack(msgspec.Struct, frozen=True):
     seq: int
-    sender: Rumour
-    rumours: tuple[Rumour, ...] = ()
+    sender: MemberUpdate
+    updates: tuple[MemberUpdate, ...] = ()
 
 
 class Push(msgspec.Struct, frozen=True):
     """A whole view, or a part of it where it does not fit one datagram; `reply` asks for the other's, `more`
     says that the rest is to be had over a stream."""
 
-    sender: Rumour
-    rumours: tuple[Rumour, ...] = ()
+    sender: MemberUpdate
+    updates: tuple[MemberUpdate, ...] = ()
     reply: bool = False
-    more: bool = False
+    truncated: bool = False
 
 
 class Join(msgspec.Struct, frozen=True):
     """A joining member asks for a view before it says it is there: its own rumour is not merged, so that a
     name already held elsewhere is found out (and refused) before the claim spreads."""
 
-    sender: Rumour
-    rumours: tuple[Rumour, ...] = ()
+    sender: MemberUpdate
+    updates: tuple[MemberUpdate, ...] = ()
 
 
 class Gossip(msgspec.Struct, frozen=True):
     """Rumours alone, between probes, while there are any to pass on."""
 
-    sender: Rumour
-    rumours: tuple[Rumour, ...] = ()
+    sender: MemberUpdate
+    updates: tuple[MemberUpdate, ...] = ()
 
 
 Message = Ping | Ack | PingReq | Nack | Push | Join | Gossip
@@ -89,49 +89,49 @@
     message: Message
 
 
-class Changed(msgspec.Struct, frozen=True):
+class MemberChanged(msgspec.Struct, frozen=True):
     """This member's view of `rumour.name` changed; `before` is what it held (None: not known)."""
 
-    rumour: Rumour
-    before: Rumour | None
+    update: MemberUpdate
+    previous: MemberUpdate | None
     reason: str
 
 
-class Refused(msgspec.Struct, frozen=True):
+class NameConflict(msgspec.Struct, frozen=True):
     """Another process holds this member's name; `by` is what was heard of it. `joining` says whether this
     member was refused at its join (the name is taken) or taken over later (its successor of an upgrade, or
     another process that was let take it over); either way it says nothing more."""
 
-    by: Rumour
+    holder: MemberUpdate
     joining: bool
 
 
-class Alone(msgspec.Struct, frozen=True):
+class NoSeedAnswered(msgspec.Struct, frozen=True):
     """No seed answered within the join wait: the member runs alone and keeps asking its seeds."""
 
     seeds: tuple[str, ...]
 
 
-class Exchange(msgspec.Struct, frozen=True):
+class ExchangeViews(msgspec.Struct, frozen=True):
     """Swap whole views with the member at `address` over a stream: they are too large for datagrams."""
 
     address: str
 
 
-Action = Send | Changed | Refused | Alone | Exchange
+Action = Send | MemberChanged | NameConflict | NoSeedAnswered | ExchangeViews
 
 # Sizes, by the codec's coding (`codec`): never below what is really sent.
-DATAGRAM_BYTES = 1_400
-MOST_DATAGRAMS = 10  # for one view; a larger one goes over a stream
-CLUSTER_BYTES = 64  # a cluster's name, at most
-MESSAGE_BYTES = 2 + CLUSTER_BYTES + 17  # version, name, array, kind, seq, rumours' array, flags
-RUMOUR_BYTES = 19  # the framing of one rumour's six fields
+MAX_DATAGRAM_BYTES = 1_400
+MAX_VIEW_DATAGRAMS = 10  # for one view; a larger one goes over a stream
+MAX_CLUSTER_BYTES = 64  # a cluster's name, at most
+MESSAGE_OVERHEAD_BYTES = 2 + MAX_CLUSTER_BYTES + 17  # version, name, array, kind, seq, rumours' array, flags
+UPDATE_OVERHEAD_BYTES = 19  # the framing of one rumour's six fields
 
 
-def rumour_bytes(rumour: Rumour) -> int:
-    return _bytes_of(rumour.name, rumour.address, rumour.zone, rumour.by)
+def update_bytes(rumour: MemberUpdate) -> int:
+    return _encoded_bytes(rumour.name, rumour.address, rumour.zone, rumour.suspected_by)
 
 
 @functools.lru_cache(1_024)  # asked for every rumour that waits, at each message that goes out
-def _bytes_of(*texts: str) -> int:
-    return RUMOUR_BYTES + len("".join(texts).encode())
+def _encoded_bytes(*texts: str) -> int:
+    return UPDATE_OVERHEAD_BYTES + len("".join(texts).encode())
--- a/cloverkeel/fleet/membership/rumours.py
+++ b/cloverkeel/fleet/membership/updates.py
@@ -17,11 +17,11 @@
 
 
 # At one incarnation a later state beats an earlier one; a graceful leave tells more than a death.
-RANK = {Status.ALIVE: 0, Status.SUSPECT: 1, Status.DEAD: 2, Status.LEFT: 3}
+STATUS_RANK = {Status.ALIVE: 0, Status.SUSPECT: 1, Status.DEAD: 2, Status.LEFT: 3}
 
 
 @dataclass(slots=True, frozen=True)
-class Rumour:
+class MemberUpdate:
     """What one member says of another, or of itself: its name, where it is heard, incarnation, state
     and zone."""
 
@@ -30,21 +30,21 @@
     incarnation: int
     status: Status
     zone: str = ""  # where it runs; told with the rest, no part of the order
-    by: str = field(default="", compare=False)  # of a suspicion: who holds it, whoever passed it on
+    suspected_by: str = field(default="", compare=False)  # of a suspicion: who holds it, whoever passed it on
 
     @property
-    def order(self) -> tuple[int, int, str]:
+    def precedence(self) -> tuple[int, int, str]:
         """A total order: two processes that claim one name at one incarnation are told apart by address."""
-        return self.incarnation, RANK[self.status], self.address
+        return self.incarnation, STATUS_RANK[self.status], self.address
 
 
-def supersedes(new: Rumour, old: Rumour | None) -> bool:
+def supersedes(new: MemberUpdate, old: MemberUpdate | None) -> bool:
     """Whether `new` replaces `old`: a higher incarnation always; at the same one, a later state (`RANK`).
 
     A member that starts again comes back with a higher incarnation than any its old self had, so that its
     old death does not outlive it.
     """
-    return old is None or new.order > old.order
+    return old is None or new.precedence > old.precedence
 
 
 @dataclass(slots=True)
@@ -52,10 +52,10 @@
     """One member's view of all: the newest rumour of each name. `merge` is commutative and idempotent, so
     that views that heard the same rumours in any order, or twice, end alike."""
 
-    me: Rumour
-    members: dict[str, Rumour] = field(default_factory=dict)
+    me: MemberUpdate
+    members: dict[str, MemberUpdate] = field(default_factory=dict)
 
-    def merge(self, rumour: Rumour) -> Rumour | None:
+    def merge(self, rumour: MemberUpdate) -> MemberUpdate | None:
         """Take a rumour; returns what this view now says where it changed, else None. A rumour that this
         member is suspect, dead or gone at its present incarnation is refuted: it is alive at the next. So is
         any of a higher one, which is of an older self: what this member says must outrank it."""
--- a/cloverkeel/fleet/needs.py
+++ b/cloverkeel/fleet/needs.py
@@ -20,7 +20,7 @@
     return sizes
 
 
-def fault(config: Config) -> str:
+def missing_requirement(config: Config) -> str:
     """Why the parts cannot be had, in one line; "": they can."""
     sizes = ledger_sizes(config)
     lacking = "a cluster" if config.cluster is None else "" if config.state.directory else "a state_dir"
--- a/cloverkeel/fleet/asking.py
+++ b/cloverkeel/fleet/operator_commands.py
@@ -10,32 +10,32 @@
 from typing import Any
 
 from cloverkeel.errors import ConfigError
-from cloverkeel.fleet.membership.command import CommandError, address_of, ask
-from cloverkeel.operator import POST_LIMIT, POST_S
+from cloverkeel.fleet.membership.command import CommandError, operator_address, request_operator
+from cloverkeel.operator import POST_LIMIT, HANDLER_TIMEOUT_S
 
 LEVELS = ("local", "quorum", "all")
 Address = tuple[str, int]
-Run = Callable[[Address, argparse.Namespace], int]  # gives the exit code
+RunCommand = Callable[[Address, argparse.Namespace], int]  # gives the exit code
 
 
-def add_operator(verb: argparse.ArgumentParser, run: Run) -> None:
+def add_operator_option(verb: argparse.ArgumentParser, run: RunCommand) -> None:
     """Give a verb `--operator`, and have `run` carry it out."""
     verb.add_argument(
         "--operator", metavar="HOST:PORT", help="a gateway's operators' address (else $LB_OPERATOR)"
     )
-    verb.set_defaults(run=lambda arguments: guarded(run, arguments))
+    verb.set_defaults(run=lambda arguments: run_command(run, arguments))
 
 
-def add_wait(verb: argparse.ArgumentParser) -> None:
+def add_wait_option(verb: argparse.ArgumentParser) -> None:
     verb.add_argument(
         "--wait", choices=LEVELS, default="quorum", help="members that hold it first (default quorum)"
     )
 
 
-def guarded(run: Run, arguments: argparse.Namespace) -> int:
+def run_command(run: RunCommand, arguments: argparse.Namespace) -> int:
     """0: done; 1: refused, or kept and not confirmed; 2: the address or a file cannot be used."""
     try:
-        address = address_of(arguments.operator)
+        address = operator_address(arguments.operator)
     except ConfigError as error:
         print(f"cloverkeel: {error}", file=sys.stderr)
         return 2
@@ -58,11 +58,11 @@
     return source
 
 
-def call(address: Address, target: str, body: bytes | None = None, *, lacks: str) -> dict[str, Any]:
+def request_json(address: Address, target: str, body: bytes | None = None, *, lacks: str) -> dict[str, Any]:
     """The gateway's answer to GET, or to POST of a body. `lacks`: the key that a gateway without this call
     lacks in its configuration. Raises CommandError."""
     method = "GET" if body is None else "POST"
-    status, found = ask(*address, method, target, body, POST_S + 2.0)
+    status, found = request_operator(*address, method, target, body, HANDLER_TIMEOUT_S + 2.0)
     if status == 404:
         raise CommandError(f"this gateway has no {lacks} in its configuration")
     if status not in (200, 202):
--- a/cloverkeel/fleet/rollout/command.py
+++ b/cloverkeel/fleet/rollout/command.py
@@ -8,7 +8,7 @@
 from typing import Any
 from urllib.parse import urlencode
 
-from cloverkeel.fleet import asking
+from cloverkeel.fleet import operator_commands
 from cloverkeel.fleet.membership.command import CommandError
 
 LACKS = "rollout"
@@ -28,18 +28,18 @@
     start.add_argument("--latency-ratio", type=float, default=1.5, help="of the 95th percentiles")
     status = verbs.add_parser("status", help="state, stage, share, and the figures that decided it")
     status.add_argument("--json", action="store_true", help="the gateway's answer as one JSON object")
-    asking.add_operator(start, _start)
-    asking.add_operator(status, _status)
+    operator_commands.add_operator_option(start, _start)
+    operator_commands.add_operator_option(status, _status)
     for verb, what in (
         ("pause", "stay at the stage"), ("resume", "go on, with a new window"),
         ("abort", "back to the base at once"), ("undo", "back to the base after it was done"),
     ):  # fmt: skip
         parser = verbs.add_parser(verb, help=what)
         parser.add_argument("name", metavar="NAME")
-        asking.add_operator(parser, _order)
+        operator_commands.add_operator_option(parser, _order)
 
 
-def _start(address: asking.Address, arguments: argparse.Namespace) -> int:
+def _start(address: operator_commands.Address, arguments: argparse.Namespace) -> int:
     try:
         steps = [float(step) for step in arguments.steps.split(",")]
     except ValueError:
@@ -56,13 +56,13 @@
     return _ordered(address, "start", arguments.name, json.dumps(spec).encode())
 
 
-def _order(address: asking.Address, arguments: argparse.Namespace) -> int:
+def _order(address: operator_commands.Address, arguments: argparse.Namespace) -> int:
     return _ordered(address, arguments.verb, arguments.name, b"")
 
 
-def _ordered(address: asking.Address, verb: str, name: str, body: bytes) -> int:
+def _ordered(address: operator_commands.Address, verb: str, name: str, body: bytes) -> int:
     query = urlencode({"verb": verb, "name": name})
-    answer = asking.call(address, f"/api/rollout/order?{query}", body, lacks=LACKS)
+    answer = operator_commands.request_json(address, f"/api/rollout/order?{query}", body, lacks=LACKS)
     if answer["outcome"] == "taken":
         print(f"{verb}: {name}")
         return 0
@@ -70,8 +70,8 @@
     return 1
 
 
-def _status(address: asking.Address, arguments: argparse.Namespace) -> int:
-    answer = asking.call(address, "/api/rollout", lacks=LACKS)
+def _status(address: operator_commands.Address, arguments: argparse.Namespace) -> int:
+    answer = operator_commands.request_json(address, "/api/rollout", lacks=LACKS)
     if arguments.json:
         print(json.dumps(answer))
         return 0
--- a/cloverkeel/fleet/rollout/counting.py
+++ b/cloverkeel/fleet/rollout/counting.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from caperdrift.interface import Outcome
-from caperdrift.plan import Hosts
-from caperdrift.policy.routes import names
+from caperdrift.plan import HostSelector
+from caperdrift.policy.routes import matches
 
 from cloverkeel.fleet.rollout.analysis import Counts, bucket_of
 
@@ -23,23 +23,23 @@
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
         self.life = 0
-        self.sets: tuple[Hosts, Hosts] | None = None  # the new one and the base
+        self.sets: tuple[HostSelector, HostSelector] | None = None  # the new one and the base
         self.counts = (Counts(), Counts())
 
-    def compare(self, sets: tuple[Hosts, Hosts] | None) -> None:
+    def compare(self, sets: tuple[HostSelector, HostSelector] | None) -> None:
         """Count these from now on; None: none."""
         if sets == self.sets:
             return
         self.sets, self.life = sets, secrets.randbits(53)
         self.counts = Counts(), Counts()
-        self.gateway.on_attempt = self.ended if sets is not None else None
+        self.gateway.on_attempt_ended = self.ended if sets is not None else None
 
     def ended(self, server: int, outcome: Outcome, latency_us: int) -> None:
         known = self.gateway.balancer.servers.get(server)
-        if known is None or self.sets is None or outcome in (Outcome.CANCELLED, Outcome.MOOT):
+        if known is None or self.sets is None or outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             return
         for hosts, counts in zip(self.sets, self.counts, strict=True):
-            if not names(hosts, known.entry):
+            if not matches(hosts, known.entry):
                 continue
             counts.ended += 1
             if outcome is Outcome.OK:
--- a/cloverkeel/fleet/rollout/part.py
+++ b/cloverkeel/fleet/rollout/part.py
@@ -10,9 +10,16 @@
 
 import msgspec
 
-from caperdrift.plan import Hosts, Target
-
-from cloverkeel.fleet.answers import JSON, NOT_YET, WAIT_S, level, one, refused
+from caperdrift.plan import HostSelector, Target
+
+from cloverkeel.fleet.operator_queries import (
+    JSON_CONTENT_TYPE,
+    LEDGER_NOT_STARTED,
+    LEVEL_TIMEOUT_S,
+    query_level,
+    query_value,
+    error_answer,
+)
 from cloverkeel.fleet.events import event
 from cloverkeel.fleet.ledger.interface import Acknowledged, Expose
 from cloverkeel.fleet.ledger.shell import Service, WriteRefused
@@ -108,15 +115,15 @@
             self.serving.divide(self.over())
             self.counting.compare(self.sets())
 
-    def sets(self) -> tuple[Hosts, Hosts]:
+    def sets(self) -> tuple[HostSelector, HostSelector]:
         """The new set's hosts and the base's, as the module knows them."""
         spec, base = self.progress.spec, self.progress.base
         assert spec is not None
         new = self._hosts(spec.hosts)
-        old = self._hosts(base) if base is not None else Hosts()
-        return new, Hosts(old.kinds, old.groups, old.zones, old.labels, (*old.none_of, new))
+        old = self._hosts(base) if base is not None else HostSelector()
+        return new, HostSelector(old.kinds, old.groups, old.zones, old.labels, (*old.none_of, new))
 
-    def _hosts(self, selector: Selector) -> Hosts:
+    def _hosts(self, selector: Selector) -> HostSelector:
         return compile_hosts(selector.target(), self.gateway.names)
 
     def over(self) -> tuple[Target, ...]:
@@ -174,7 +181,7 @@
 
     def status(self) -> Answer:
         if self.ledger is None:
-            return NOT_YET
+            return LEDGER_NOT_STARTED
         progress = self.progress
         new, base = self.counting.counts
         body = {
@@ -186,35 +193,37 @@
         }  # fmt: skip
         if self.conducting is not None:
             body["verdict"] = self.conducting.verdict()
-        return Answer(200, json.dumps(body).encode(), JSON)
+        return Answer(200, json.dumps(body).encode(), JSON_CONTENT_TYPE)
 
     async def order(self, query: bytes, body: bytes) -> Answer:
         """`verb`, `name` and `wait` in the query; the spec of a start, as JSON, in the body."""
         if self.ledger is None:
-            return NOT_YET
+            return LEDGER_NOT_STARTED
         try:
-            verb, wait = one(query, "verb"), level(query)
+            verb, wait = query_value(query, "verb"), query_level(query)
             if verb not in VERBS:
                 raise ValueError(f"verb is one of {', '.join(VERBS)}, not {verb[:20]!r}")
             spec = _spec(body) if verb == "start" else None
-            name = spec.name if spec is not None else one(query, "name")
+            name = spec.name if spec is not None else query_value(query, "name")
             number = max([self.progress.seen, *(order.number for order in self.orders())]) + 1
             order = Order(secrets.token_hex(16), number, verb, name, spec)  # type: ignore[arg-type]
             payload = encode(order)
             _, context = self.ledger.read(ORDER, order.id)
-            answer = await self.ledger.write(ORDER, order.id, payload, context, wait, WAIT_S)
+            answer = await self.ledger.write(ORDER, order.id, payload, context, wait, LEVEL_TIMEOUT_S)
         except ValueError as error:
-            return refused(400, error)
+            return error_answer(400, error)
         except WriteRefused as error:
-            return refused(503, error)
+            return error_answer(503, error)
         if not isinstance(answer, Acknowledged):
             return Answer(
-                202, json.dumps({"id": order.id, "outcome": "", "reason": answer.reason}).encode(), JSON
+                202,
+                json.dumps({"id": order.id, "outcome": "", "reason": answer.reason}).encode(),
+                JSON_CONTENT_TYPE,
             )
         outcome = await self._outcome(order.id)
         reason = "" if outcome else "no conductor has taken it yet: it is kept"
         told = {"id": order.id, "outcome": outcome, "reason": reason}
-        return Answer(200 if outcome else 202, json.dumps(told).encode(), JSON)
+        return Answer(200 if outcome else 202, json.dumps(told).encode(), JSON_CONTENT_TYPE)
 
     async def _outcome(self, id: str) -> str:
         try:
--- a/cloverkeel/fleet/routes/command.py
+++ b/cloverkeel/fleet/routes/command.py
@@ -10,8 +10,14 @@
 from typing import Any
 from urllib.parse import urlencode
 
-from cloverkeel.fleet.asking import Address, add_operator, add_wait, call, read_file
-from cloverkeel.fleet.membership.command import CommandError, ask
+from cloverkeel.fleet.operator_commands import (
+    Address,
+    add_operator_option,
+    add_wait_option,
+    request_json,
+    read_file,
+)
+from cloverkeel.fleet.membership.command import CommandError, request_operator
 
 LACKS = "routes"
 ASK_S = 22.0
@@ -41,15 +47,15 @@
     for verb in (resolve, accept):
         verb.add_argument("--team", required=True, metavar="T", help="whose word this is")
     for verb, run in ((apply, _apply), (show, _show), (resolve, _resolve), (accept, _accept)):
-        add_operator(verb, run)
+        add_operator_option(verb, run)
     for verb in (apply, resolve, accept):
-        add_wait(verb)
+        add_wait_option(verb)
 
 
 def _apply(address: Address, arguments: argparse.Namespace) -> int:
     path = arguments.file
     source = read_file(path)
-    answer = call(address, f"/api/routes/apply?wait={arguments.wait}", source, lacks=LACKS)
+    answer = request_json(address, f"/api/routes/apply?wait={arguments.wait}", source, lacks=LACKS)
     if not answer["change"]:
         behind = answer["behind"]
         more = f"; by now the plan has otherwise: {', '.join(behind[:5])}" if behind else ""
@@ -93,14 +99,14 @@
         query["way"], body = "value", arguments.value.encode()
     else:
         query["way"] = "delete" if arguments.delete else "keep"
-    answer = call(address, f"/api/routes/resolve?{urlencode(query)}", body, lacks=LACKS)
+    answer = request_json(address, f"/api/routes/resolve?{urlencode(query)}", body, lacks=LACKS)
     return _said(answer, arguments.wait)
 
 
 def _accept(address: Address, arguments: argparse.Namespace) -> int:
     query = {"change": arguments.change, "route": arguments.route, "team": arguments.team}
     target = f"/api/routes/accept?{urlencode(query | {'wait': arguments.wait})}"
-    return _said(call(address, target, b"", lacks=LACKS), arguments.wait)
+    return _said(request_json(address, target, b"", lacks=LACKS), arguments.wait)
 
 
 def _said(answer: dict[str, Any], wait: str) -> int:
@@ -128,13 +134,13 @@
         if not arguments.team:
             raise CommandError("--toml makes one team's file: give --team")
         query = urlencode({"team": arguments.team, "form": "toml"})
-        status, found = ask(*address, "GET", f"/api/routes?{query}", None, ASK_S)
+        status, found = request_operator(*address, "GET", f"/api/routes?{query}", None, ASK_S)
         if status != 200:
-            call(address, f"/api/routes?{query}", lacks=LACKS)  # for its error
+            request_json(address, f"/api/routes?{query}", lacks=LACKS)  # for its error
         sys.stdout.write(found.decode())
         return 0
     query = f"?{urlencode({'team': arguments.team})}" if arguments.team else ""
-    answer = call(address, f"/api/routes{query}", lacks=LACKS)
+    answer = request_json(address, f"/api/routes{query}", lacks=LACKS)
     print(json.dumps(answer) if arguments.json else "\n".join(lines(answer)))
     return 0
 
--- a/cloverkeel/fleet/routes/dividing.py
+++ b/cloverkeel/fleet/routes/dividing.py
@@ -4,7 +4,7 @@
 
 from dataclasses import replace
 
-from caperdrift.plan import Hosts, Route, Target
+from caperdrift.plan import HostSelector, Route, Target
 
 
 def divided(route: Route, over: tuple[Target, ...]) -> Route:
@@ -23,6 +23,6 @@
     return replace(route, targets=tuple(targets))
 
 
-def meet(one: Hosts, other: Hosts) -> Hosts:
+def meet(one: HostSelector, other: HostSelector) -> HostSelector:
     """Hosts that are in both: of the one, and not of those that are not of the other."""
-    return replace(one, none_of=(*one.none_of, Hosts(none_of=(other,))))
+    return replace(one, none_of=(*one.none_of, HostSelector(none_of=(other,))))
--- a/cloverkeel/fleet/routes/part.py
+++ b/cloverkeel/fleet/routes/part.py
@@ -7,7 +7,14 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING, Any
 
-from cloverkeel.fleet.answers import JSON, NOT_YET, WAIT_S, level, one, refused
+from cloverkeel.fleet.operator_queries import (
+    JSON_CONTENT_TYPE,
+    LEDGER_NOT_STARTED,
+    LEVEL_TIMEOUT_S,
+    query_level,
+    query_value,
+    error_answer,
+)
 from cloverkeel.fleet.ledger.dots import Context
 from cloverkeel.fleet.ledger.interface import Acknowledged, Level
 from cloverkeel.fleet.ledger.part import LedgerPart
@@ -107,13 +114,13 @@
         """The plan as JSON: all of it, of one `team`, or (`form=brief`) without its routes. With `form=toml`
         a team's file."""
         if (routes := self.routes) is None or (view := routes.view) is None:
-            return NOT_YET
+            return LEDGER_NOT_STARTED
         try:
-            team, form = one(query, "team", "*"), one(query, "form", "json")
+            team, form = query_value(query, "team", "*"), query_value(query, "form", "json")
             if form not in ("json", "brief", "toml") or (form == "toml" and team == "*"):
                 raise ValueError("form is json, brief, or toml with a team")
         except ValueError as error:
-            return refused(400, error)
+            return error_answer(400, error)
         if form == "toml":
             text = await asyncio.to_thread(lambda: files.export(team, view, notes(team, view)))
             return Answer(200, text.encode(), TOML)
@@ -123,12 +130,12 @@
             made.append(piece)
             if number % PIECES == PIECES - 1:
                 await asyncio.sleep(0)
-        return Answer(200, b"".join(made), JSON)
+        return Answer(200, b"".join(made), JSON_CONTENT_TYPE)
 
     async def apply(self, query: bytes, body: bytes) -> Answer:
         """A team's TOML in the body; `wait` in the query."""
         if (routes := self.routes) is None:
-            return NOT_YET
+            return LEDGER_NOT_STARTED
 
         async def make(view: View) -> tuple[Made, files.TeamFile]:
             file = await asyncio.to_thread(files.parse, body)
@@ -144,8 +151,12 @@
         the body."""
 
         async def make(view: View) -> tuple[Made, None]:
-            id, team, take = one(query, "id"), one(query, "team"), one(query, "take", "0")
-            way = one(query, "way")
+            id, team, take = (
+                query_value(query, "id"),
+                query_value(query, "team"),
+                query_value(query, "take", "0"),
+            )
+            way = query_value(query, "way")
             if way not in ("take", "value", "delete", "keep"):
                 raise ValueError("way is take, value, delete or keep")
             if not take.isascii() or not take.isdigit() or len(take) > 9:
@@ -163,7 +174,11 @@
         """`change`, `route`, `team` and `wait` in the query."""
 
         async def make(view: View) -> tuple[Made, None]:
-            dot, route, team = dot_of(one(query, "change")), one(query, "route"), one(query, "team")
+            dot, route, team = (
+                dot_of(query_value(query, "change")),
+                query_value(query, "route"),
+                query_value(query, "team"),
+            )
             found = next((each for each in view.waiting if (each.dot, each.route) == (dot, route)), None)
             if found is None:
                 raise ValueError(f"no edit of {route:.140} by {key_of(dot):.160} waits")
@@ -176,25 +191,25 @@
     def _check(self, view: View, edits: tuple[Edit, ...]) -> None:
         """Raises ValueError."""
         world = self.routes.world if self.routes is not None else None
-        if found := faults(view, edits, self.gateway.listed.values(), world or World()):
+        if found := faults(view, edits, self.gateway.listed_hosts.values(), world or World()):
             raise ValueError("\n".join(found[: files.FAULTS_MAX]))
 
     async def _commit(self, query: bytes, make: Callable[[View], Any]) -> Answer:
         """Write what `make` makes of the view. Bad input is answered with 400 and nothing is written."""
         routes = self.routes
         if routes is None or (view := routes.view) is None:
-            return NOT_YET
+            return LEDGER_NOT_STARTED
         try:
-            wait: Level = level(query)
+            wait: Level = query_level(query)
             (team, edits, accepts, context), file = await make(view)
             if not edits and not accepts:
                 behind = files.behind(file, view) if file is not None else []
                 return _answered({"change": "", "confirmed": True, "edits": 0, "behind": behind})
-            change, answer = await routes.commit(team, edits, accepts, context, wait, WAIT_S)
+            change, answer = await routes.commit(team, edits, accepts, context, wait, LEVEL_TIMEOUT_S)
         except ValueError as error:
-            return refused(400, error)
+            return error_answer(400, error)
         except WriteRefused as error:
-            return refused(503, error)
+            return error_answer(503, error)
         confirmed = isinstance(answer, Acknowledged)
         said = {
             "change": key_of(change.dot),
@@ -211,4 +226,4 @@
 
 
 def _answered(said: dict[str, Any], status: int = 200) -> Answer:
-    return Answer(status, json.dumps(said).encode(), JSON)
+    return Answer(status, json.dumps(said).encode(), JSON_CONTENT_TYPE)
--- a/cloverkeel/fleet/routes/serving.py
+++ b/cloverkeel/fleet/routes/serving.py
@@ -6,11 +6,11 @@
 from time import perf_counter
 from typing import TYPE_CHECKING, Any
 
-from caperdrift.plan import Hosts, Plan, Route, Target
+from caperdrift.plan import HostSelector, Plan, Route, Target
 
 from cloverkeel.config import Names
 from cloverkeel.fleet.routes.dividing import divided
-from cloverkeel.entries import group_numbers, label_number, number_of
+from cloverkeel.host_entries import group_ids, label_id, name_id
 from cloverkeel.fleet.routes import passes
 from cloverkeel.fleet.routes.fields import PER_CENT, share_of
 from cloverkeel.fleet.routes.index import Index, Matched
@@ -25,13 +25,13 @@
 NO_ROUTE = 0  # the number that requests without a route name
 
 
-def compile_hosts(target: dict[str, Any], names: Names) -> Hosts:
+def compile_hosts(target: dict[str, Any], names: Names) -> HostSelector:
     """Hosts as the list will number them; names that the settings do not have are numbered all the same."""
-    return Hosts(
-        frozenset(number_of(name, names.kinds) for name in target.get("types", ())),
-        frozenset(number for name in target.get("groups", ()) for number in group_numbers(name)),
-        frozenset(number_of(name, names.zones) for name in target.get("zones", ())),
-        frozenset(label_number(name) for name in target.get("labels", ())),
+    return HostSelector(
+        frozenset(name_id(name, names.kinds) for name in target.get("types", ())),
+        frozenset(number for name in target.get("groups", ()) for number in group_ids(name)),
+        frozenset(name_id(name, names.zones) for name in target.get("zones", ())),
+        frozenset(label_id(name) for name in target.get("labels", ())),
     )
 
 
@@ -41,7 +41,7 @@
     shares = [(compile_hosts(target, names), share_of(target)) for target in values.get("targets") or ()]
     left = WHOLE - sum(share for _, share in shares)
     if shares and left > 0:
-        shares.append((Hosts(none_of=tuple(hosts for hosts, _ in shares)), left))
+        shares.append((HostSelector(none_of=tuple(hosts for hosts, _ in shares)), left))
     return Route(
         tuple(Target(hosts, share / WHOLE) for hosts, share in shares if share),
         max_attempts=values.get("attempts") or 0,
--- a/cloverkeel/fleet/routes/shell.py
+++ b/cloverkeel/fleet/routes/shell.py
@@ -18,8 +18,8 @@
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.ledger.interface import Acknowledged, Expose, Level
 from cloverkeel.fleet.ledger.shell import Answer, Service, Shown, WriteRefused
-from cloverkeel.fleet.membership.roster import PRESENT
-from cloverkeel.fleet.membership.rumours import Status
+from cloverkeel.fleet.membership.roster import LIVE_STATUSES
+from cloverkeel.fleet.membership.updates import Status
 from cloverkeel.fleet.routes import passes
 from cloverkeel.fleet.routes.changes import KIND, Accept, Change, Edit, decode, encode, key_of
 from cloverkeel.fleet.routes.interface import View, World
@@ -93,7 +93,7 @@
 
     def live(self) -> frozenset[str]:
         """The members that are there, this one included."""
-        names = {name for name, rumour in self.membership.view().items() if rumour.status in PRESENT}
+        names = {name for name, rumour in self.membership.view().items() if rumour.status in LIVE_STATUSES}
         return frozenset(names | {self.membership.name})
 
     # Changes of this gateway's.
--- a/cloverkeel/fleet/routes/telling.py
+++ b/cloverkeel/fleet/routes/telling.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Literal, NamedTuple
 
-from cloverkeel.fleet.lists.relays import score
+from cloverkeel.fleet.lists.relays import rendezvous_score
 from cloverkeel.fleet.routes.interface import Conflict
 
 LINES_MAX = 20  # of one merge; of the rest the number is told
@@ -18,7 +18,7 @@
 
 def teller(id: str, live: Iterable[str]) -> str:
     """The member that tells of a conflict: rendezvous hashing (Thaler, Ravishankar, 1998) on both names."""
-    return min(live, key=lambda member: (score("routes", id, member), member))
+    return min(live, key=lambda member: (rendezvous_score("routes", id, member), member))
 
 
 class Telling:
--- a/cloverkeel/fleet/routes/world.py
+++ b/cloverkeel/fleet/routes/world.py
@@ -54,12 +54,12 @@
         """The world, where it may be another one than at the last call."""
         gateway = self.gateway
         versions = await self._versions()
-        listed = (gateway.discovery.index, gateway.discovery.epoch, len(gateway.listed))
+        listed = (gateway.discovery.index, gateway.discovery.epoch, len(gateway.listed_hosts))
         now = (listed, gateway.names, versions)
         if now == self.seen:
             return None
         self.seen = now
-        return world_of(gateway.names, self.room, gateway.listed.values(), self._published(versions))
+        return world_of(gateway.names, self.room, gateway.listed_hosts.values(), self._published(versions))
 
     async def _versions(self) -> tuple[tuple[str, str], ...] | None:
         """Name and id of each published version that is to be held, once its headers are known; None while
