--- a/cloverkeel/fleet/kept.py
+++ b/cloverkeel/fleet/snapshot.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from caperdrift.interface import Learned
+from caperdrift.interface import LearnedState
 
 
 @dataclass(slots=True, frozen=True)
@@ -16,11 +16,11 @@
     form (`{}`: none)."""
 
     taken_unix_s: float
-    learned: Learned
+    learned: LearnedState
     known: dict[str, Any] = field(default_factory=dict)
     classes: tuple[bytes, ...] = ()  # the name behind each number of a class in `learned`
 
-    def learned_for(self, classes: Sequence[bytes]) -> Learned:
+    def learned_for(self, classes: Sequence[bytes]) -> LearnedState:
         """What was learned, under the numbers that these names have now. What names are not known to be of a
         class here is left out: a process that has been reconfigured numbers otherwise than its next start."""
         now = {number: classes.index(name) for number, name in enumerate(self.classes) if name in classes}
@@ -31,15 +31,15 @@
             return tuple(us[place] if 0 <= place < len(us) else 0.0 for place in places)  # 0: not taken up
 
         servers = tuple(
-            replace(s, parts=tuple((now[k], weight, b) for k, weight, b in s.parts if k in now))
+            replace(s, by_class=tuple((now[k], weight, b) for k, weight, b in s.by_class if k in now))
             for s in self.learned.servers
         )
         learned = self.learned
-        return Learned(servers, latencies(learned.smoothed_us), latencies(learned.unhindered_us))
+        return LearnedState(servers, latencies(learned.smoothed_us), latencies(learned.unhindered_us))
 
 
 @dataclass(slots=True)
-class Figures:
+class StoreCounters:
     """What the store has done since the process began, for telemetry."""
 
     corrupt: int = 0
--- a/cloverkeel/fleet/start.py
+++ b/cloverkeel/fleet/start.py
@@ -13,17 +13,17 @@
 import time
 from typing import TYPE_CHECKING
 
-from caperdrift.interface import Learned, Restore
+from caperdrift.interface import LearnedState, Restore
 
 from cloverkeel.config import Config
 from cloverkeel.fleet import events, needs
 from cloverkeel.fleet.cluster import ClusterSettings
-from cloverkeel.fleet.kept import Snapshot
-from cloverkeel.fleet.lists.sharing import Sharing
+from cloverkeel.fleet.snapshot import Snapshot
+from cloverkeel.fleet.lists.sharing import ListSharing
 from cloverkeel.fleet.membership.service import Membership
-from cloverkeel.fleet.sharers import Sharers
+from cloverkeel.fleet.fleet_size import FleetSizeReporter
 from cloverkeel.fleet.warm.neighbours import Neighbours
-from cloverkeel.operator import Answer, Ask, Calls, Post
+from cloverkeel.operator import Answer, AsyncGetHandler, GetHandlers, PostHandler
 
 if TYPE_CHECKING:
     from cloverkeel.fleet.ledger.part import LedgerPart
@@ -34,11 +34,11 @@
     from cloverkeel.gateway import Gateway
     from cloverkeel.transforms.activation.parts import TransformParts
 
-NUMBER_S = 1.0  # for the store to hand out an incarnation
-TAKEN_OVER_S = 0.2  # the same, where the process before may still hold the store
-COUNTER = "incarnation"
-FIRST_S = 0.3  # for members to say what they know
-LEARNED_S = 60.0  # what they learned is used if there is a list of hosts by then
+INCARNATION_TIMEOUT_S = 1.0  # for the store to hand out an incarnation
+TAKE_OVER_TIMEOUT_S = 0.2  # the same, where the process before may still hold the store
+INCARNATION_COUNTER = "incarnation"
+COLD_START_WAIT_S = 0.3  # for members to say what they know
+LEARNED_MAX_AGE_S = 60.0  # what they learned is used if there is a list of hosts by then
 
 
 class FleetParts:
@@ -52,16 +52,16 @@
         keeper: Keeper | None,
         take_over: bool,
     ) -> None:
-        events.setup()
+        events.setup_logging()
         self.config, self.cluster, self.gateway = config, cluster, gateway
         self.keeper, self.take_over = keeper, take_over
         self.membership: Membership | None = None
-        self.sharers: Sharers | None = None
-        self.sharing: Sharing | None = None
+        self.size_reporter: FleetSizeReporter | None = None
+        self.sharing: ListSharing | None = None
         self.neighbours: Neighbours | None = None
-        self.restoring: asyncio.Task[None] | None = None
+        self.restore_task: asyncio.Task[None] | None = None
         self.transforms: TransformParts | None = None
-        self.ledger = ledger_of(config, cluster, keeper)  # one, whatever parts keep records in it
+        self.ledger = make_ledger(config, cluster, keeper)  # one, whatever parts keep records in it
         published = config.transforms.fleet if config.transforms is not None else None
         if published is not None and self.ledger is not None:
             from cloverkeel.transforms.activation.parts import TransformParts
@@ -81,14 +81,14 @@
 
             self.rollout = RolloutPart(gateway, self.ledger, gateway.routes or Serving(gateway))
 
-    def conduct_by(self, duties: DutiesPart) -> None:
+    def attach_duties(self, duties: DutiesPart) -> None:
         """The duties under which this gateway may conduct a rollout."""
         if self.rollout is not None:
             self.rollout.conduct_by(duties)
 
     async def start(self) -> None:
         """Raises OSError where `cluster.bind` cannot be had."""
-        incarnation = await incarnation_of(self.keeper, self.take_over)
+        incarnation = await next_incarnation(self.keeper, self.take_over)
         zones = {number: name for name, number in self.config.names.zones.items()}
         zone = zones.get(self.config.settings.zone, "")
         self.membership = Membership(self.cluster, self.config.name, zone, incarnation, self.take_over)
@@ -102,10 +102,10 @@
         if self.rollout is not None:
             self.rollout.start(self.membership)
         gateway = self.gateway
-        self.sharers = Sharers(self.membership, gateway)
+        self.size_reporter = FleetSizeReporter(self.membership, gateway)
         if self.cluster.lists:
             must_ask_s = gateway.settings.must_ask_within_us / 1e6
-            self.sharing = Sharing(
+            self.sharing = ListSharing(
                 self.cluster,
                 self.membership,
                 gateway.discovery,
@@ -119,14 +119,14 @@
         if self.cluster.warm:
             self.neighbours = Neighbours(self.membership, gateway)
         if gateway.warm is None:
-            await self._hear_members(self.membership)
+            await self._wait_for_members(self.membership)
         elif gateway.warm.known.get("endpoints"):
             gateway.known = gateway.warm.known  # newer than the configuration's
 
-    async def _hear_members(self, membership: Membership) -> None:
+    async def _wait_for_members(self, membership: Membership) -> None:
         """A cold start: what members have, a list and what they learned, as far as it comes in FIRST_S."""
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + FIRST_S
+        end_s = loop.time() + COLD_START_WAIT_S
         try:
             async with asyncio.timeout_at(end_s):
                 await membership.joined.wait()
@@ -135,46 +135,46 @@
         left_s = end_s - loop.time()
         waits = []
         if self.sharing is not None:
-            waits.append(loop.create_task(self.sharing.first(left_s)))
+            waits.append(loop.create_task(self.sharing.wait_for_first_list(left_s)))
         if self.neighbours is not None:
-            learned = await self.neighbours.within(left_s)
+            learned = await self.neighbours.gather(left_s)
             if learned is not None:
                 self._restore(learned)
         for wait in waits:
             await wait
 
-    def _restore(self, learned: Learned) -> None:
+    def _restore(self, learned: LearnedState) -> None:
         assert self.neighbours is not None
-        events.event("warm.restored", neighbours=self.neighbours.answers, hosts=len(learned.servers))
+        events.event("warm.restored", neighbours=self.neighbours.answer_count, hosts=len(learned.servers))
         if self.sharing is None or self.gateway.known.get("endpoints"):
-            classes = self.gateway.names.by_class
+            classes = self.gateway.names.class_names
             self.gateway.warm = Snapshot(time.time(), learned, classes=classes)  # with the list, at the start
         else:
-            self.restoring = asyncio.get_running_loop().create_task(self._restore_when_listed(learned))
+            self.restore_task = asyncio.get_running_loop().create_task(self._restore_when_listed(learned))
 
-    async def _restore_when_listed(self, learned: Learned) -> None:
+    async def _restore_when_listed(self, learned: LearnedState) -> None:
         """The module takes up what was learned of listed hosts alone."""
         assert self.sharing is not None
         begun_s = time.monotonic()
         try:
-            async with asyncio.timeout(LEARNED_S):
-                await self.sharing.listed.wait()
+            async with asyncio.timeout(LEARNED_MAX_AGE_S):
+                await self.sharing.has_hosts.wait()
         except TimeoutError:
             return
         restore = Restore(learned, int((time.monotonic() - begun_s) * 1e6))
         self.gateway.post(lambda: restore)
 
-    def calls(self) -> Calls:
+    def calls(self) -> GetHandlers:
         """Operators' calls, by path; `posts` and `asks` as well."""
-        calls: Calls = {b"/api/members": self.answer}
+        calls: GetHandlers = {b"/api/members": self.members_answer}
         if self.transforms is not None:
             calls[b"/api/transforms"] = self.transforms.status
         if self.rollout is not None:
             calls[b"/api/rollout"] = self.rollout.status
         return calls
 
-    def posts(self) -> dict[bytes, Post]:
-        posts: dict[bytes, Post] = {}
+    def posts(self) -> dict[bytes, PostHandler]:
+        posts: dict[bytes, PostHandler] = {}
         if self.transforms is not None:
             posts[b"/api/transforms/publish"] = self.transforms.publish
             posts[b"/api/transforms/rollback"] = self.transforms.rollback
@@ -186,10 +186,10 @@
             posts[b"/api/routes/accept"] = self.routes.accept
         return posts
 
-    def asks(self) -> dict[bytes, Ask]:
+    def asks(self) -> dict[bytes, AsyncGetHandler]:
         return {b"/api/routes": self.routes.show} if self.routes is not None else {}
 
-    def answer(self) -> Answer:
+    def members_answer(self) -> Answer:
         """`GET /api/members`."""
         membership = self.membership
         if membership is None:
@@ -227,7 +227,7 @@
         if self.sharing is not None:
             figures |= self.sharing.gauges()
         if self.neighbours is not None:
-            figures["warm_neighbours"] = self.neighbours.answers
+            figures["warm_neighbours"] = self.neighbours.answer_count
         if self.transforms is not None:
             figures |= self.transforms.gauges()
         if self.routes is not None:
@@ -253,17 +253,17 @@
             await self.membership.leave()
 
     def close(self) -> None:
-        if self.restoring is not None:
-            self.restoring.cancel()
-        if self.sharers is not None:
-            self.sharers.close()
+        if self.restore_task is not None:
+            self.restore_task.cancel()
+        if self.size_reporter is not None:
+            self.size_reporter.close()
         if self.sharing is not None:
             self.sharing.close()
         if self.membership is not None:
             self.membership.close()
 
 
-def ledger_of(config: Config, cluster: ClusterSettings, keeper: Keeper | None) -> LedgerPart | None:
+def make_ledger(config: Config, cluster: ClusterSettings, keeper: Keeper | None) -> LedgerPart | None:
     """The ledger's part, where another part keeps records in it and there is a state store; equal sizes are
     the configuration's check (needs.py)."""
     sizes = needs.ledger_sizes(config)
@@ -276,7 +276,7 @@
     return LedgerPart(keeper, Settings(size=size, reap_after_s=cluster.reap_after_s))
 
 
-async def incarnation_of(keeper: Keeper | None, take_over: bool) -> int:
+async def next_incarnation(keeper: Keeper | None, take_over: bool) -> int:
     """A number higher than any that this gateway's name had: the store's counter, raised and written before
     it is used; without a store, or where it does not answer in time, the wall clock in milliseconds.
 
@@ -286,12 +286,14 @@
     clock = time.time_ns() // 1_000_000
     if keeper is None:
         return clock
-    number = asyncio.wrap_future(keeper.number(COUNTER))
+    number = asyncio.wrap_future(keeper.number(INCARNATION_COUNTER))
     number.add_done_callback(lambda late: late.cancelled() or late.exception())  # it may come after the wait
-    done, _ = await asyncio.wait([number], timeout=TAKEN_OVER_S if take_over else NUMBER_S)
+    done, _ = await asyncio.wait(
+        [number], timeout=TAKE_OVER_TIMEOUT_S if take_over else INCARNATION_TIMEOUT_S
+    )
     if done and number.exception() is None:
         return number.result()
-    last = await asyncio.to_thread(keeper.peek, COUNTER) if take_over else 0
+    last = await asyncio.to_thread(keeper.peek, INCARNATION_COUNTER) if take_over else 0
     if last:
         return last + 1
     events.event("members.incarnation", source="clock", incarnation=clock, reason="the store gave none")
--- a/cloverkeel/fleet/state/__init__.py
+++ b/cloverkeel/fleet/state/__init__.py
@@ -12,8 +12,8 @@
 from importlib import import_module
 from typing import TYPE_CHECKING
 
-from cloverkeel.fleet.kept import Figures as Figures
-from cloverkeel.fleet.kept import Snapshot as Snapshot
+from cloverkeel.fleet.snapshot import StoreCounters as StoreCounters
+from cloverkeel.fleet.snapshot import Snapshot as Snapshot
 
 if TYPE_CHECKING:
     from cloverkeel.fleet.state.codec import decode as decode
--- a/cloverkeel/fleet/state/codec.py
+++ b/cloverkeel/fleet/state/codec.py
@@ -5,9 +5,9 @@
 import json
 from typing import Any
 
-from caperdrift.interface import Learned, LearnedBreaker, LearnedServer
+from caperdrift.interface import LearnedState, LearnedBreaker, LearnedServer
 
-from cloverkeel.fleet.kept import Snapshot
+from cloverkeel.fleet.snapshot import Snapshot
 
 SCHEMA = 1
 FUTURE_S = 1.0  # a snapshot taken later than now by more than this is from a clock that was wrong
@@ -29,7 +29,7 @@
     learned = snapshot.learned
     servers = [
         [s.server, s.started_us, s.weight, s.idle, breaker(s.breaker),
-         [[k, w, breaker(b)] for k, w, b in s.parts]]
+         [[k, w, breaker(b)] for k, w, b in s.by_class]]
         for s in learned.servers
     ]  # fmt: skip
     raw = {
@@ -51,7 +51,7 @@
             )
             for server, started, weight, idle, b, parts in raw["servers"]
         )  # fmt: skip
-        learned = Learned(
+        learned = LearnedState(
             servers, tuple(map(float, raw["smoothed_us"])), tuple(map(float, raw["unhindered_us"]))
         )
         known = raw["known"]
--- a/cloverkeel/fleet/state/file.py
+++ b/cloverkeel/fleet/state/file.py
@@ -8,7 +8,7 @@
 import sqlite3
 from collections.abc import Iterator
 
-from cloverkeel.fleet.kept import Snapshot
+from cloverkeel.fleet.snapshot import Snapshot
 from cloverkeel.fleet.state.codec import SCHEMA, decode
 
 FILE, LOCK = "cloverkeel.db", "cloverkeel.lock"
--- a/cloverkeel/fleet/state/keeper.py
+++ b/cloverkeel/fleet/state/keeper.py
@@ -10,7 +10,7 @@
 from concurrent.futures import Future
 
 from cloverkeel.fleet.events import event
-from cloverkeel.fleet.kept import Figures, Snapshot
+from cloverkeel.fleet.snapshot import StoreCounters, Snapshot
 from cloverkeel.fleet.state.file import FILE, counters, reader
 from cloverkeel.fleet.state.store import Store
 
@@ -21,7 +21,9 @@
     lock once that one has ended and writes from then on.
     """
 
-    def __init__(self, directory: str, interval_s: float, figures: Figures, store: Store | None) -> None:
+    def __init__(
+        self, directory: str, interval_s: float, figures: StoreCounters, store: Store | None
+    ) -> None:
         self.directory, self.interval_s, self.figures, self.store = directory, interval_s, figures, store
         self.pending: Snapshot | None = None
         self.numbers: list[tuple[str, Future[int]]] = []  # counters to raise
--- a/cloverkeel/fleet/state/recovery.py
+++ b/cloverkeel/fleet/state/recovery.py
@@ -7,7 +7,7 @@
 import time
 
 from cloverkeel.fleet.events import event
-from cloverkeel.fleet.kept import Figures, Snapshot
+from cloverkeel.fleet.snapshot import StoreCounters, Snapshot
 from cloverkeel.fleet.state.codec import judge
 from cloverkeel.fleet.state.file import read_only
 from cloverkeel.fleet.state.keeper import Keeper
@@ -15,7 +15,7 @@
 
 
 def start(
-    directory: str, interval_s: float, max_age_s: float, upgrade: bool, figures: Figures
+    directory: str, interval_s: float, max_age_s: float, upgrade: bool, figures: StoreCounters
 ) -> tuple[Keeper | None, Snapshot | None]:
     """Recovery at the start: the store to write to (None: run without one) and the newest snapshot that may
     be used (None: start cold). Never raises; each reason to go without is one line.
--- a/cloverkeel/fleet/state/store.py
+++ b/cloverkeel/fleet/state/store.py
@@ -10,7 +10,7 @@
 import sqlite3
 
 from cloverkeel.fleet.events import event
-from cloverkeel.fleet.kept import Figures, Snapshot
+from cloverkeel.fleet.snapshot import StoreCounters, Snapshot
 from cloverkeel.fleet.state.codec import SCHEMA, encode
 from cloverkeel.fleet.state.file import (
     FILE,
@@ -54,7 +54,7 @@
 
     @classmethod
     def open(
-        cls, directory: str, lock_fd: int, figures: Figures, now_unix_s: float
+        cls, directory: str, lock_fd: int, figures: StoreCounters, now_unix_s: float
     ) -> tuple[Store, list[Snapshot]]:
         """Open the file under a lock already held, checking it first: one that fails is moved aside, and a
         new one is begun by `prepare`. Returns the store and the file's sound snapshots, newest first; it
--- a/cloverkeel/fleet/warm/median.py
+++ b/cloverkeel/fleet/warm/median.py
@@ -13,32 +13,32 @@
 from itertools import zip_longest
 from typing import TypeVar
 
-from caperdrift.interface import Learned, LearnedBreaker, LearnedServer
+from caperdrift.interface import LearnedState, LearnedBreaker, LearnedServer
 
 from cloverkeel.fleet import invariants
 
-LEAST_WEIGHT, MOST_WEIGHT = 0.05, 1.0  # of a controller's weight, as docs/coldstart.md bounds it
-SERVERS, RING = 10_000, 1_000  # of one answer, of one ring
-LONGEST_US = 3_600_000_000  # of a cooldown
+MIN_WEIGHT, MAX_WEIGHT = 0.05, 1.0  # of a controller's weight, as docs/coldstart.md bounds it
+MAX_SERVERS, MAX_RING = 10_000, 1_000  # of one answer, of one ring
+MAX_COOLDOWN_US = 3_600_000_000  # of a cooldown
 Number = TypeVar("Number", int, float)
-CLOSED = LearnedBreaker((), "closed", 0, 0)
+CLOSED_BREAKER = LearnedBreaker((), "closed", 0, 0)
 
 
-def checked(learned: Learned) -> Learned:
+def validate(learned: LearnedState) -> LearnedState:
     """The same, if a module could have learned it. Raises ValueError where not: numbers that are none, a host
     told twice, more than a list may have."""
-    if len(learned.servers) > SERVERS:
-        raise ValueError(f"{len(learned.servers)} servers, over the bound of {SERVERS}")
+    if len(learned.servers) > MAX_SERVERS:
+        raise ValueError(f"{len(learned.servers)} servers, over the bound of {MAX_SERVERS}")
     if len({server.server for server in learned.servers}) < len(learned.servers):
         raise ValueError("a server is told twice")
     figures = [*learned.smoothed_us, *learned.unhindered_us]
     for server in learned.servers:
-        figures += [server.weight, server.idle, *(weight for _, weight, _ in server.parts)]
-        if len({klass for klass, _, _ in server.parts}) < len(server.parts):
+        figures += [server.weight, server.idle, *(weight for _, weight, _ in server.by_class)]
+        if len({klass for klass, _, _ in server.by_class}) < len(server.by_class):
             raise ValueError(f"server {server.server} tells a class twice")
-        for breaker in (server.breaker, *(breaker for _, _, breaker in server.parts)):
+        for breaker in (server.breaker, *(breaker for _, _, breaker in server.by_class)):
             times = (breaker.open_left_us, breaker.cooldown_us)
-            if len(breaker.ring) > RING or not all(0 <= time_us <= LONGEST_US for time_us in times):
+            if len(breaker.ring) > MAX_RING or not all(0 <= time_us <= MAX_COOLDOWN_US for time_us in times):
                 raise ValueError(f"a breaker of server {server.server} is out of range")
     if not all(math.isfinite(figure) and figure >= 0.0 for figure in figures):
         raise ValueError("a figure is no number")
@@ -49,11 +49,11 @@
     return sorted(values)[(len(values) - 1) // 2]
 
 
-def bounded(weight: float) -> float:
-    return min(MOST_WEIGHT, max(LEAST_WEIGHT, weight))
+def clamp_weight(weight: float) -> float:
+    return min(MAX_WEIGHT, max(MIN_WEIGHT, weight))
 
 
-def combine(answers: Sequence[Learned]) -> Learned | None:
+def combine(answers: Sequence[LearnedState]) -> LearnedState | None:
     """One learned state of several neighbours' (`checked` before); None where nobody answered."""
     if not answers:
         return None
@@ -61,47 +61,49 @@
     for learned in answers:
         for server in learned.servers:
             told.setdefault((server.server, server.started_us), []).append(server)
-    servers = tuple(_server(same) for same in told.values() if len(same) > 1 or len(answers) == 1)
-    combined = Learned(
+    servers = tuple(_combine_server(same) for same in told.values() if len(same) > 1 or len(answers) == 1)
+    combined = LearnedState(
         servers,
-        _figures(learned.smoothed_us for learned in answers),
-        _figures(learned.unhindered_us for learned in answers),
+        _column_medians(learned.smoothed_us for learned in answers),
+        _column_medians(learned.unhindered_us for learned in answers),
     )
     if invariants.ON:
-        weights = [w for s in servers for w in (s.weight, *(part for _, part, _ in s.parts))]
-        invariants.check(
-            all(LEAST_WEIGHT <= w <= MOST_WEIGHT for w in weights), "restored weight out of range"
-        )
+        weights = [w for s in servers for w in (s.weight, *(part for _, part, _ in s.by_class))]
+        invariants.check(all(MIN_WEIGHT <= w <= MAX_WEIGHT for w in weights), "restored weight out of range")
     return combined
 
 
-def _figures(rows: Iterable[tuple[float, ...]]) -> tuple[float, ...]:
+def _column_medians(rows: Iterable[tuple[float, ...]]) -> tuple[float, ...]:
     """Column by column, of those that have it."""
     columns = zip_longest(*rows)
     return tuple(lower_median([value for value in column if value is not None]) for column in columns)
 
 
-def _server(same: list[LearnedServer]) -> LearnedServer:
+def _combine_server(same: list[LearnedServer]) -> LearnedServer:
     """What several say of one host."""
     parts: dict[int, list[tuple[float, LearnedBreaker]]] = {}
     for server in same:
-        for klass, weight, breaker in server.parts:
+        for klass, weight, breaker in server.by_class:
             parts.setdefault(klass, []).append((weight, breaker))
     return LearnedServer(
         same[0].server,
         same[0].started_us,
-        bounded(lower_median([server.weight for server in same])),
+        clamp_weight(lower_median([server.weight for server in same])),
         min(1.0, lower_median([server.idle for server in same])),
-        _breaker([server.breaker for server in same], len(same)),
+        _combine_breaker([server.breaker for server in same], len(same)),
         tuple(
-            (klass, bounded(lower_median([w for w, _ in told])), _breaker([b for _, b in told], len(same)))
+            (
+                klass,
+                clamp_weight(lower_median([w for w, _ in told])),
+                _combine_breaker([b for _, b in told], len(same)),
+            )
             for klass, told in sorted(parts.items())
             if len(told) > 1 or len(same) == 1
         ),
     )
 
 
-def _breaker(told: list[LearnedBreaker], knowing: int) -> LearnedBreaker:
+def _combine_breaker(told: list[LearnedBreaker], knowing: int) -> LearnedBreaker:
     """`knowing`: how many know the host; one that has no breaker for a class holds none open."""
     opened = [breaker for breaker in told if breaker.state != "closed"]
     if len(opened) > 1 and 2 * len(opened) > knowing:
@@ -109,7 +111,7 @@
         return LearnedBreaker((), "open", left_us, lower_median([b.cooldown_us for b in opened]))
     rings = [breaker.ring for breaker in told if breaker.state == "closed"]
     if len(told) < 2 or 2 * len(rings) <= knowing:
-        return CLOSED
+        return CLOSED_BREAKER
     # By the share that failed, none seen as none failed: the median is no worse than an honest one.
     rings.sort(key=lambda ring: sum(ring) / len(ring) if ring else 0.0)
     return LearnedBreaker(rings[(len(rings) - 1) // 2], "closed", 0, 0)
--- a/cloverkeel/fleet/warm/neighbours.py
+++ b/cloverkeel/fleet/warm/neighbours.py
@@ -7,22 +7,24 @@
 import time
 from typing import TYPE_CHECKING, Any
 
-from caperdrift.interface import Learned
+from caperdrift.interface import LearnedState
 
 from cloverkeel.fleet.events import event
-from cloverkeel.fleet.kept import Snapshot
+from cloverkeel.fleet.snapshot import Snapshot
 from cloverkeel.fleet.membership.calls import CallFailed
 from cloverkeel.fleet.membership.service import Membership
 from cloverkeel.fleet.state.codec import decode, encode
-from cloverkeel.fleet.warm.median import checked, combine
+from cloverkeel.fleet.warm.median import validate, combine
 
 if TYPE_CHECKING:
     from cloverkeel.gateway import Gateway
 
-GET = "learned.get"
-NEIGHBOURS = 3
-TRIED = 12  # members that are tried for these: after a crash of many most are gone, and not yet missed
-STEADY_S = 5.0  # a gateway that has served for less has learned nothing worth telling
+LEARNED_GET = "learned.get"
+MAX_ANSWERS = 3
+MAX_CANDIDATES = (
+    12  # members that are tried for these: after a crash of many most are gone, and not yet missed
+)
+MIN_SERVED_S = 5.0  # a gateway that has served for less has learned nothing worth telling
 
 
 class Neighbours:
@@ -32,22 +34,22 @@
         self.membership, self.gateway = membership, gateway
         self.rng = rng or random.Random()
         self.loop = asyncio.get_running_loop()
-        self.since_s = self.loop.time()
-        self.answers = 0
-        membership.calls.serve(GET, self._on_get)
+        self.started_s = self.loop.time()
+        self.answer_count = 0
+        membership.calls.serve(LEARNED_GET, self._on_get)
 
     @property
-    def classes(self) -> list[str]:
+    def class_names(self) -> list[str]:
         """The names behind the classes' numbers."""
-        return [name.decode("latin-1") for name in self.gateway.names.by_class]
+        return [name.decode("latin-1") for name in self.gateway.names.class_names]
 
     def _on_get(self, peer: str, raw: Any) -> dict[str, Any] | None:
-        if self.loop.time() < self.since_s + STEADY_S:
+        if self.loop.time() < self.started_s + MIN_SERVED_S:
             return None
-        learned = self.gateway.balancer.learned()
-        return {"classes": self.classes, "learned": encode(Snapshot(time.time(), learned))}
+        learned = self.gateway.balancer.learned_state()
+        return {"classes": self.class_names, "learned": encode(Snapshot(time.time(), learned))}
 
-    async def within(self, wait_s: float) -> Learned | None:
+    async def gather(self, wait_s: float) -> LearnedState | None:
         """The median of what those told that answered within `wait_s`; None: nobody has. In the place of one
         that cannot be reached another is asked."""
         others = [r for r in self.membership.live() if r.name != self.membership.name]
@@ -55,40 +57,40 @@
         if not near:
             return None
         end_s = self.loop.time() + wait_s
-        candidates = iter(self.rng.sample(near, min(TRIED, len(near))))
+        candidates = iter(self.rng.sample(near, min(MAX_CANDIDATES, len(near))))
 
-        async def one() -> Learned | None:
+        async def one() -> LearnedState | None:
             for r in candidates:
                 try:
-                    return await self._ask(r.name, r.address, end_s - self.loop.time())
+                    return await self._fetch(r.name, r.address, end_s - self.loop.time())
                 except CallFailed:
                     continue
             return None
 
-        asked = [self.loop.create_task(one()) for _ in range(min(NEIGHBOURS, len(near)))]
+        asked = [self.loop.create_task(one()) for _ in range(min(MAX_ANSWERS, len(near)))]
         done, late = await asyncio.wait(asked, timeout=wait_s)
         for task in late:
             task.cancel()
         answers = [learned for task in done if (learned := task.result()) is not None]
-        self.answers = len(answers)
+        self.answer_count = len(answers)
         return combine(answers)
 
-    async def _ask(self, name: str, address: str, wait_s: float) -> Learned | None:
+    async def _fetch(self, name: str, address: str, wait_s: float) -> LearnedState | None:
         """None where it has nothing of use. Raises CallFailed where it cannot be reached."""
         try:
-            raw = await self.membership.calls.call(address, GET, None, wait_s)
-            return self._read(raw) if raw is not None else None
+            raw = await self.membership.calls.call(address, LEARNED_GET, None, wait_s)
+            return self._decode_answer(raw) if raw is not None else None
         except ValueError as error:
             event("warm.refused", peer=name, reason=str(error)[:200])
             return None
 
-    def _read(self, raw: object) -> Learned:
+    def _decode_answer(self, raw: object) -> LearnedState:
         """Raises ValueError for what is no learned state. Where the classes have other numbers there, only
         what is known of hosts is used."""
         if not isinstance(raw, dict) or not isinstance(raw.get("learned"), bytes):
             raise ValueError(f"no learned state: {raw!r:.40}")
-        learned = checked(decode(raw["learned"]).learned)
-        if raw.get("classes") == self.classes:
+        learned = validate(decode(raw["learned"]).learned)
+        if raw.get("classes") == self.class_names:
             return learned
         servers = tuple(type(s)(s.server, s.started_us, s.weight, s.idle, s.breaker) for s in learned.servers)
-        return Learned(servers, (), ())
+        return LearnedState(servers, (), ())
--- a/cloverkeel/front/requests.py
+++ b/cloverkeel/front/requests.py
@@ -12,7 +12,7 @@
 from cloverkeel.config import Config, stable_id
 from cloverkeel.pending import Call
 from cloverkeel.hosts.connection import HostConnection
-from cloverkeel.http1 import Header, Reply, end_to_end, header
+from cloverkeel.http1 import Header, Reply, end_to_end_headers, header
 from cloverkeel.streams import Upload
 
 if TYPE_CHECKING:
@@ -20,8 +20,8 @@
     from cloverkeel.transforms.active import ActiveSet, Refused
 
 NO_TENANT = -1  # a caller that the settings do not name: the first tenant must not answer for it
-NOT_PASSED_ON = frozenset({b"x-budget-ms"})
-NOT_PASSED_BACK = frozenset({b"x-load-report", b"x-rejected"})
+UNFORWARDED_REQUEST_HEADERS = frozenset({b"x-budget-ms"})
+UNFORWARDED_RESPONSE_HEADERS = frozenset({b"x-load-report", b"x-rejected"})
 
 
 class RequestError(ValueError):
@@ -37,8 +37,21 @@
     """One request as it was read; `fault` tells what is wrong with it."""
 
     __slots__ = (
-        "answered", "body", "came_under", "compared", "expects_since_s", "fault", "headers",
-        "is_old", "keep_alive", "method", "target", "transform", "upload", "waits_since_us", "whole",
+        "answered",
+        "arrival_config",
+        "awaits_continue_since_s",
+        "body",
+        "complete",
+        "error",
+        "headers",
+        "is_http10",
+        "keep_alive",
+        "method",
+        "queued_since_us",
+        "report_outcome",
+        "target",
+        "transform_response",
+        "upload",
     )  # fmt: skip
 
     def __init__(self) -> None:
@@ -47,19 +60,25 @@
         self.headers: list[Header] = []
         self.body: list[bytes] = []
         self.keep_alive = False
-        self.is_old = False  # HTTP/1.0
-        self.expects_since_s = 0.0  # since when its client waits for word to send its body; 0: it does not
-        self.whole = False
-        self.waits_since_us = 0  # since when, whole, for others on its connection to be answered; 0: for none
-        self.came_under: Config | None = None  # in force when it began to wait; None: it did not
+        self.is_http10 = False  # HTTP/1.0
+        self.awaits_continue_since_s = (
+            0.0  # since when its client waits for word to send its body; 0: it does not
+        )
+        self.complete = False
+        self.queued_since_us = (
+            0  # since when, whole, for others on its connection to be answered; 0: for none
+        )
+        self.arrival_config: Config | None = None  # in force when it began to wait; None: it did not
         self.answered = False  # before its body had come: the rest is read and dropped
         self.upload: Upload | None = None  # the rest of a body too long to be held
-        self.fault: RequestError | None = None
-        self.transform: Callable[[list[Header]], list[Header] | Refused] | None = None  # of its answer
-        self.compared: Callable[[bool], None] | None = None  # to be told whether hosts failed it
+        self.error: RequestError | None = None
+        self.transform_response: Callable[[list[Header]], list[Header] | Refused] | None = (
+            None  # of its answer
+        )
+        self.report_outcome: Callable[[bool], None] | None = None  # to be told whether hosts failed it
 
 
-class Answers(Protocol):
+class ResponseWriter(Protocol):
     """Who writes a request's answer."""
 
     def on_served(self, request: Request, reply: Reply) -> None: ...
@@ -72,11 +91,11 @@
     def check_gone(self) -> bool: ...
 
 
-def read_call(
+def build_call(
     config: Config,
     request: Request,
     path: bytes,
-    answers: Answers,
+    answers: ResponseWriter,
     active: ActiveSet | None = None,
     routes: Serving | None = None,
 ) -> Call:
@@ -101,30 +120,30 @@
     id_ = headers.get(b"x-call-id")
     if not id_:
         raise RequestError(400, "no X-Call-Id")
-    budget_ms = _whole(headers.get(b"x-budget-ms"), "X-Budget-Ms")
-    passing = end_to_end(request.headers, NOT_PASSED_ON)
+    budget_ms = _parse_integer(headers.get(b"x-budget-ms"), "X-Budget-Ms")
+    passing = end_to_end_headers(request.headers, UNFORWARDED_REQUEST_HEADERS)
     route = None
     if routes is not None:
         route = routes.find(parts[0], headers.get(b"x-caller", b""), path)
         if active is not None and route is not None and route.chain is not None:
             active = active.chained(route.chain)
     if active is not None:
-        passing = transformed(request, active, passing, headers, parts[0], path)
+        passing = transform_request(request, active, passing, headers, parts[0], path)
     patience_us = settings.give_up_us if budget_ms is None else budget_ms * 1000
-    if request.waits_since_us:  # its time began when it came
-        patience_us = max(0, patience_us - (now_us() - request.waits_since_us))
+    if request.queued_since_us:  # its time began when it came
+        patience_us = max(0, patience_us - (now_us() - request.queued_since_us))
     body = b"".join(request.body)
     request.body.clear()
     return Call(
         id=id_.decode("latin-1"),
         klass=klass,
-        patience_us=patience_us,
+        client_timeout_us=patience_us,
         key=stable_id(parts[-1], 8) if len(parts) > 1 else None,
-        work_us=_whole(headers.get(b"x-call-cost"), "X-Call-Cost"),
+        work_us=_parse_integer(headers.get(b"x-call-cost"), "X-Call-Cost"),
         is_retry=headers.get(b"x-again") == b"1",
         tenant=names.tenants.get(headers.get(b"x-caller", b""), NO_TENANT),
-        head=_head(request, passing, body),
-        body=body if request.upload is None else request.upload.framed(body),
+        head=_build_head(request, passing, body),
+        body=body if request.upload is None else request.upload.frame(body),
         upload=request.upload,
         on_served=partial(answers.on_served, request),
         on_begun=partial(answers.on_begun, request),
@@ -133,12 +152,12 @@
         on_broken=partial(answers.on_broken, request),
         on_refused=partial(answers.on_refused, request),
         on_failed=partial(answers.on_failed, request),
-        is_gone=answers.check_gone,
+        is_client_gone=answers.check_gone,
         route=route.number if route is not None else 0,
     )
 
 
-def transformed(
+def transform_request(
     request: Request,
     active: ActiveSet,
     passing: list[Header],
@@ -152,27 +171,27 @@
     if not isinstance(changed, list):
         raise RequestError(502, f"transform {changed.name} failed")
     if active.has_response:
-        request.transform = partial(active.response, klass, caller, path, call_id=id_)
+        request.transform_response = partial(active.response, klass, caller, path, call_id=id_)
     if active.compares:
-        request.compared = partial(active.answered, klass, caller, path, id_)
+        request.report_outcome = partial(active.answered, klass, caller, path, id_)
     return changed
 
 
-def passed_back(request: Request, reply: Reply) -> list[Header] | None:
+def response_headers(request: Request, reply: Reply) -> list[Header] | None:
     """An answer's headers as the client gets them; None: a transform that must not be left out failed."""
-    headers = end_to_end(reply.headers, NOT_PASSED_BACK)
-    if request.transform is None:
+    headers = end_to_end_headers(reply.headers, UNFORWARDED_RESPONSE_HEADERS)
+    if request.transform_response is None:
         return headers
-    changed = request.transform(headers)
+    changed = request.transform_response(headers)
     return changed if isinstance(changed, list) else None
 
 
-def kept_for(request: Request, headers: list[Header], last: bool) -> list[Header]:
+def with_keep_alive(request: Request, headers: list[Header], last: bool) -> list[Header]:
     """An old client is told that its connection stays open."""
-    return headers if last or not request.is_old else [*headers, (b"Connection", b"keep-alive")]
+    return headers if last or not request.is_http10 else [*headers, (b"Connection", b"keep-alive")]
 
 
-def _whole(text: bytes | None, name: str) -> int | None:
+def _parse_integer(text: bytes | None, name: str) -> int | None:
     if text is None:
         return None
     if not text.isdigit() or len(text) > 15:
@@ -180,7 +199,7 @@
     return int(text)
 
 
-def _head(request: Request, headers: list[Header], body: bytes) -> bytes:
+def _build_head(request: Request, headers: list[Header], body: bytes) -> bytes:
     """What goes on to a host, all but the budget and the empty line."""
     lines = [b"%s %s HTTP/1.1" % (request.method, request.target)]
     lines += [b"%s: %s" % pair for pair in headers]
--- a/cloverkeel/gateway.py
+++ b/cloverkeel/gateway.py
@@ -44,69 +44,73 @@
 from cloverkeel.clock import now_us
 from cloverkeel.config import Config
 from cloverkeel.discovery import Discovery
-from cloverkeel.entries import Entry
-from cloverkeel.fleet.kept import Figures, Snapshot
+from cloverkeel.host_entries import HostEntry
+from cloverkeel.fleet.snapshot import StoreCounters, Snapshot
 from cloverkeel.pending import Call, PendingRequest
-from cloverkeel.hosts.attempt import Attempt, load_of
+from cloverkeel.hosts.attempt import Attempt, parse_load_report
 from cloverkeel.hosts.pool import Pools
 from cloverkeel.http1 import Reply, log
-from cloverkeel.listed import Lists, take_list
+from cloverkeel.host_list import ListSource, apply_list
 from cloverkeel.probing import probe
-from cloverkeel.streams import Buffer
+from cloverkeel.streams import ReadBuffer
 from cloverkeel.telemetry import Result, Telemetry
 
 if TYPE_CHECKING:
     from cloverkeel.fleet.routes.serving import Serving
     from cloverkeel.transforms.active import ActiveSet
 
-NONE: Mapping[str, int] = {}
+NO_METRICS: Mapping[str, int] = {}
 
 
 class Gateway:
-    def __init__(self, config: Config, warm: Snapshot | None = None, kept: Figures | None = None) -> None:
+    def __init__(
+        self, config: Config, warm: Snapshot | None = None, kept: StoreCounters | None = None
+    ) -> None:
         self.loop = asyncio.get_running_loop()
         self.settings, self.names = config.settings, config.names
         self.telemetry = Telemetry()
-        for klass in self.names.by_class:
-            self.telemetry.know(klass)
+        for klass in self.names.class_names:
+            self.telemetry.add_class(klass)
         self.balancer = Balancer(config.settings, config.seed)
         if os.environ.get("LB_CHECK") == "1":
-            from caperdrift.checks import watch  # not loaded at a start that does not ask for it
+            from caperdrift.checks import attach_checks  # not loaded at a start that does not ask for it
 
-            watch(self.balancer, config.seed, log)
-        self.buffer = Buffer(config.memory_mb)
+            attach_checks(self.balancer, config.seed, log)
+        self.buffer = ReadBuffer(config.memory_mb)
         self.pools = Pools(config.settings, self.telemetry, self.buffer)
         pushed = config.settings.list_is_pushed
         stop_sending_s = config.settings.stop_sending_within_us / 1e6
         self.discovery = Discovery(config.discovery, config.names, self.on_list, pushed, stop_sending_s)
-        self.lists: Lists = self.discovery  # what the module's own wishes for lists go to
+        self.lists: ListSource = self.discovery  # what the module's own wishes for lists go to
         self.events: deque[Callable[[], Event | None]] = deque()
         self.handling = False
         self.pending: dict[str, PendingRequest] = {}
         self.closed = False
         self.known = config.known
-        self.warm, self.kept = warm, kept  # what the state store had, and what it has done
+        self.warm, self.store_counters = warm, kept  # what the state store had, and what it has done
         self.transforms: ActiveSet | None = None  # replaced whole; a call keeps the one it came under
         self.routes: Serving | None = None  # of many teams; None: requests have no route
-        self.on_attempt: Callable[[int, Outcome, int], None] | None = None  # server, how it ended, latency_us
-        self.listed: dict[int, dict[str, Any]] = {}  # the hosts of the list as discovery gave them
+        self.on_attempt_ended: Callable[[int, Outcome, int], None] | None = (
+            None  # server, how it ended, latency_us
+        )
+        self.listed_hosts: dict[int, dict[str, Any]] = {}  # the hosts of the list as discovery gave them
 
     def snapshot(self) -> Snapshot:
         """What this process knows, for the state store: no I/O; about 0.3 ms for 200 hosts."""
-        endpoints = list(self.listed.values())
+        endpoints = list(self.listed_hosts.values())
         known = {"index": self.discovery.index or 0, "snapshot": True, "endpoints": endpoints}
         if self.discovery.epoch is not None:
             known["epoch"] = self.discovery.epoch
-        return Snapshot(time.time(), self.balancer.learned(), known, self.names.by_class)
+        return Snapshot(time.time(), self.balancer.learned_state(), known, self.names.class_names)
 
     def start(self) -> None:
         """Begin with the list from before, and ask for a newer one when the module says so; then take up what
         the process before learned, where the state store has it."""
         warm = self.warm
-        self.discovery.take_known(self.known or (warm.known if warm is not None else {}))
+        self.discovery.load_known_list(self.known or (warm.known if warm is not None else {}))
         if warm is not None:
             age_us = max(0, int((time.time() - warm.taken_unix_s) * 1e6))
-            restore = Restore(warm.learned_for(self.names.by_class), age_us)
+            restore = Restore(warm.learned_for(self.names.class_names), age_us)
             self.post(lambda: restore)
 
     @property
@@ -114,30 +118,32 @@
         """Whether there is any host to send to."""
         return bool(self.pools.hosts)
 
-    def figures(self, counters: Mapping[str, int] = NONE, gauges: Mapping[str, int] = NONE) -> bytes:
+    def render_metrics(
+        self, counters: Mapping[str, int] = NO_METRICS, gauges: Mapping[str, int] = NO_METRICS
+    ) -> bytes:
         """What operators read, as it is now, with figures of other parts."""
         return self.telemetry.render(
             {
                 "in_progress": sum(each.is_in_progress for each in self.pending.values()),
                 "known_hosts": len(self.pools.hosts),
-                "skipped_hosts": self.balancer.skipped(now_us()),
+                "skipped_hosts": self.balancer.count_skipped(now_us()),
                 **gauges,
             },
-            {**(self.kept.counters() if self.kept is not None else {}), **counters},
+            {**(self.store_counters.counters() if self.store_counters is not None else {}), **counters},
         )
 
     def reconfigure(self, config: Config) -> None:
         """Go by another configuration, numbered like the one before."""
         self.settings, self.names = config.settings, config.names
-        for klass in self.names.by_class:
-            self.telemetry.know(klass)
+        for klass in self.names.class_names:
+            self.telemetry.add_class(klass)
         self.pools.settings = config.settings
-        self.buffer.limit(config.memory_mb)
+        self.buffer.set_memory_limit(config.memory_mb)
         event = SettingsChanged(config.settings)
         self.post(lambda: event)
         self.discovery.names, self.discovery.pushed = config.names, config.settings.list_is_pushed
         self.discovery.stop_sending_s = config.settings.stop_sending_within_us / 1e6
-        self.discovery.move(config.discovery)
+        self.discovery.change_address(config.discovery)
         if self.routes is not None:
             self.routes.follow()
 
@@ -170,34 +176,34 @@
             log(f"the module failed at {event!r}\n{traceback.format_exc()}")
             actions = [Fail(event.request)] if isinstance(event, RequestArrived | AttemptEnded) else []
         for action in actions:
-            self.carry_out(action)
+            self.execute(action)
 
-    def arrive(self, call: Call) -> bool:
+    def accept(self, call: Call) -> bool:
         """Take a request; False if one with its id is pending already."""
         if call.id in self.pending:
             return False
-        pending = PendingRequest(call, now_us() + call.patience_us, self.settings.max_attempts)
-        pending.is_open = call.upload is not None
+        pending = PendingRequest(call, now_us() + call.client_timeout_us, self.settings.max_attempts)
+        pending.body_incomplete = call.upload is not None
         self.pending[call.id] = pending
         event = RequestArrived(
             call.id,
             call.klass,
-            call.patience_us,
+            call.client_timeout_us,
             call.key,
             call.work_us,
             call.is_retry,
             call.tenant,
-            pending.is_open,
+            pending.body_incomplete,
             call.route,
-            call.rules,
+            call.class_settings,
         )
         self.post(lambda: event)
         return True
 
-    def leave(self, id_: str) -> None:
+    def client_gone(self, id_: str) -> None:
         """The client has gone; nothing is owed to it."""
         pending = self.pending.get(id_)
-        if pending is None or pending.closed:
+        if pending is None or pending.finished:
             return
         self.finish(id_, pending, None)
         self.post(lambda: RequestGone(id_))
@@ -206,29 +212,29 @@
             # source or no reader any more cannot go on.
             if attempt is None or attempt.ended:
                 continue
-            if attempt is not pending.begun and not self.pools.is_written(attempt):
-                self.pools.cancel(attempt, Outcome.MOOT)
-            elif attempt is pending.begun or attempt.upload is not None:
+            if attempt is not pending.streaming_attempt and not self.pools.is_written(attempt):
+                self.pools.cancel(attempt, Outcome.NOT_SENT)
+            elif attempt is pending.streaming_attempt or attempt.upload is not None:
                 self.pools.cancel(attempt)
 
     def body_ended(self, id_: str) -> None:
         """The last byte of a long body has come."""
         pending = self.pending.get(id_)
-        if pending is None or not pending.is_open:
+        if pending is None or not pending.body_incomplete:
             return
-        pending.is_open = False
-        pending.deadline_us = now_us() + pending.call.patience_us
+        pending.body_incomplete = False
+        pending.deadline_us = now_us() + pending.call.client_timeout_us
         if pending.call.upload is not None:
             pending.call.upload.end()
-        if not pending.closed:
+        if not pending.finished:
             self.post(lambda: BodyEnded(id_))
 
-    def on_list(self, kind: ListKind, entries: list[Entry]) -> None:
-        self.post(lambda: take_list(self.pools, self.listed, kind, entries))
+    def on_list(self, kind: ListKind, entries: list[HostEntry]) -> None:
+        self.post(lambda: apply_list(self.pools, self.listed_hosts, kind, entries))
 
     # Actions out
 
-    def carry_out(self, action: Action) -> None:
+    def execute(self, action: Action) -> None:
         match action:
             case Send():
                 self.send(action)
@@ -238,11 +244,11 @@
                 event = TimerFired(action.token)
                 self.loop.call_later(delay_s, self.post, lambda: event)
             case Refuse():
-                pending = self.owed(action.request, Result.DROPPED)
+                pending = self.finish_unanswered(action.request, Result.DROPPED)
                 if pending is not None:
                     pending.call.on_refused(action.retry_after_us)
             case Fail():
-                pending = self.owed(action.request, Result.BAD_GATEWAY)
+                pending = self.finish_unanswered(action.request, Result.BAD_GATEWAY)
                 if pending is not None:
                     pending.call.on_failed(pending.timed_out)
             case Cancel():
@@ -260,20 +266,20 @@
             case _:
                 log(f"not carried out: {action!r}")
 
-    def owed(self, id_: str, result: Result) -> PendingRequest | None:
+    def finish_unanswered(self, id_: str, result: Result) -> PendingRequest | None:
         """The request, if it still waits for its final answer, which it has from now on."""
         pending = self.pending.get(id_)
-        if pending is None or pending.closed:
+        if pending is None or pending.finished:
             return None
         self.finish(id_, pending, result)
         return pending
 
     def finish(self, id_: str, pending: PendingRequest, result: Result | None) -> None:
         """Nothing is owed from now on; None: the client has gone, and nothing is counted."""
-        pending.closed = True
+        pending.finished = True
         if result is not None:
-            self.telemetry.count(self.names.by_class[pending.call.klass], result)
-        if pending.out == 0:
+            self.telemetry.count(self.names.class_names[pending.call.klass], result)
+        if pending.in_flight == 0:
             del self.pending[id_]
 
     def send(self, action: Send) -> None:
@@ -285,9 +291,14 @@
         left_us = pending.deadline_us - now_us()
         wait_us = min(action.timeout_us, left_us) if action.timeout_us else left_us
         ends_us = now_us() + wait_us
-        if host is None or not self.may_begin(pending) or wait_us <= 0 or number >= pending.max_attempts:
+        if (
+            host is None
+            or not self.may_start_attempt(pending)
+            or wait_us <= 0
+            or number >= pending.max_attempts
+        ):
             pending.attempts.append(None)
-            self.post(lambda: self.moot(action, number))
+            self.post(lambda: self.unsent_attempt(action, number))
             return
 
         def on_end(attempt: Attempt, outcome: Outcome, reply: Reply | None) -> None:
@@ -298,8 +309,8 @@
             return b"%sX-Budget-Ms: %d\r\n\r\n%s" % (pending.call.head, left_ms, pending.call.body)
 
         def on_begin(attempt: Attempt, reply: Reply) -> Callable[[bytes], None] | None:
-            self.post(lambda: self.answer_begun(pending, number, attempt, reply))
-            return pending.call.on_piece if pending.begun is attempt else None
+            self.post(lambda: self.response_begun(pending, number, attempt, reply))
+            return pending.call.on_piece if pending.streaming_attempt is attempt else None
 
         def on_passing() -> None:
             pending.call.body = b""  # no further attempt will need it
@@ -307,32 +318,33 @@
 
         upload = pending.call.upload
         attempt = Attempt(
-            host, payload, on_end, on_begin=on_begin, upload=upload, on_passing=on_passing,
-            is_wanted=lambda: self.may_begin(pending), left_us=lambda: pending.deadline_us - now_us(),
+            host, payload, on_end, on_response_begin=on_begin, upload=upload, on_upload_started=on_passing,
+            is_wanted=lambda: self.may_start_attempt(pending),
+            remaining_us=lambda: pending.deadline_us - now_us(),
         )  # fmt: skip
         pending.attempts.append(attempt)
-        pending.out += 1
-        if action.latest_us:
+        pending.in_flight += 1
+        if action.write_deadline_us:
             for earlier in pending.attempts:  # one whose connection is still coming up would be the repeat
                 if earlier is not None:
-                    self.pools.limit(earlier, action.latest_us)
+                    self.pools.set_write_deadline(earlier, action.write_deadline_us)
         self.pools.send(attempt, wait_us)
 
-    def may_begin(self, pending: PendingRequest) -> bool:
+    def may_start_attempt(self, pending: PendingRequest) -> bool:
         """Whether an attempt may still begin: nothing has been answered, and the client is there."""
-        return not pending.closed and not pending.call.is_gone()
+        return not pending.finished and not pending.call.is_client_gone()
 
-    def moot(self, action: Send, number: int) -> Event:
+    def unsent_attempt(self, action: Send, number: int) -> Event:
         pending = self.pending.get(action.request)
-        finished = pending is None or pending.closed
-        return AttemptEnded(action.request, number, action.server, Outcome.MOOT, 0, finished)
+        finished = pending is None or pending.finished
+        return AttemptEnded(action.request, number, action.server, Outcome.NOT_SENT, 0, finished)
 
-    def answer_begun(
+    def response_begun(
         self, pending: PendingRequest, number: int, attempt: Attempt, reply: Reply
     ) -> Event | None:
-        if pending.closed or pending.begun is not None or attempt.connection is None:
+        if pending.finished or pending.streaming_attempt is not None or attempt.connection is None:
             return None
-        pending.begun = attempt
+        pending.streaming_attempt = attempt
         pending.call.on_begun(reply, attempt.connection)
         return StreamStarted(pending.call.id, number)
 
@@ -340,20 +352,26 @@
         self, pending: PendingRequest, number: int, attempt: Attempt, outcome: Outcome, reply: Reply | None
     ) -> Event:
         id_ = pending.call.id
-        pending.out -= 1
+        pending.in_flight -= 1
         pending.timed_out = outcome is Outcome.TIMEOUT
-        if pending.begun is attempt and not pending.closed:
+        if pending.streaming_attempt is attempt and not pending.finished:
             self.finish(id_, pending, Result.PASSED if outcome is Outcome.OK else Result.BAD_GATEWAY)
             (pending.call.on_ended if outcome is Outcome.OK else pending.call.on_broken)()
-        elif not pending.closed and outcome is Outcome.OK and reply is not None:
+        elif not pending.finished and outcome is Outcome.OK and reply is not None:
             self.finish(id_, pending, Result.PASSED)
             pending.call.on_served(reply)
-        elif pending.closed and pending.out == 0:
+        elif pending.finished and pending.in_flight == 0:
             self.pending.pop(id_, None)
-        if self.on_attempt is not None:
-            self.on_attempt(attempt.host.id, outcome, attempt.latency_us)
+        if self.on_attempt_ended is not None:
+            self.on_attempt_ended(attempt.host.id, outcome, attempt.latency_us)
         return AttemptEnded(
-            id_, number, attempt.host.id, outcome, attempt.latency_us, pending.closed, load_of(reply)
+            id_,
+            number,
+            attempt.host.id,
+            outcome,
+            attempt.latency_us,
+            pending.finished,
+            parse_load_report(reply),
         )
 
     def cancel(self, action: Cancel) -> None:
--- a/cloverkeel/hosts/attempt.py
+++ b/cloverkeel/hosts/attempt.py
@@ -27,20 +27,22 @@
     on_end: Callable[[Attempt, Outcome, Reply | None], None]
     is_probe: bool = False
     # A long answer begins: returns what takes its pieces, or None if nobody does.
-    on_begin: Callable[[Attempt, Reply], Callable[[bytes], None] | None] = lambda attempt, reply: None
-    left_us: Callable[[], int] = lambda: 0  # of its client's time
+    on_response_begin: Callable[[Attempt, Reply], Callable[[bytes], None] | None] = (
+        lambda attempt, reply: None
+    )
+    remaining_us: Callable[[], int] = lambda: 0  # of its client's time
     upload: Upload | None = None  # the rest of a long body
-    on_passing: Callable[[], None] = lambda: None  # what was held of it has gone on
+    on_upload_started: Callable[[], None] = lambda: None  # what was held of it has gone on
     is_wanted: Callable[[], bool] = lambda: True  # asked right before it is written; may call it off
-    latest_us: int = 0  # its last byte may be written up to then; 0: any time
+    write_deadline_us: int = 0  # its last byte may be written up to then; 0: any time
     timeout_us: int = 0
     sent_us: int = 0  # with a long body: its last byte
     latency_us: int = 0
-    begun_us: int = 0  # when its long answer did
+    response_begun_us: int = 0  # when its long answer did
     connection: HostConnection | None = None
-    opening: asyncio.Task[object] | None = None
+    connect_task: asyncio.Task[object] | None = None
     timers: list[asyncio.TimerHandle] = field(default_factory=list)
-    holding: asyncio.TimerHandle | None = None  # one of them
+    defer_timer: asyncio.TimerHandle | None = None  # one of them
     ended: bool = False
 
 
@@ -52,7 +54,7 @@
     return Outcome.ERROR
 
 
-def load_of(reply: Reply | None) -> LoadReport | None:
+def parse_load_report(reply: Reply | None) -> LoadReport | None:
     """The load report that came with an answer; what cannot be read is as good as none."""
     text = header(reply.headers, b"x-load-report") if reply is not None else None
     if text is None:
--- a/cloverkeel/hosts/connection.py
+++ b/cloverkeel/hosts/connection.py
@@ -27,7 +27,7 @@
         "flushed",
         "host",
         "idle_since_us",
-        "moved_us",
+        "last_progress_us",
         "on_piece",
         "poll",
         "pools",
@@ -43,7 +43,7 @@
         self.replies = ReplyReader(BODY_LIMIT, wants_long=True)
         self.on_piece: Callable[[bytes], None] | None = None  # of the long answer that passes
         self.upload: Upload | None = None  # the long body that passes
-        self.moved_us = 0  # when a long body last did
+        self.last_progress_us = 0  # when a long body last did
         self.flushed = True  # what was written is with the kernel
         self.idle_since_us = 0
         self.closed = False  # its descriptor is given back
@@ -56,7 +56,7 @@
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
         self.pools.on_connected(self)
 
-    def is_fresh(self) -> bool:
+    def is_quiet(self) -> bool:
         """False once the host has closed it, or said something unasked, seen by the loop or not yet.
 
         Guards against writing a request to a connection that the host has closed: it would end as a reset,
@@ -80,13 +80,13 @@
         """Whether the last byte of the request is with the kernel."""
         return self.flushed and (self.upload is None or self.upload.ended)
 
-    def write_on(self, data: bytes, ended: bool) -> None:
+    def write_body(self, data: bytes, ended: bool) -> None:
         """A further piece of a long body; broken connections are found out by reading."""
-        self.moved_us = now_us()
+        self.last_progress_us = now_us()
         if data and self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
         if ended:
-            self.pools.bodies.on_body_end(self)
+            self.pools.bodies.on_request_body_end(self)
 
     def pause_reading(self) -> None:
         """Read no more for now: the answer's reader is slower."""
@@ -94,7 +94,7 @@
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
-        self.moved_us = now_us()
+        self.last_progress_us = now_us()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
@@ -107,30 +107,32 @@
 
     def resume_writing(self) -> None:
         self.flushed = True
-        self.moved_us = now_us()
+        self.last_progress_us = now_us()
         if self.is_written:
             self.pools.on_written(self)
         elif self.upload is not None:
-            self.upload.on_room()
+            self.upload.on_writable()
 
     def get_buffer(self, sizehint: int) -> memoryview:
         buffer = self.pools.buffer
-        return buffer.for_long() if self.on_piece is not None else buffer.view
+        return buffer.streamed_view() if self.on_piece is not None else buffer.view
 
     def buffer_updated(self, nbytes: int) -> None:
         try:
             reply = self.replies.feed(bytes(self.pools.buffer.view[:nbytes]))
         except ReplyError:
-            self.pools.on_garbage(self)
+            self.pools.on_malformed_reply(self)
             return
         if self.attempt is None:
             self.close()
-        elif self.replies.begun is not None and not self.pools.bodies.pass_on(self, self.replies.begun):
+        elif self.replies.streamed_head is not None and not self.pools.bodies.forward_response(
+            self, self.replies.streamed_head
+        ):
             return
         elif reply is not None:
             self.pools.on_reply(self, reply)
-        elif self.replies.is_unsized and self.on_piece is None:
-            self.pools.bodies.hold(self)
+        elif self.replies.is_length_unknown and self.on_piece is None:
+            self.pools.bodies.defer_streaming(self)
 
     def eof_received(self) -> None:
         reply = self.replies.feed_eof()
@@ -138,4 +140,4 @@
             self.pools.on_reply(self, reply)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.pools.on_lost(self)
+        self.pools.on_connection_lost(self)
--- a/cloverkeel/hosts/host.py
+++ b/cloverkeel/hosts/host.py
@@ -19,9 +19,9 @@
     name: str
     address: Address
     started_us: int = 0  # as discovery tells it
-    drained_us: int | None = None  # when this gateway was told that it drains or is gone
+    draining_since_us: int | None = None  # when this gateway was told that it drains or is gone
     idle: list[HostConnection] = field(default_factory=list)  # the most recently used last
-    open: int = 0  # connections up or coming up
+    open_connections: int = 0  # connections up or coming up
 
 
 @dataclass(slots=True)
--- a/cloverkeel/http1.py
+++ b/cloverkeel/http1.py
@@ -13,8 +13,8 @@
 BODY_LIMIT = 64 * 1024  # of a body that is held whole
 HEAD_LIMIT = 64 * 1024
 LINGER_S = 1.0  # for the other side to read what was written, and to end too
-UNREAD_S = 30.0  # a client that takes nothing of what is written for so long has gone
-BLANK = b" \t"  # may stand round a header's value; the parser leaves what is behind it
+WRITE_STALL_S = 30.0  # a client that takes nothing of what is written for so long has gone
+OPTIONAL_WHITESPACE = b" \t"  # may stand round a header's value; the parser leaves what is behind it
 HOP_BY_HOP = frozenset(
     b"connection keep-alive proxy-authenticate proxy-authorization proxy-connection te trailer"
     b" transfer-encoding upgrade expect content-length".split()
@@ -29,7 +29,7 @@
 }  # fmt: skip
 
 
-def end_to_end(headers: Iterable[Header], without: frozenset[bytes] = frozenset()) -> list[Header]:
+def end_to_end_headers(headers: Iterable[Header], without: frozenset[bytes] = frozenset()) -> list[Header]:
     """Headers that may pass on: none that is meant for this connection only, here or by `Connection`."""
     kept = [(name, value) for name, value in headers if name.lower() not in HOP_BY_HOP]
     named = {
@@ -46,15 +46,15 @@
     return next((value for name, value in headers if name.lower() == wanted), None)
 
 
-def write_answer(
+def write_response(
     transport: asyncio.Transport, status: int, headers: list[Header], body: bytes, last: bool, head_only: bool
 ) -> None:
     """Write a whole answer."""
-    head = answer_head(status, [*headers, (b"Content-Length", b"%d" % len(body))], last)
+    head = encode_response_head(status, [*headers, (b"Content-Length", b"%d" % len(body))], last)
     transport.write(head if head_only else head + body)
 
 
-def answer_head(status: int, headers: list[Header], last: bool) -> bytes:
+def encode_response_head(status: int, headers: list[Header], last: bool) -> bytes:
     lines = [b"HTTP/1.1 %d %s" % (status, REASONS[status])]
     lines += [b"%s: %s" % pair for pair in headers]
     if last:
@@ -76,7 +76,7 @@
         return
     transport.write_eof()
     loop = asyncio.get_running_loop()
-    loop.call_later(linger_s, _end_linger, transport, linger_s, loop.time() + UNREAD_S)
+    loop.call_later(linger_s, _end_linger, transport, linger_s, loop.time() + WRITE_STALL_S)
 
 
 def _end_linger(transport: asyncio.Transport, linger_s: float, abort_s: float) -> None:
@@ -100,7 +100,7 @@
     """What came back is no answer that can be used."""
 
 
-def coding_of(headers: list[Header]) -> bytes:
+def transfer_coding(headers: list[Header]) -> bytes:
     """The transfer coding; what both sides can undo is `chunked` alone."""
     return b",".join(value for name, value in headers if name.lower() == b"transfer-encoding").strip().lower()
 
@@ -122,18 +122,29 @@
     """
 
     __slots__ = (
-        "_body", "_headers", "_in_body", "_limit", "_overhead", "_parser", "_replies", "_size",
-        "_to_the_end", "_unsized", "_wants_long", "begun", "is_long",
+        "_allows_streaming",
+        "_body",
+        "_ends_with_connection",
+        "_framing_bytes",
+        "_headers",
+        "_in_body",
+        "_length_unknown",
+        "_limit",
+        "_parser",
+        "_replies",
+        "_size",
+        "is_over_limit",
+        "streamed_head",
     )  # fmt: skip
 
     def __init__(self, limit: int = BODY_LIMIT, wants_long: bool = False) -> None:
-        self._limit, self._wants_long = limit, wants_long
-        self.begun: Reply | None = None  # the head of a long answer
-        self.is_long = False  # its body is known to be beyond the limit
+        self._limit, self._allows_streaming = limit, wants_long
+        self.streamed_head: Reply | None = None  # the head of a long answer
+        self.is_over_limit = False  # its body is known to be beyond the limit
         self._in_body = False
-        self._unsized = False
-        self._to_the_end = False  # the body ends with the connection
-        self._overhead = 0  # bytes since the last that meant something
+        self._length_unknown = False
+        self._ends_with_connection = False  # the body ends with the connection
+        self._framing_bytes = 0  # bytes since the last that meant something
         self._parser = httptools.HttpResponseParser(self)
         self._replies: list[Reply] = []
         self._headers: list[Header] = []
@@ -144,7 +155,9 @@
         """The answer that these bytes complete, if they do; bytes beyond it are an error."""
         before = self._size
         if not self._in_body:
-            self.begun = None  # that of the answer before: a blank line may come ahead of the next one
+            self.streamed_head = (
+                None  # that of the answer before: a blank line may come ahead of the next one
+            )
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
@@ -153,25 +166,25 @@
             self._replies[0].keep_alive = False  # a whole answer, and something after it that is left unread
         if not self._replies:
             # Guards against a header, a chunk's extension or a trailer without end.
-            self._overhead = self._overhead + len(data) if self._size == before else 0
-            if self._overhead > HEAD_LIMIT:
+            self._framing_bytes = self._framing_bytes + len(data) if self._size == before else 0
+            if self._framing_bytes > HEAD_LIMIT:
                 raise ReplyError("nothing but framing")
             return None
-        reply, self._overhead = self._replies[0], 0
+        reply, self._framing_bytes = self._replies[0], 0
         self._replies = []
         return reply
 
-    def take(self) -> bytes:
+    def take_body(self) -> bytes:
         """What has come of a long answer's body since the last call."""
         data = b"".join(self._body)
         self._body.clear()
         return data
 
-    def begin(self) -> bool:
+    def begin_streaming(self) -> bool:
         """Make an answer of unknown length, of which part is here, a long one; False if there is none."""
-        if self.begun is None and self.is_unsized and self._size:
-            self._begin()
-        return self.begun is not None
+        if self.streamed_head is None and self.is_length_unknown and self._size:
+            self._set_streamed_head()
+        return self.streamed_head is not None
 
     @property
     def size(self) -> int:
@@ -179,13 +192,13 @@
         return self._size
 
     @property
-    def is_unsized(self) -> bool:
+    def is_length_unknown(self) -> bool:
         """Whether a body is coming of which nobody has said how long it is."""
-        return self._in_body and self._unsized
+        return self._in_body and self._length_unknown
 
     def feed_eof(self) -> Reply | None:
         """The answer that the end of the connection completes, if it does."""
-        if not self._to_the_end or not self._in_body:
+        if not self._ends_with_connection or not self._in_body:
             return None
         self.on_message_complete()
         return self._replies.pop()
@@ -196,7 +209,7 @@
         if self._replies:
             raise ReplyError("more than one answer")
         self._headers, self._body, self._size = [], [], 0
-        self.begun, self.is_long, self._in_body = None, False, False
+        self.streamed_head, self.is_over_limit, self._in_body = None, False, False
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if self._in_body:
@@ -204,38 +217,38 @@
         self._size += len(name) + len(value)
         if self._size > HEAD_LIMIT:
             raise ReplyError("the head is too long")
-        self._headers.append((name, value.strip(BLANK)))
+        self._headers.append((name, value.strip(OPTIONAL_WHITESPACE)))
 
     def on_headers_complete(self) -> None:
         self._size, self._in_body = 0, True
-        coding, length = coding_of(self._headers), header(self._headers, b"content-length")
+        coding, length = transfer_coding(self._headers), header(self._headers, b"content-length")
         if coding not in (b"", b"chunked"):
             raise ReplyError("the transfer coding is unknown")
-        self._unsized = length is None
-        self._to_the_end = not coding and length is None
-        if self._wants_long and length is not None and int(length) > self._limit:
-            self.is_long = True
-            self._begin()
+        self._length_unknown = length is None
+        self._ends_with_connection = not coding and length is None
+        if self._allows_streaming and length is not None and int(length) > self._limit:
+            self.is_over_limit = True
+            self._set_streamed_head()
 
     def on_body(self, data: bytes) -> None:
         self._size += len(data)
         self._body.append(data)
-        if self._size > self._limit and not self.is_long:
-            if not self._wants_long:
+        if self._size > self._limit and not self.is_over_limit:
+            if not self._allows_streaming:
                 raise ReplyError("the body is too long")
-            self.is_long = True
-            if self.begun is None:
-                self._begin()
+            self.is_over_limit = True
+            if self.streamed_head is None:
+                self._set_streamed_head()
 
-    def _begin(self) -> None:
-        self.begun = Reply(self._parser.get_status_code(), self._headers, b"", False)
+    def _set_streamed_head(self) -> None:
+        self.streamed_head = Reply(self._parser.get_status_code(), self._headers, b"", False)
 
     def on_message_complete(self) -> None:
         status = self._parser.get_status_code()
         if status >= 200:  # what comes before the answer proper is not passed on
-            keep_alive = self._parser.should_keep_alive() and not self._to_the_end
-            body = b"" if self.begun is not None else b"".join(self._body)
+            keep_alive = self._parser.should_keep_alive() and not self._ends_with_connection
+            body = b"" if self.streamed_head is not None else b"".join(self._body)
             self._replies.append(Reply(status, self._headers, body, keep_alive))
-        if self.begun is None:
+        if self.streamed_head is None:
             self._body = []
         self._headers, self._in_body = [], False
--- a/cloverkeel/operator.py
+++ b/cloverkeel/operator.py
@@ -9,14 +9,14 @@
 import httptools
 
 from cloverkeel.config import Address
-from cloverkeel.http1 import BODY_LIMIT, HEAD_LIMIT, Header, lingering_close, write_answer
-from cloverkeel.tasks import BackgroundTasks, report
+from cloverkeel.http1 import BODY_LIMIT, HEAD_LIMIT, Header, lingering_close, write_response
+from cloverkeel.tasks import BackgroundTasks, report_failure
 
-CALL_S = 3.0  # for a call to come whole
-MOST = 32  # connections at once; beyond, the oldest gives way
+REQUEST_TIMEOUT_S = 3.0  # for a call to come whole
+MAX_CONNECTIONS = 32  # connections at once; beyond, the oldest gives way
 CALL_LIMIT = HEAD_LIMIT + BODY_LIMIT  # bytes of one call
 POST_LIMIT = 256 * 1024  # bytes of a call's body that is for a `Post`
-POST_S = 20.0  # for a `Post` or an `Ask` to be answered
+HANDLER_TIMEOUT_S = 20.0  # for a `Post` or an `Ask` to be answered
 POST_TYPE = b"application/octet-stream"  # a page in an operator's browser cannot send it unasked
 
 
@@ -29,22 +29,27 @@
         self.status, self.body, self.headers = status, body, list(headers)
 
 
-Calls = dict[bytes, Callable[[], Answer]]  # by path; each is answered to GET and HEAD
-Ask = Callable[[bytes], Awaitable[Answer]]  # of the query; answered to GET and HEAD, too
-Post = Callable[[bytes, bytes], Awaitable[Answer]]  # of the query and the body
+GetHandlers = dict[bytes, Callable[[], Answer]]  # by path; each is answered to GET and HEAD
+AsyncGetHandler = Callable[[bytes], Awaitable[Answer]]  # of the query; answered to GET and HEAD, too
+PostHandler = Callable[[bytes, bytes], Awaitable[Answer]]  # of the query and the body
 
 
-class Operator:
+class OperatorServer:
     """Answers operators' calls. It holds nothing but their connections."""
 
     def __init__(
         self,
         address: Address,
-        calls: Calls,
-        posts: Mapping[bytes, Post] | None = None,
-        asks: Mapping[bytes, Ask] | None = None,
+        calls: GetHandlers,
+        posts: Mapping[bytes, PostHandler] | None = None,
+        asks: Mapping[bytes, AsyncGetHandler] | None = None,
     ) -> None:
-        self.address, self.calls, self.posts, self.asks = address, calls, posts or {}, asks or {}
+        self.address, self.get_handlers, self.post_handlers, self.async_get_handlers = (
+            address,
+            calls,
+            posts or {},
+            asks or {},
+        )
         self.tasks = BackgroundTasks()
         self.connections: dict[OperatorConnection, None] = {}  # the oldest first
         self.listener: asyncio.Server | None = None
@@ -64,7 +69,7 @@
 class OperatorConnection(asyncio.Protocol):
     """One caller, from its coming to the one answer."""
 
-    def __init__(self, operator: Operator) -> None:
+    def __init__(self, operator: OperatorServer) -> None:
         self.operator = operator
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
@@ -78,11 +83,11 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
         others = self.operator.connections
-        if len(others) >= MOST:
+        if len(others) >= MAX_CONNECTIONS:
             next(iter(others)).abort()
         others[self] = None
         late = Answer(408, b"the call did not come in time\n")
-        self.timer = asyncio.get_running_loop().call_later(CALL_S, self.answer, late)
+        self.timer = asyncio.get_running_loop().call_later(REQUEST_TIMEOUT_S, self.answer, late)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.operator.connections.pop(self, None)
@@ -102,7 +107,7 @@
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self.answer(Answer(400, b"malformed\n"))
-        is_post = self.target.partition(b"?")[0] in self.operator.posts
+        is_post = self.target.partition(b"?")[0] in self.operator.post_handlers
         if self.size > (HEAD_LIMIT + POST_LIMIT if is_post else CALL_LIMIT):
             self.answer(Answer(413, b"the call is too long\n"))
 
@@ -119,10 +124,10 @@
     def on_message_complete(self) -> None:
         method = self.parser.get_method()
         path, _, query = self.target.partition(b"?")
-        call, post = self.operator.calls.get(path), self.operator.posts.get(path)
-        ask = self.operator.asks.get(path)
+        call, post = self.operator.get_handlers.get(path), self.operator.post_handlers.get(path)
+        ask = self.operator.async_get_handlers.get(path)
         if post is not None:
-            self._post(post, method, query)
+            self._handle_post(post, method, query)
         elif call is None and ask is None:
             self.answer(Answer(404, b"unknown path\n"))
         elif method not in (b"GET", b"HEAD"):
@@ -132,7 +137,7 @@
         elif ask is not None and not self.answered:
             self._spawn(ask(query), method == b"HEAD")
 
-    def _post(self, post: Post, method: bytes, query: bytes) -> None:
+    def _handle_post(self, post: PostHandler, method: bytes, query: bytes) -> None:
         if self.answered:
             return
         if method != b"POST":
@@ -148,16 +153,16 @@
         """It goes on where its caller has gone: what is begun is not left half done."""
         if self.timer is not None:
             self.timer.cancel()
-        self.operator.tasks.spawn(self._answered(work, head_only))
+        self.operator.tasks.spawn(self._run_handler(work, head_only))
 
-    async def _answered(self, work: Awaitable[Answer], head_only: bool) -> None:
+    async def _run_handler(self, work: Awaitable[Answer], head_only: bool) -> None:
         try:
-            async with asyncio.timeout(POST_S):
+            async with asyncio.timeout(HANDLER_TIMEOUT_S):
                 answer = await work
         except TimeoutError:
             answer = Answer(504, b"no answer in time: not known how far it came\n")
         except Exception as error:  # a fault of the program: its caller would wait for ever
-            report(error)
+            report_failure(error)
             answer = Answer(500, b"failed: not known how far it came\n")
         self.answer(answer, head_only)
 
@@ -166,5 +171,5 @@
         if self.answered or self.transport is None or self.transport.is_closing():
             return
         self.answered = True
-        write_answer(self.transport, answer.status, answer.headers, answer.body, True, head_only)
+        write_response(self.transport, answer.status, answer.headers, answer.body, True, head_only)
         lingering_close(self.transport)
--- a/cloverkeel/pending.py
+++ b/cloverkeel/pending.py
@@ -19,7 +19,7 @@
 
     id: str
     klass: int
-    patience_us: int
+    client_timeout_us: int
     key: int | None
     work_us: int | None
     is_retry: bool
@@ -34,9 +34,9 @@
     on_broken: Callable[[], None]  # a long answer will not be whole
     on_refused: Callable[[int], None]  # with the time after which to come back, in microseconds
     on_failed: Callable[[bool], None]  # with whether time ran out
-    is_gone: Callable[[], bool]  # its client has closed or cancelled, seen by the loop or not yet
+    is_client_gone: Callable[[], bool]  # its client has closed or cancelled, seen by the loop or not yet
     route: int = 0  # its number in the plan; 0: none
-    rules: RequestClass | None = None  # of its class, where it came under an earlier configuration
+    class_settings: RequestClass | None = None  # of its class, where it came under an earlier configuration
 
 
 @dataclass(slots=True, eq=False)
@@ -47,13 +47,13 @@
     deadline_us: int
     max_attempts: int  # by the settings that it came under
     attempts: list[Attempt | None] = field(default_factory=list)  # None: never sent
-    out: int = 0
-    closed: bool = False
-    is_open: bool = False  # its body is still coming
-    begun: Attempt | None = None  # whose long answer is passing to the client
+    in_flight: int = 0
+    finished: bool = False
+    body_incomplete: bool = False  # its body is still coming
+    streaming_attempt: Attempt | None = None  # whose long answer is passing to the client
     timed_out: bool = False
 
     @property
     def is_in_progress(self) -> bool:
         """Whether it has come whole and waits for its answer."""
-        return not self.closed and not self.is_open
+        return not self.finished and not self.body_incomplete
--- a/cloverkeel/probing.py
+++ b/cloverkeel/probing.py
@@ -6,7 +6,7 @@
 
 from caperdrift.interface import Outcome, Probed, Reports
 
-from cloverkeel.hosts.attempt import Attempt, load_of
+from cloverkeel.hosts.attempt import Attempt, parse_load_report
 from cloverkeel.http1 import Reply
 
 if TYPE_CHECKING:
@@ -22,7 +22,7 @@
         return
 
     def on_end(attempt: Attempt, outcome: Outcome, reply: Reply | None) -> None:
-        gateway.post(lambda: Probed(id_, outcome, attempt.latency_us, load_of(reply)))
+        gateway.post(lambda: Probed(id_, outcome, attempt.latency_us, parse_load_report(reply)))
 
     path = b"/health/live" if gateway.settings.reports is Reports.NONE else b"/stats"
     address = f"{host.address[0]}:{host.address[1]}".encode()
--- a/cloverkeel/streams.py
+++ b/cloverkeel/streams.py
@@ -5,70 +5,72 @@
 from collections.abc import Callable
 from typing import Protocol
 
-PIECE = 64 * 1024  # the most that is read at a time, and so held of one body
-LEAST_PIECE = 4 * 1024
-LEAST_RATE = 32_000  # bytes a second: half of what the slowest proper side gives or takes
-SHARE = 8  # part of the memory that the pieces of all long bodies together may take
+PIECE_BYTES = 64 * 1024  # the most that is read at a time, and so held of one body
+MIN_PIECE_BYTES = 4 * 1024
+MIN_BYTES_PER_S = 32_000  # bytes a second: half of what the slowest proper side gives or takes
+MEMORY_DIVISOR = 8  # part of the memory that the pieces of all long bodies together may take
 
 
-class Buffer:
+class ReadBuffer:
     """Where every connection's bytes arrive, one read at a time."""
 
     def __init__(self, memory_mb: float) -> None:
-        self.view = memoryview(bytearray(PIECE))
-        self.long = 0  # long bodies that pass now
-        self.limit(memory_mb)
+        self.view = memoryview(bytearray(PIECE_BYTES))
+        self.streamed_bodies = 0  # long bodies that pass now
+        self.set_memory_limit(memory_mb)
 
-    def limit(self, memory_mb: float) -> None:
-        self.most = int(memory_mb * 1024 * 1024 / SHARE)
+    def set_memory_limit(self, memory_mb: float) -> None:
+        self.max_streamed_bytes = int(memory_mb * 1024 * 1024 / MEMORY_DIVISOR)
 
-    def for_long(self) -> memoryview:
+    def streamed_view(self) -> memoryview:
         """Room for a piece of one of the long bodies: smaller, the more of them there are."""
-        return self.view[: max(LEAST_PIECE, min(PIECE, self.most // max(1, self.long)))]
+        return self.view[
+            : max(MIN_PIECE_BYTES, min(PIECE_BYTES, self.max_streamed_bytes // max(1, self.streamed_bodies)))
+        ]
 
 
-def chunk(data: bytes) -> bytes:
+def encode_chunk(data: bytes) -> bytes:
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 LAST_CHUNK = b"0\r\n\r\n"
 
 
-class Carrier(Protocol):
+class UploadSink(Protocol):
     """The connection that an upload goes on with."""
 
     flushed: bool
 
-    def write_on(self, data: bytes, ended: bool) -> None: ...
+    def write_body(self, data: bytes, ended: bool) -> None: ...
 
 
 class Upload:
     """A request's body that goes on to a host while it comes, by one connection and no second time."""
 
-    __slots__ = ("carrier", "ended", "is_chunked", "on_room")
+    __slots__ = ("ended", "is_chunked", "on_writable", "sink")
 
     def __init__(self, is_chunked: bool, on_room: Callable[[], None]) -> None:
         self.is_chunked = is_chunked
-        self.on_room = on_room  # more may come
-        self.carrier: Carrier | None = None
+        self.on_writable = on_room  # more may come
+        self.sink: UploadSink | None = None
         self.ended = False
 
-    def framed(self, data: bytes) -> bytes:
-        return chunk(data) if self.is_chunked and data else data
+    def frame(self, data: bytes) -> bytes:
+        return encode_chunk(data) if self.is_chunked and data else data
 
-    def attach(self, carrier: Carrier) -> None:
+    def attach(self, carrier: UploadSink) -> None:
         """The host has what was held; from here on the body passes."""
-        self.carrier = carrier
-        self.on_room()
+        self.sink = carrier
+        self.on_writable()
 
     def feed(self, data: bytes) -> bool:
         """Pass a piece on; False if no more should come for now."""
-        if self.carrier is None:
+        if self.sink is None:
             return False
-        self.carrier.write_on(self.framed(data), False)
-        return self.carrier.flushed
+        self.sink.write_body(self.frame(data), False)
+        return self.sink.flushed
 
     def end(self) -> None:
         self.ended = True
-        if self.carrier is not None:
-            self.carrier.write_on(LAST_CHUNK if self.is_chunked else b"", True)
+        if self.sink is not None:
+            self.sink.write_body(LAST_CHUNK if self.is_chunked else b"", True)
--- a/cloverkeel/tasks.py
+++ b/cloverkeel/tasks.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 
-def report(error: BaseException) -> None:
+def report_failure(error: BaseException) -> None:
     """Hand a failure to the event loop's exception handler, which logs it."""
     context = {"message": "a background task has failed", "exception": error}
     asyncio.get_running_loop().call_exception_handler(context)
@@ -20,7 +20,7 @@
 class BackgroundTasks:
     """Tasks that run beside their owner, on the running event loop."""
 
-    def __init__(self, on_failure: Callable[[BaseException], None] = report) -> None:
+    def __init__(self, on_failure: Callable[[BaseException], None] = report_failure) -> None:
         self._tasks: set[asyncio.Task[None]] = set()
         self._on_failure = on_failure
 
@@ -32,7 +32,7 @@
         """Begin `work`; `on_failure` gets the exception that ends it, a cancellation excepted."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._end)
+        task.add_done_callback(self._on_done)
 
     def cancel(self) -> None:
         """Cancel all that have not ended. Returns before they end."""
@@ -44,7 +44,7 @@
         while self._tasks:
             await asyncio.wait(self._tasks)
 
-    def _end(self, task: asyncio.Task[None]) -> None:
+    def _on_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             self._on_failure(error)
--- a/cloverkeel/telemetry.py
+++ b/cloverkeel/telemetry.py
@@ -25,7 +25,7 @@
         self.loads = 0
         self.load_errors = 0
 
-    def know(self, klass: bytes) -> None:
+    def add_class(self, klass: bytes) -> None:
         self.handled.setdefault(klass, dict.fromkeys(Result, 0))
 
     def count(self, klass: bytes, result: Result) -> None:
--- a/cloverkeel/transforms/activation/command.py
+++ b/cloverkeel/transforms/activation/command.py
@@ -8,7 +8,13 @@
 from typing import Any
 from urllib.parse import urlencode
 
-from cloverkeel.fleet.asking import Address, add_operator, add_wait, call, read_file
+from cloverkeel.fleet.operator_commands import (
+    Address,
+    add_operator_option,
+    add_wait_option,
+    request_json,
+    read_file,
+)
 from cloverkeel.fleet.membership.command import CommandError
 
 LACKS = "transforms.fleet"
@@ -23,20 +29,20 @@
     rollback = verbs.add_parser("rollback", help="take out the candidate of NAME, or else what is active")
     rollback.add_argument("name", metavar="NAME")
     for verb, run in ((publish, _publish), (status, _status), (rollback, _rollback)):
-        add_operator(verb, run)
+        add_operator_option(verb, run)
     for verb in (publish, rollback):
-        add_wait(verb)
+        add_wait_option(verb)
 
 
 def _publish(address: Address, arguments: argparse.Namespace) -> int:
     source = read_file(arguments.file)
-    answer = call(address, f"/api/transforms/publish?wait={arguments.wait}", source, lacks=LACKS)
+    answer = request_json(address, f"/api/transforms/publish?wait={arguments.wait}", source, lacks=LACKS)
     return _said("published", answer, arguments.wait)
 
 
 def _rollback(address: Address, arguments: argparse.Namespace) -> int:
     query = urlencode({"name": arguments.name, "wait": arguments.wait})
-    answer = call(address, f"/api/transforms/rollback?{query}", b"", lacks=LACKS)
+    answer = request_json(address, f"/api/transforms/rollback?{query}", b"", lacks=LACKS)
     return _said("rollback ordered", answer, arguments.wait)
 
 
@@ -50,7 +56,7 @@
 
 
 def _status(address: Address, arguments: argparse.Namespace) -> int:
-    answer = call(address, "/api/transforms", lacks=LACKS)
+    answer = request_json(address, "/api/transforms", lacks=LACKS)
     print(json.dumps(answer) if arguments.json else "\n".join(lines(answer)))
     return 0
 
--- a/cloverkeel/transforms/activation/parts.py
+++ b/cloverkeel/transforms/activation/parts.py
@@ -6,7 +6,14 @@
 import json
 from typing import TYPE_CHECKING, Any
 
-from cloverkeel.fleet.answers import JSON, NOT_YET, WAIT_S, level, one, refused
+from cloverkeel.fleet.operator_queries import (
+    JSON_CONTENT_TYPE,
+    LEDGER_NOT_STARTED,
+    LEVEL_TIMEOUT_S,
+    query_level,
+    query_value,
+    error_answer,
+)
 from cloverkeel.fleet.ledger.interface import Acknowledged
 from cloverkeel.fleet.ledger.part import LedgerPart
 from cloverkeel.fleet.ledger.shell import Answer as LedgerAnswer
@@ -75,33 +82,33 @@
 
     def status(self) -> Answer:
         if self.activator is None:
-            return NOT_YET
-        return Answer(200, json.dumps(self.activator.status()).encode(), JSON)
+            return LEDGER_NOT_STARTED
+        return Answer(200, json.dumps(self.activator.status()).encode(), JSON_CONTENT_TYPE)
 
     async def publish(self, query: bytes, body: bytes) -> Answer:
         """The file in the body; `wait` in the query."""
         if self.activator is None:
-            return NOT_YET
+            return LEDGER_NOT_STARTED
         try:
-            wait = level(query)
-            order, sha256, answer = await self.activator.publish(body, wait, WAIT_S)
+            wait = query_level(query)
+            order, sha256, answer = await self.activator.publish(body, wait, LEVEL_TIMEOUT_S)
         except ValueError as error:
-            return refused(400, error)
+            return error_answer(400, error)
         except WriteRefused as error:
-            return refused(503, error)
+            return error_answer(503, error)
         return _done(order, answer, sha256=sha256)
 
     async def rollback(self, query: bytes, body: bytes) -> Answer:
         """`name` and `wait` in the query."""
         if self.activator is None:
-            return NOT_YET
+            return LEDGER_NOT_STARTED
         try:
-            name = one(query, "name")
-            order, answer = await self.activator.rollback(name, level(query), WAIT_S)
+            name = query_value(query, "name")
+            order, answer = await self.activator.rollback(name, query_level(query), LEVEL_TIMEOUT_S)
         except ValueError as error:
-            return refused(400, error)
+            return error_answer(400, error)
         except WriteRefused as error:
-            return refused(503, error)
+            return error_answer(503, error)
         return _done(order, answer)
 
 
@@ -112,4 +119,4 @@
         "held": answer.held if isinstance(answer, Acknowledged) else None,
         "reason": "" if isinstance(answer, Acknowledged) else answer.reason,
     }  # fmt: skip
-    return Answer(200 if confirmed else 202, json.dumps(body | more).encode(), JSON)
+    return Answer(200 if confirmed else 202, json.dumps(body | more).encode(), JSON_CONTENT_TYPE)
--- a/cloverkeel/transforms/activation/shell.py
+++ b/cloverkeel/transforms/activation/shell.py
@@ -12,8 +12,8 @@
 from cloverkeel.fleet.events import event
 from cloverkeel.fleet.ledger.interface import Acknowledged, Expose, Level
 from cloverkeel.fleet.ledger.shell import Answer, Service, Shown, WriteRefused
-from cloverkeel.fleet.membership.roster import PRESENT
-from cloverkeel.fleet.membership.rumours import Status
+from cloverkeel.fleet.membership.roster import LIVE_STATUSES
+from cloverkeel.fleet.membership.updates import Status
 from cloverkeel.tasks import BackgroundTasks
 from cloverkeel.transforms.activation.core import Activation
 from cloverkeel.transforms.activation.engine import Engine, candidates, vetted
@@ -188,8 +188,10 @@
         if not self.membership.joined.is_set():
             return
         rumours = self.membership.view()
-        live = sorted(name for name, r in rumours.items() if r.status in PRESENT)
-        known = sorted(name for name, r in rumours.items() if r.status in PRESENT or r.status is Status.DEAD)
+        live = sorted(name for name, r in rumours.items() if r.status in LIVE_STATUSES)
+        known = sorted(
+            name for name, r in rumours.items() if r.status in LIVE_STATUSES or r.status is Status.DEAD
+        )
         view = ViewChanged(tuple(live), tuple(known))
         if view != self.view:
             self.view = view
--- a/cloverkeel/transforms/active.py
+++ b/cloverkeel/transforms/active.py
@@ -68,10 +68,10 @@
         """One run, entered in the breaker; None where the breaker does not let it."""
         breaker, now_us, trial = self.breaker, self.clock(), 0
         if breaker.state is not State.CLOSED:
-            if not breaker.lets_through(now_us):
+            if not breaker.allow(now_us):
                 self.counts["skipped"] += 1
                 return None
-            trial = breaker.take_trial()
+            trial = breaker.start_trial()
         result = guard.run(self.transform, head)
         failed = isinstance(result, Failure)
         if isinstance(result, Failure):
@@ -209,5 +209,5 @@
 def check(manifest: Manifest, came: Head, leaves: Head) -> None:
     """Log where the invariant of the whole part is broken; the call goes on."""
     kept = guard.differs_only_in(manifest.writes, came.headers, leaves.headers)
-    with contextlib.suppress(invariants.BrokenError):
+    with contextlib.suppress(invariants.InvariantError):
         invariants.check(kept, "a head differs only in writes", transform=manifest.name)
--- a/cloverkeel/transforms/local.py
+++ b/cloverkeel/transforms/local.py
@@ -13,7 +13,7 @@
 
 def load(settings: TransformSettings) -> ActiveSet:
     """All of them, or ConfigError for the first that cannot be used."""
-    events.setup()
+    events.setup_logging()
     installed = [Installed(from_file(path)) for path in settings.files]
     installed += [Installed(plugin(name)) for name in settings.plugins]
     try:
--- a/faultlab/coldstart/liar.py
+++ b/faultlab/coldstart/liar.py
@@ -14,12 +14,12 @@
 from typing import Any
 
 from cloverkeel.fleet.cluster import parse_cluster
-from cloverkeel.fleet.lists.links import FEED
-from cloverkeel.fleet.lists.order import Body, ListVersion, encode, entry_digest
-from cloverkeel.fleet.lists.relays import Peer, choose
-from cloverkeel.fleet.lists.sharing import GET
+from cloverkeel.fleet.lists.upstream_connections import LIST_FEED
+from cloverkeel.fleet.lists.versioned_list import ListUpdate, ListVersion, encode, entry_digest
+from cloverkeel.fleet.lists.relays import Peer, choose_relays
+from cloverkeel.fleet.lists.sharing import LIST_GET
 from cloverkeel.fleet.membership.feeds import Feed
-from cloverkeel.fleet.membership.frames import FRAME_BYTES
+from cloverkeel.fleet.membership.frames import MAX_FRAME_BYTES
 from cloverkeel.fleet.membership.service import Membership
 from cloverkeel.tasks import BackgroundTasks
 from faultlab import child
@@ -31,25 +31,25 @@
 def relay_name(cluster: str, members: list[Peer], relays: int, zone: str) -> str:
     """A name that rendezvous hashing makes a relay among these members."""
     names = (f"liar-{number}" for number in itertools.count())
-    return next(n for n in names if n in choose(cluster, [*members, Peer(n, zone)], relays))
+    return next(n for n in names if n in choose_relays(cluster, [*members, Peer(n, zone)], relays))
 
 
 def lies(entries: list[dict[str, Any]], oldest: int) -> Iterable[Any]:
     """Lists without end: the one from the start, one of another digest, one with entries that are none, no
     list at all, one of many megabytes."""
     digest = sum(map(entry_digest, entries)) % 2**64
-    old = encode(Body(ListVersion(0, oldest), digest, None, tuple(entries)))
+    old = encode(ListUpdate(ListVersion(0, oldest), digest, None, tuple(entries)))
     ahead = [0, AHEAD]
     broken = old | {"v": ahead, "digest": (digest + 1) % 2**64}
     no_entries = old | {"v": ahead, "entries": [7, "host-1", None]}
-    enormous = old | {"v": ahead, "entries": [{"name": "x" * 1024}] * (FRAME_BYTES // 1024 + 100)}
+    enormous = old | {"v": ahead, "entries": [{"name": "x" * 1024}] * (MAX_FRAME_BYTES // 1024 + 100)}
     return itertools.cycle([old, broken, no_entries, "no list", enormous])
 
 
 async def _make(settings: dict[str, Any]) -> child.Handler:
     cluster = parse_cluster(settings["cluster"], settings["name"])
     membership = Membership(cluster, settings["name"], settings["zone"], time.time_ns() // 1_000_000)
-    membership.calls.frames.most = 64 * FRAME_BYTES  # its own bound does not hold it back
+    membership.calls.frame_codec.max_bytes = 64 * MAX_FRAME_BYTES  # its own bound does not hold it back
     told = lies(settings["entries"], settings["oldest"])
     lied = 0
 
@@ -64,8 +64,8 @@
             await asyncio.sleep(SAY_S)
 
     tasks = BackgroundTasks()
-    membership.calls.serve(GET, lambda peer, body: {"list": lie()})
-    membership.calls.serve_feed(FEED, lambda feed, body: tasks.spawn(shout(feed)))
+    membership.calls.serve(LIST_GET, lambda peer, body: {"list": lie()})
+    membership.calls.serve_feed(LIST_FEED, lambda feed, body: tasks.spawn(shout(feed)))
     await membership.start()
 
     async def obey(do: str, order: dict[str, Any]) -> Any:
--- a/faultlab/duties/site.py
+++ b/faultlab/duties/site.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from cloverkeel.fleet.state import FILE, Figures, Store
+from cloverkeel.fleet.state import FILE, StoreCounters, Store
 
 from faultlab.duties.resource import First, Resource
 from faultlab.lab import ROOT
@@ -28,7 +28,7 @@
     """A state file as a gateway's store begins it."""
     lock = Store.take_lock(str(directory))
     assert lock is not None
-    store, _ = Store.open(str(directory), lock, Figures(), time.time())
+    store, _ = Store.open(str(directory), lock, StoreCounters(), time.time())
     store.prepare()
     store.close()
 
--- a/faultlab/duties/worker.py
+++ b/faultlab/duties/worker.py
@@ -36,7 +36,7 @@
 
 
 async def run(order: dict[str, Any]) -> None:
-    events.setup()
+    events.setup_logging()
     holder = f"{order['name']}/{time.monotonic_ns():x}{CARELESS if order.get('careless') else ''}"
     backend = backend_of(order, holder)
     service = Service(holder, backend)
--- a/faultlab/lookups.py
+++ b/faultlab/lookups.py
@@ -25,7 +25,7 @@
 from cloverkeel.fleet.routes.index import Index
 from cloverkeel.fleet.routes.interface import RouteView, View
 from cloverkeel.fleet.routes.serving import Serving
-from cloverkeel.front.requests import Answers, Request, read_call
+from cloverkeel.front.requests import ResponseWriter, Request, build_call
 from cloverkeel.gateway import Gateway
 from faultlab.report import Parts, positive, report
 
@@ -127,7 +127,7 @@
         for name, routes in (("off", None), ("empty", empty), ("full", full)):
             requests = [request(caller, where) for _, caller, where in questions]
             took[name].append(each_us(lambda rs=requests, routes=routes: [  # type: ignore[misc]
-                read_call(CONFIG, r, r.target, ANSWERS, None, routes) for r in rs
+                build_call(CONFIG, r, r.target, ANSWERS, None, routes) for r in rs
             ]))  # fmt: skip
     return {name: spread(times) for name, times in took.items()}
 
@@ -197,7 +197,7 @@
 
 
 NONE_BEHIND: dict[str, frozenset[str]] = {}
-ANSWERS = cast(Answers, SimpleNamespace(**dict.fromkeys(
+ANSWERS = cast(ResponseWriter, SimpleNamespace(**dict.fromkeys(
     ("check_gone", "on_served", "on_begun", "on_piece", "on_ended", "on_broken", "on_refused", "on_failed"),
     print,
 )))  # fmt: skip
--- a/faultlab/member.py
+++ b/faultlab/member.py
@@ -28,7 +28,7 @@
 from cloverkeel.errors import ConfigError
 from cloverkeel.fleet import events
 from cloverkeel.fleet.cluster import ClusterSettings, parse_cluster
-from cloverkeel.fleet.membership.rumours import Rumour
+from cloverkeel.fleet.membership.updates import MemberUpdate
 from cloverkeel.fleet.membership.service import Membership
 
 
@@ -41,18 +41,18 @@
     if given is not None:
         return given
     from cloverkeel.fleet import state  # a member without a store does not pay for SQLite
-    from cloverkeel.fleet.start import incarnation_of
+    from cloverkeel.fleet.start import next_incarnation
 
     keeper = None
     if directory is not None:
-        keeper, _ = state.start(directory, 3600.0, 3600.0, False, state.Figures())
-    number = await incarnation_of(keeper, False)
+        keeper, _ = state.start(directory, 3600.0, 3600.0, False, state.StoreCounters())
+    number = await next_incarnation(keeper, False)
     if keeper is not None:
         keeper.close(None, 1.0)
     return number
 
 
-def changed(rumour: Rumour, before: Rumour | None) -> None:
+def changed(rumour: MemberUpdate, before: MemberUpdate | None) -> None:
     say("change", member=rumour.name, status=rumour.status.value, incarnation=rumour.incarnation,
         before=before.status.value if before is not None else None)  # fmt: skip
 
@@ -96,7 +96,7 @@
     parser.add_argument("--incarnation", type=int)
     parser.add_argument("--state-dir")
     arguments = parser.parse_args(argv)
-    events.setup()
+    events.setup_logging()
 
     async def start() -> None:
         settings = parse_cluster(arguments.cluster, arguments.name)
--- a/faultlab/recovery/files.py
+++ b/faultlab/recovery/files.py
@@ -12,7 +12,7 @@
 from cloverkeel.fleet import state
 from faultlab.recovery import writer
 
-Figures = dict[str, Any]  # by name, as an experiment prints them
+StoreCounters = dict[str, Any]  # by name, as an experiment prints them
 
 
 def copy_as_after_power_loss(source: Path, target: Path) -> None:
@@ -28,7 +28,7 @@
     """How a start treats a copy: 'restored', 'cold' or 'moved aside', and the sequence it restored."""
     fd = state.Store.take_lock(str(directory))
     assert fd is not None
-    figures = state.Figures()
+    figures = state.StoreCounters()
     store, found = state.Store.open(str(directory), fd, figures, time.time())
     store.close()
     if figures.corrupt:
@@ -43,7 +43,7 @@
     directory.mkdir()
     fd = state.Store.take_lock(str(directory))
     assert fd is not None
-    store, _ = state.Store.open(str(directory), fd, state.Figures(), time.time())
+    store, _ = state.Store.open(str(directory), fd, state.StoreCounters(), time.time())
     store.prepare()
     for seq in range(snapshots):
         store.write(writer.synthetic(seq, time.time()))
--- a/faultlab/recovery/writer.py
+++ b/faultlab/recovery/writer.py
@@ -14,7 +14,7 @@
 import sys
 import time
 
-from caperdrift.interface import Learned, LearnedBreaker, LearnedServer
+from caperdrift.interface import LearnedState, LearnedBreaker, LearnedServer
 
 from cloverkeel.fleet import state
 
@@ -31,7 +31,7 @@
         )
         for number in range(SERVERS)
     )  # fmt: skip
-    return state.Snapshot(taken_unix_s, Learned(servers, (float(seq) + 1.0,), (float(seq) + 1.0,)), {})
+    return state.Snapshot(taken_unix_s, LearnedState(servers, (float(seq) + 1.0,), (float(seq) + 1.0,)), {})
 
 
 def sequence(snapshot: state.Snapshot) -> int:
@@ -45,7 +45,7 @@
     if fd is None:
         print("locked", flush=True)
         return 1
-    store, found = state.Store.open(directory, fd, state.Figures(), time.time())
+    store, found = state.Store.open(directory, fd, state.StoreCounters(), time.time())
     store.prepare()
     first = sequence(found[0]) if found else -1
     if found and first < 0:
--- a/faultlab/storm/cluster/budget.py
+++ b/faultlab/storm/cluster/budget.py
@@ -9,7 +9,7 @@
 from caperdrift.policy.cold import PLANNED_SHARE, fall_budget_us
 
 from cloverkeel.fleet.invariants import check
-from cloverkeel.fleet.sharers import by_zone
+from cloverkeel.fleet.fleet_size import count_by_zone
 
 ZONES = {"z0": 0, "z1": 1, "z2": 2}
 VIEW = RequestClass(aim_us=250_000, give_up_us=500_000, effect=Effect.SAFE)
@@ -27,7 +27,7 @@
     def see(self, now_s: float, zones: Iterable[str], member: str) -> None:
         """The live members' zones, this one's included. Were all of them to see the same, their parts would
         not pass the whole."""
-        seen = by_zone(ZONES, zones)
+        seen = count_by_zone(ZONES, zones)
         self.balancer.handle(round(now_s * 1e6), Fleet(seen))
         total_us = self.part_us * sum(seen)
         check(total_us <= WHOLE_US * (1 + ROUNDING), "a fall budget is passed", member=member, seen=seen)
--- a/faultlab/storm/cluster/lists.py
+++ b/faultlab/storm/cluster/lists.py
@@ -9,13 +9,28 @@
 from typing import Any
 
 from cloverkeel.fleet.invariants import check
-from cloverkeel.fleet.lists.actions import Action, Ask, Depth, Have, Subscribe, Unsubscribe, Watch
-from cloverkeel.fleet.lists.draws import FollowSettings
-from cloverkeel.fleet.lists.follow import ASK_S, Follower
-from cloverkeel.fleet.lists.limits import FEEDS, FULL_NAMES, admits
-from cloverkeel.fleet.lists.order import Body, HeldList, ListVersion, Taken, from_before, judge
+from cloverkeel.fleet.lists.actions import (
+    Action,
+    FetchList,
+    AnnounceDepth,
+    AnnounceList,
+    Subscribe,
+    Unsubscribe,
+    Watch,
+)
+from cloverkeel.fleet.lists.jitter import SelectorSettings
+from cloverkeel.fleet.lists.source_selector import FETCH_TIMEOUT_S, SourceSelector
+from cloverkeel.fleet.lists.limits import MAX_UPSTREAMS, REFERRALS_PER_REPLY, admits_follower
+from cloverkeel.fleet.lists.versioned_list import (
+    ListUpdate,
+    HeldList,
+    ListVersion,
+    ApplyResult,
+    unconfirmed_version,
+    answer_version,
+)
 from cloverkeel.fleet.lists.relays import Peer
-from cloverkeel.fleet.membership.roster import PRESENT
+from cloverkeel.fleet.membership.roster import LIVE_STATUSES
 from faultlab.storm.cluster.budget import ROUNDING, Part, sum_of
 from faultlab.storm.cluster.listservice import LIVES, ListService
 from faultlab.storm.cluster.members import Cluster, Process
@@ -44,7 +59,7 @@
     """The lists' part of one process."""
 
     process: Process
-    core: Follower
+    core: SourceSelector
     started_s: float
     held: HeldList = field(default_factory=HeldList)
     feeds: dict[str, Feed] = field(default_factory=dict)  # that it follows, by name
@@ -65,7 +80,7 @@
         self.cluster, self.clock = cluster, cluster.clock
         self.rng = random.Random(seed)
         self.service = ListService(self.rng, tells_epoch=self.rng.random() < 0.3)
-        self.settings = FollowSettings("storm", list_calls_per_s=20.0)
+        self.settings = SelectorSettings("storm", list_calls_per_s=20.0)
         self.sharers: dict[str, Sharer] = {}  # by address
         self.choices: dict[tuple[str, ...], tuple[str, ...]] = {}  # names in view: the relays chosen
         cluster.on_start = self.add
@@ -87,11 +102,13 @@
 
     def add(self, process: Process) -> None:
         me = Peer(process.name, process.me.zone, process.me.address)
-        core = Follower(me, self.settings, random.Random(self.rng.getrandbits(64)))
+        core = SourceSelector(me, self.settings, random.Random(self.rng.getrandbits(64)))
         sharer = self.sharers[process.me.address] = Sharer(process, core, self.clock.now_s)
         if self.rng.random() < 0.3:  # it has a list from before
             entry = {"name": "h0", "made": -1}
-            sharer.held.answered(None, from_before(0, LIVES[0] - self.rng.randint(1, 50)), True, [entry])
+            sharer.held.apply_answer(
+                None, unconfirmed_version(0, LIVES[0] - self.rng.randint(1, 50)), True, [entry]
+            )
         self.clock.at(self.clock.now_s + self.rng.random() * TICK_S, self.tick, sharer)
 
     def at(self, address: str) -> Sharer | None:
@@ -124,8 +141,8 @@
             return
         sharer.process.changed = False
         held = {} if member.refused else member.members()
-        peers = [Peer(r.name, r.zone, r.address) for r in held.values() if r.status in PRESENT]
-        self.do(sharer, sharer.core.view(now_s, True, peers))
+        peers = [Peer(r.name, r.zone, r.address) for r in held.values() if r.status in LIVE_STATUSES]
+        self.do(sharer, sharer.core.view_changed(now_s, True, peers))
         sharer.seen = tuple(sorted(sharer.core.peers))
         chosen = self.choices.setdefault(sharer.seen, sharer.core.relays)
         sharer.part.see(now_s, [peer.zone for peer in sharer.core.peers.values()], sharer.name)
@@ -133,22 +150,22 @@
 
     def do(self, sharer: Sharer, actions: list[Action]) -> None:
         clock, core = self.clock, sharer.core
-        check(len(core.feeds) <= FEEDS, "a follower over more than two feeds", member=sharer.name)
+        check(len(core.upstreams) <= MAX_UPSTREAMS, "a follower over more than two feeds", member=sharer.name)
         for action in actions:
             match action:
                 case Subscribe(peer):
                     clock.at(clock.now_s + HOP_S, self.open, sharer, peer)
                 case Unsubscribe(name):
                     self._end(sharer.feeds.pop(name, None))
-                case Ask(peer):
+                case FetchList(peer):
                     clock.at(clock.now_s + HOP_S, self.ask, sharer, peer)
-                case Have(peer):
+                case AnnounceList(peer):
                     clock.at(clock.now_s + HOP_S, self.have, sharer, peer)
                 case Watch(on, _):
                     sharer.watch += 1
                     if on:
                         self.call(sharer, sharer.watch)
-                case Depth(depth):
+                case AnnounceDepth(depth):
                     self._tell(sharer, {"depth": depth})
                 case _:
                     pass
@@ -161,26 +178,28 @@
             feed.source.followers = [other for other in feed.source.followers if other is not feed]
 
     def open(self, sharer: Sharer, peer: Peer) -> None:
-        if peer.name not in sharer.core.feeds or peer.name in sharer.feeds or not sharer.process.up:
+        if peer.name not in sharer.core.upstreams or peer.name in sharer.feeds or not sharer.process.up:
             return
         source = self.at(peer.address)
         if source is None or not self.passes(sharer, source):
             wait_s = HOP_S if source is None else SILENCE_S
             self.clock.at(self.clock.now_s + wait_s, self._failed, sharer, peer.name)
             return
-        if not admits(len(source.followers), LIMIT, source.core.depth, source.core.is_relay):
-            names = [feed.target.name for feed in source.followers][:FULL_NAMES]
-            self.do(sharer, sharer.core.full(self.clock.now_s, peer.name, names))
+        if not admits_follower(len(source.followers), LIMIT, source.core.depth, source.core.is_relay):
+            names = [feed.target.name for feed in source.followers][:REFERRALS_PER_REPLY]
+            self.do(sharer, sharer.core.upstream_full(self.clock.now_s, peer.name, names))
             return
         feed = sharer.feeds[peer.name] = Feed(source, sharer)
         source.followers.append(feed)
-        self._send(feed, {"depth": source.core.depth, "v": source.held.version, "list": source.held.whole()})
+        self._send(
+            feed, {"depth": source.core.depth, "v": source.held.version, "list": source.held.full_list()}
+        )
         if sharer.held.version is not None:
             self._compare(source, sharer.name, sharer.held.version)
 
     def _failed(self, sharer: Sharer, name: str) -> None:
         if name not in sharer.feeds and sharer.process.up:
-            self.do(sharer, sharer.core.ended(self.clock.now_s, name))
+            self.do(sharer, sharer.core.upstream_ended(self.clock.now_s, name))
 
     def _listen(self, feed: Feed) -> None:
         """A feed that is silent for a second, or reset by its end, is over."""
@@ -193,7 +212,7 @@
             name = next(name for name, held in feed.target.feeds.items() if held is feed)
             del feed.target.feeds[name]
             self._end(feed)
-            self.do(feed.target, feed.target.core.ended(now_s, name))
+            self.do(feed.target, feed.target.core.upstream_ended(now_s, name))
 
     def _tell(self, sharer: Sharer, news: dict[str, Any]) -> None:
         for feed in list(sharer.followers):
@@ -218,9 +237,9 @@
     def _hear(self, feed: Feed, news: dict[str, Any]) -> None:
         sharer, name = feed.target, feed.source.name
         if "depth" in news:
-            self.do(sharer, sharer.core.opened(self.clock.now_s, name, news["depth"]))
+            self.do(sharer, sharer.core.depth_received(self.clock.now_s, name, news["depth"]))
         if news.get("list") is not None:
-            sharer.core.told(name, news["list"].version)
+            sharer.core.version_received(name, news["list"].version)
             self._take(sharer, name, news["list"])
         elif news.get("v") is not None:
             self._compare(sharer, name, news["v"])
@@ -228,38 +247,38 @@
     # Lists
 
     def _compare(self, sharer: Sharer, name: str, version: ListVersion) -> None:
-        sharer.core.told(name, version)
+        sharer.core.version_received(name, version)
         if sharer.held.version is None or version > sharer.held.version:
-            self.do(sharer, sharer.core.gap(self.clock.now_s, name))
+            self.do(sharer, sharer.core.newer_list_reported(self.clock.now_s, name))
 
-    def _take(self, sharer: Sharer, name: str, body: Body) -> None:
+    def _take(self, sharer: Sharer, name: str, body: ListUpdate) -> None:
         before = sharer.held.version
-        taken = sharer.held.take(body)
+        taken = sharer.held.apply(body)
         self._moved(sharer, before, taken)
-        if taken is Taken.NEW:
+        if taken is ApplyResult.NEW:
             self._tell(sharer, {"list": body})
-        elif taken is Taken.GAP:
-            self.do(sharer, sharer.core.gap(self.clock.now_s, name))
+        elif taken is ApplyResult.GAP:
+            self.do(sharer, sharer.core.newer_list_reported(self.clock.now_s, name))
 
-    def _moved(self, sharer: Sharer, before: ListVersion | None, taken: Taken) -> None:
+    def _moved(self, sharer: Sharer, before: ListVersion | None, taken: ApplyResult) -> None:
         after = sharer.held.version
         forward = after is not None and (before is None or after > before)
-        right = forward if taken is Taken.NEW else after == before
+        right = forward if taken is ApplyResult.NEW else after == before
         check(right, "lists applied out of order", member=sharer.name, before=before, after=after)
 
     def ask(self, sharer: Sharer, peer: Peer) -> None:
         other = self.at(peer.address)
         if other is not None and self.passes(sharer, other):
-            self.clock.at(self.clock.now_s + HOP_S, self._asked, sharer, peer.name, other.held.whole())
+            self.clock.at(self.clock.now_s + HOP_S, self._asked, sharer, peer.name, other.held.full_list())
         else:
-            self.clock.at(self.clock.now_s + ASK_S, self._asked, sharer, peer.name, None)
+            self.clock.at(self.clock.now_s + FETCH_TIMEOUT_S, self._asked, sharer, peer.name, None)
 
-    def _asked(self, sharer: Sharer, name: str, body: Body | None) -> None:
+    def _asked(self, sharer: Sharer, name: str, body: ListUpdate | None) -> None:
         if not sharer.process.up:
             return
         if body is not None:
             self._take(sharer, name, body)
-        self.do(sharer, sharer.core.asked(self.clock.now_s, name))
+        self.do(sharer, sharer.core.fetch_ended(self.clock.now_s, name))
 
     def have(self, sharer: Sharer, peer: Peer) -> None:
         other = self.at(peer.address)
@@ -286,12 +305,12 @@
             return
         index, whole, entries = service.answer(asked)
         before = held.version
-        taken, body = held.answered(begun, judge(begun, index, service.epoch), whole, entries)
+        taken, body = held.apply_answer(begun, answer_version(begun, index, service.epoch), whole, entries)
         self._moved(sharer, before, taken)
         if body is not None:
             self._tell(sharer, {"list": body})
         self.do(sharer, sharer.core.service_answered(now_s))
-        self.clock.at(now_s + (0.0 if taken is Taken.GAP else POLL_S), self.call, sharer, watch)
+        self.clock.at(now_s + (0.0 if taken is ApplyResult.GAP else POLL_S), self.call, sharer, watch)
 
     # The end
 
--- a/faultlab/storm/cluster/listservice.py
+++ b/faultlab/storm/cluster/listservice.py
@@ -5,7 +5,7 @@
 import random
 from dataclasses import dataclass, field
 
-from cloverkeel.fleet.lists.order import Raw, is_gone
+from cloverkeel.fleet.lists.versioned_list import RawEntry, is_deleted
 
 # Index at the start of each life. None comes near the one before: a restart that reaches an index that the
 # life before it had cannot be told from a change, but by the service's own epoch.
@@ -22,8 +22,8 @@
     life: int = 0
     index: int = LIVES[0]
     made: int = 0
-    entries: dict[str, Raw] = field(default_factory=dict)
-    changes: list[tuple[int, Raw]] = field(default_factory=list)  # of this life, each with its index
+    entries: dict[str, RawEntry] = field(default_factory=dict)
+    changes: list[tuple[int, RawEntry]] = field(default_factory=list)  # of this life, each with its index
 
     @property
     def epoch(self) -> int | None:
@@ -34,11 +34,11 @@
         self.index += self.rng.randint(1, 2)
         self.made += 1
         name = f"h{self.rng.randrange(12)}"
-        entry: Raw = {"name": name, "made": self.made}
+        entry: RawEntry = {"name": name, "made": self.made}
         if name in self.entries and self.rng.random() < 0.4:
             entry["status"] = "DELETED"
         self.changes.append((self.index, entry))
-        if is_gone(entry):
+        if is_deleted(entry):
             del self.entries[name]
         else:
             self.entries[name] = entry
@@ -52,7 +52,7 @@
         self.made += 1
         self.entries = {f"h{n}": {"name": f"h{n}", "made": self.made} for n in range(self.rng.randint(1, 6))}
 
-    def answer(self, from_index: int | None) -> tuple[int, bool, list[Raw]]:
+    def answer(self, from_index: int | None) -> tuple[int, bool, list[RawEntry]]:
         """Index, whether it is the whole list, and entries, to a call from `from_index`; what this life does
         not know the changes from is answered whole."""
         first = self.changes[0][0] if self.changes else self.index
--- a/faultlab/storm/cluster/members.py
+++ b/faultlab/storm/cluster/members.py
@@ -9,8 +9,16 @@
 
 from cloverkeel.fleet.membership.checked import CheckedMember
 from cloverkeel.fleet.membership.member import Member
-from cloverkeel.fleet.membership.messages import Action, Changed, Exchange, Message, Push, Refused, Send
-from cloverkeel.fleet.membership.rumours import Rumour, Status
+from cloverkeel.fleet.membership.messages import (
+    Action,
+    MemberChanged,
+    ExchangeViews,
+    Message,
+    Push,
+    NameConflict,
+    Send,
+)
+from cloverkeel.fleet.membership.updates import MemberUpdate, Status
 from faultlab.storm.cluster.faults import Fault, History, Kind
 from faultlab.storm.cluster.network import NEAR_S, Clock, Cut, Links
 
@@ -22,7 +30,7 @@
 class Process:
     """A process with one member; a core that was refused at its join gives way to another."""
 
-    me: Rumour  # as at its start
+    me: MemberUpdate  # as at its start
     take_over: bool
     older: tuple[str, ...]
     member: Member
@@ -54,7 +62,7 @@
         self.processes: dict[str, Process] = {}  # by address; one that was killed stays until it is replaced
         self.successors: dict[str, Process] = {}  # by the address of the one that they follow
         self.told: deque[tuple[float, Process, Action]] = deque(maxlen=TOLD)  # but for what was sent
-        self.deaths: list[tuple[float, str, Rumour]] = []  # told: when, by whom, of whom
+        self.deaths: list[tuple[float, str, MemberUpdate]] = []  # told: when, by whom, of whom
         self.unsettled: set[str] = set()  # names whose process was killed, replaced or left
         self.upgrading: dict[str, float] = {}  # until when the older process of a name stays
         self.on_start: Callable[[Process], None] | None = None
@@ -85,7 +93,7 @@
         old = self.processes.get(address)
         if old is not None:
             old.up = False
-        me = Rumour(name, address, incarnation, Status.ALIVE, f"z{len(name) % 3}")
+        me = MemberUpdate(name, address, incarnation, Status.ALIVE, f"z{len(name) % 3}")
         process = Process(me, take_over, older, self._core(me, take_over, older))
         self.processes[address] = process
         self.most = max(self.most, sum(p.up for p in self.processes.values()))
@@ -94,7 +102,7 @@
         if self.on_start is not None:
             self.on_start(process)
 
-    def _core(self, me: Rumour, take_over: bool, older: tuple[str, ...]) -> Member:
+    def _core(self, me: MemberUpdate, take_over: bool, older: tuple[str, ...]) -> Member:
         rng = random.Random(self.rng.getrandbits(64))
         kind = CheckedMember if self.check else Member
         return kind(me, self.history.timing, self.seeds, take_over, rng, older)
@@ -114,14 +122,14 @@
                 continue
             self.told.append((clock.now_s, process, action))
             process.changed = True
-            if isinstance(action, Exchange):
+            if isinstance(action, ExchangeViews):
                 if self.links.connected(source, action.address):
                     clock.at(clock.now_s + NEAR_S[1], self.exchange, process, action.address)
-            elif isinstance(action, Refused) and action.joining:
+            elif isinstance(action, NameConflict) and action.joining:
                 process.asks_again = True
                 clock.at(clock.now_s + self.history.timing.push_pull_s, self._join_again, process)
-            elif isinstance(action, Changed) and action.rumour.status is Status.DEAD:
-                self.deaths.append((clock.now_s, process.name, action.rumour))
+            elif isinstance(action, MemberChanged) and action.update.status is Status.DEAD:
+                self.deaths.append((clock.now_s, process.name, action.update))
 
     def at(self, address: str) -> Process | None:
         """Who hears at `address`: its process, or once that has ended its successor of an upgrade."""
@@ -166,7 +174,7 @@
         held, process.held = process.held, []
         late_s = now_s - process.due_s
         if late_s > 2 * tick_s:  # as `gossip` tells its core; what waited is read before the tick or after it
-            process.member.stalled(late_s)
+            process.member.on_stall(late_s)
         before = self.rng.random() < 0.5
         for message in held if before else ():
             self.arrive(process.me.address, message)
--- a/faultlab/storm/cluster/verdict.py
+++ b/faultlab/storm/cluster/verdict.py
@@ -6,7 +6,7 @@
 
 from cloverkeel.fleet import invariants
 from cloverkeel.fleet.membership.health import suspicion_timeout_s
-from cloverkeel.fleet.membership.rumours import Rumour, Status
+from cloverkeel.fleet.membership.updates import MemberUpdate, Status
 from faultlab.storm.cluster.faults import History
 from faultlab.storm.cluster.lists import Lists
 from faultlab.storm.cluster.members import Cluster
@@ -40,7 +40,7 @@
     try:
         outcome.agreed_s = _play(cluster, history)
     except Exception as error:  # a core's own is as much a violation as what a check found
-        outcome.violation = str(error) if isinstance(error, invariants.BrokenError) else repr(error)
+        outcome.violation = str(error) if isinstance(error, invariants.InvariantError) else repr(error)
         outcome.told = [f"{at_s:9.3f} s {p.name} at {p.me.address}: {a}" for at_s, p, a in cluster.told]
     finally:
         invariants.ON = was_on
@@ -94,7 +94,7 @@
 def _fail(found: list[str], what: str) -> None:
     if found:
         more = f" and {len(found) - 4} more" if len(found) > 4 else ""
-        raise invariants.BrokenError(f"{what}: {'; '.join(found[:4])}{more}")
+        raise invariants.InvariantError(f"{what}: {'; '.join(found[:4])}{more}")
 
 
 def _bound_s(cluster: Cluster, history: History) -> float:
@@ -114,7 +114,7 @@
     nobody else as alive; one process to a name; and one for each name whose process nothing befell, or that
     is to ask for it again."""
     found: list[str] = []
-    present: dict[str, Rumour] = {}
+    present: dict[str, MemberUpdate] = {}
     for process in cluster.speakers():
         if process.name in present:
             found.append(f"{process.name} speaks at {process.me.address} and {present[process.name].address}")
--- a/faultlab/storm/module.py
+++ b/faultlab/storm/module.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from caperdrift import Balancer, Learned
-from caperdrift.checks import watch
+from caperdrift import Balancer, LearnedState
+from caperdrift.checks import attach_checks
 from faultlab.storm.world.draws import draw_settings
 from faultlab.storm.world.world import World
 
@@ -32,14 +32,14 @@
     rng = Random(seed)
     digest = hashlib.sha256()
     done = 0
-    learned: Learned | None = None
+    learned: LearnedState | None = None
     while done < events:
         settings = draw_settings(rng)
         if learned is not None and rng.random() < 0.5:
             learned = None
         balancer = Balancer(settings, rng.getrandbits(32))
         if check:
-            watch(balancer, seed, number=done)
+            attach_checks(balancer, seed, number=done)
         world = World(rng, settings, learned, Random(f"plans {seed} {done}") if seed % 2 == 0 else None)
         for _ in range(min(rng.randint(500, EPISODE), events - done)):
             now_us, event = world.next()
@@ -54,6 +54,6 @@
             digest.update(repr(actions).encode())
             world.take(actions)
             if rng.random() < 0.002:
-                digest.update(repr((balancer.skipped(now_us), balancer.learned())).encode())
-        learned = balancer.learned()
+                digest.update(repr((balancer.count_skipped(now_us), balancer.learned_state())).encode())
+        learned = balancer.learned_state()
     return ModuleRun(seed, done, digest.hexdigest())
--- a/faultlab/storm/world/attempts.py
+++ b/faultlab/storm/world/attempts.py
@@ -32,7 +32,7 @@
         shot = Shot(action.server, sent_us=max(self.now_us, asked.body_ends_us))
         asked.shots.append(shot)
         if asked.closed or rng.random() < 0.003:
-            self.end(asked, number, 0, Outcome.MOOT)
+            self.end(asked, number, 0, Outcome.NOT_SENT)
             return
         if host is not None:
             host.out += 1
--- a/faultlab/storm/world/plans.py
+++ b/faultlab/storm/world/plans.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from caperdrift.interface import Event
-from caperdrift.plan import Hosts, Plan, Route, Target
+from caperdrift.plan import HostSelector, Plan, Route, Target
 from faultlab.storm.world.base import LABELS, SECOND_US, Base
 
 PLAN_US = 1.5 * SECOND_US  # mean time between two plans
@@ -15,20 +15,20 @@
 SHARES = ((), (1.0,), (0.1, 0.9), (0.3, 0.7), (0.2, 0.3, 0.5))
 
 
-def draw_hosts(rng: Random) -> Hosts:
+def draw_hosts(rng: Random) -> HostSelector:
     """Some of the world's servers, which are in three zones and four groups; now and then none."""
 
     def some(most: int) -> frozenset[int]:
         return frozenset(rng.sample(range(most), rng.randint(1, 2))) if rng.random() < 0.5 else frozenset()
 
-    return Hosts(groups=some(4), zones=some(3), labels=some(LABELS))
+    return HostSelector(groups=some(4), zones=some(3), labels=some(LABELS))
 
 
 def draw_route(rng: Random) -> Route:
     shares = rng.choice(SHARES)
     hosts = [draw_hosts(rng) for _ in shares]
     if len(hosts) > 1 and rng.random() < 0.5:
-        hosts[-1] = Hosts(none_of=tuple(hosts[:-1]))
+        hosts[-1] = HostSelector(none_of=tuple(hosts[:-1]))
     return Route(
         tuple(Target(named, share) for named, share in zip(hosts, shares, strict=True)),
         max_attempts=rng.choice((0, 0, 1, 2, 9)),
--- a/faultlab/storm/world/world.py
+++ b/faultlab/storm/world/world.py
@@ -15,7 +15,7 @@
     Event,
     Fail,
     FetchList,
-    Learned,
+    LearnedState,
     ListKind,
     Outcome,
     PeerMessage,
@@ -47,7 +47,11 @@
     """
 
     def __init__(
-        self, rng: Random, settings: Settings, learned: Learned | None = None, plans: Random | None = None
+        self,
+        rng: Random,
+        settings: Settings,
+        learned: LearnedState | None = None,
+        plans: Random | None = None,
     ) -> None:
         super().__init__(rng, settings)
         self.begin_plans(plans)
@@ -139,4 +143,4 @@
         rng = self.rng
         figures = (0.0, -1.0, 1e9, math.inf, 5_000.0, 40_000.0)
         latencies = [tuple(rng.choice(figures) for _ in range(rng.randint(0, 7))) for _ in range(2)]
-        return Restore(Learned((), *latencies), rng.randint(-5, SECOND_US))
+        return Restore(LearnedState((), *latencies), rng.randint(-5, SECOND_US))
--- a/tests/fleet_sim.py
+++ b/tests/fleet_sim.py
@@ -10,10 +10,10 @@
 from functools import partial
 
 from cloverkeel.fleet.lists import actions
-from cloverkeel.fleet.lists.draws import FollowSettings
-from cloverkeel.fleet.lists.follow import Follower
-from cloverkeel.fleet.lists.limits import admits
-from cloverkeel.fleet.lists.order import ListVersion
+from cloverkeel.fleet.lists.jitter import SelectorSettings
+from cloverkeel.fleet.lists.source_selector import SourceSelector
+from cloverkeel.fleet.lists.limits import admits_follower
+from cloverkeel.fleet.lists.versioned_list import ListVersion
 from cloverkeel.fleet.lists.relays import Peer
 
 HOP_S, SILENCE_S, TICK_S = 0.001, 1.0, 0.1
@@ -21,7 +21,7 @@
 
 @dataclass
 class Node:
-    core: Follower
+    core: SourceSelector
     index: int = 0  # of its list; 0: none
     followers: list[str] = field(default_factory=list)
     state: str = "up"  # "dead": resets; "stopped": silent
@@ -37,7 +37,7 @@
 
     def __init__(self, seed: int, limit: int = 32, zones: int = 3, rate: float = 20.0) -> None:
         self.rng, self.limit, self.zones = random.Random(seed), limit, zones
-        self.settings = FollowSettings("site", list_calls_per_s=rate)
+        self.settings = SelectorSettings("site", list_calls_per_s=rate)
         self.now_s, self.serial = 0.0, itertools.count()
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.nodes: dict[str, Node] = {}
@@ -58,29 +58,29 @@
         self.now_s = end_s
 
     def live(self) -> list[Peer]:
-        return [node.core.me for node in self.nodes.values() if node.state != "dead"]
+        return [node.core.local_peer for node in self.nodes.values() if node.state != "dead"]
 
     def start(self, name: str, index: int = 0) -> None:
         peer = Peer(name, "abcdefgh"[int(name[1:]) % self.zones], f"127.0.0.1:{name[1:]}")
         node = self.nodes[name] = Node(
-            Follower(peer, self.settings, random.Random(name + str(self.now_s))), index
+            SourceSelector(peer, self.settings, random.Random(name + str(self.now_s))), index
         )
-        self.views_change()
+        self.schedule_view_updates()
         self.tick(node)
 
-    def views_change(self) -> None:
+    def schedule_view_updates(self) -> None:
         for node in self.nodes.values():
             if not node.view_due:
                 node.view_due = True
-                self.after(self.rng.uniform(0.02, 0.3), partial(self.see, node))
+                self.after(self.rng.uniform(0.02, 0.3), partial(self.update_view, node))
 
-    def see(self, node: Node) -> None:
+    def update_view(self, node: Node) -> None:
         node.view_due = False
         if node.state == "up":
-            self.carry_out(node, node.core.view(self.now_s, True, self.live()))
+            self.carry_out(node, node.core.view_changed(self.now_s, True, self.live()))
 
     def tick(self, node: Node) -> None:
-        if self.nodes.get(node.core.me.name) is not node or node.state == "dead":
+        if self.nodes.get(node.core.local_peer.name) is not node or node.state == "dead":
             return
         if node.state == "up":
             self.carry_out(node, node.core.tick(self.now_s, node.version))
@@ -90,23 +90,23 @@
         node = self.nodes[name]
         node.state, node.core.watching = "dead", False
         for other in self.nodes.values():
-            if name in other.core.feeds:
+            if name in other.core.upstreams:
                 self.after(HOP_S, partial(self.end, other, name))
             if name in other.followers:
                 other.followers.remove(name)
-        self.after(1.5, self.views_change)
+        self.after(1.5, self.schedule_view_updates)
 
     def stop(self, name: str) -> None:
         self.nodes[name].state = "stopped"
         for other in self.nodes.values():
-            if name in other.core.feeds:
+            if name in other.core.upstreams:
                 self.after(SILENCE_S, partial(self.end, other, name))
 
     def end(self, node: Node, name: str) -> None:
         if node.state == "up":
-            self.carry_out(node, node.core.ended(self.now_s, name))
-            if node.core.me.name in self.nodes[name].followers:
-                self.nodes[name].followers.remove(node.core.me.name)
+            self.carry_out(node, node.core.upstream_ended(self.now_s, name))
+            if node.core.local_peer.name in self.nodes[name].followers:
+                self.nodes[name].followers.remove(node.core.local_peer.name)
 
     def change(self) -> None:
         self.index += 1
@@ -122,27 +122,27 @@
 
     def answer(self, node: Node) -> None:
         if node.state == "up" and node.core.watching:
-            self.take(node, self.index)
+            self.receive_index(node, self.index)
             self.carry_out(node, node.core.service_answered(self.now_s))
 
     def fail(self, node: Node) -> None:
         if node.state == "up" and node.core.watching:
             self.carry_out(node, node.core.service_failed(self.now_s))
 
-    def take(self, node: Node, index: int) -> None:
+    def receive_index(self, node: Node, index: int) -> None:
         if index > node.index and node.state == "up":
             node.index = index
             for name in node.followers:
-                self.after(HOP_S, partial(self.hear, name, node, index))
+                self.after(HOP_S, partial(self.receive_list, name, node, index))
 
-    def hear(self, name: str, source: Node, index: int) -> None:
+    def receive_list(self, name: str, source: Node, index: int) -> None:
         node = self.nodes[name]
-        if node.state == "up" and source.core.me.name in node.core.feeds:
-            node.core.told(source.core.me.name, ListVersion(0, index))
-            self.take(node, index)
+        if node.state == "up" and source.core.local_peer.name in node.core.upstreams:
+            node.core.version_received(source.core.local_peer.name, ListVersion(0, index))
+            self.receive_index(node, index)
 
     def carry_out(self, node: Node, wanted: list[actions.Action]) -> None:
-        me = node.core.me.name
+        me = node.core.local_peer.name
         for action in wanted:
             match action:
                 case actions.Subscribe(peer):
@@ -151,45 +151,45 @@
                     if me in self.nodes[name].followers:
                         self.nodes[name].followers.remove(me)
                 case actions.Ask(peer):
-                    self.after(HOP_S, partial(self.asked, node, self.nodes[peer.name]))
+                    self.after(HOP_S, partial(self.end_fetch, node, self.nodes[peer.name]))
                 case actions.Have(peer):
-                    self.after(HOP_S, partial(self.take, self.nodes[peer.name], node.index))
+                    self.after(HOP_S, partial(self.receive_index, self.nodes[peer.name], node.index))
                 case actions.Watch(True, _):
                     self.calls.append(self.now_s)
                     self.after(2 * HOP_S, lambda: self.answer(node) if self.up else self.fail(node))
                 case actions.Depth(depth):
                     for name in node.followers:
-                        self.after(HOP_S, partial(self.deeper, name, me, depth))
+                        self.after(HOP_S, partial(self.receive_depth, name, me, depth))
                 case actions.Relay(True):
                     self.relays_acting.append((self.now_s, me))
                 case actions.Fallback():
                     self.fallbacks += 1
 
-    def deeper(self, name: str, source: str, depth: int | None) -> None:
+    def receive_depth(self, name: str, source: str, depth: int | None) -> None:
         node = self.nodes[name]
         if node.state == "up":
-            self.carry_out(node, node.core.opened(self.now_s, source, depth))
+            self.carry_out(node, node.core.depth_received(self.now_s, source, depth))
 
-    def asked(self, node: Node, other: Node) -> None:
+    def end_fetch(self, node: Node, other: Node) -> None:
         if other.state == "up":
-            self.take(node, other.index)
+            self.receive_index(node, other.index)
         if node.state == "up":
-            self.carry_out(node, node.core.asked(self.now_s, other.core.me.name))
+            self.carry_out(node, node.core.fetch_ended(self.now_s, other.core.local_peer.name))
 
     def open(self, node: Node, other: Node) -> None:
-        me, name = node.core.me.name, other.core.me.name
-        if node.state != "up" or name not in node.core.feeds:
+        me, name = node.core.local_peer.name, other.core.local_peer.name
+        if node.state != "up" or name not in node.core.upstreams:
             return
         if other.state != "up" or (me, name) in self.blocked:
             self.after(SILENCE_S if other.state != "dead" else HOP_S, lambda: self.end(node, name))
-        elif not admits(len(other.followers), self.limit, other.core.depth, other.core.is_relay):
+        elif not admits_follower(len(other.followers), self.limit, other.core.depth, other.core.is_relay):
             names = self.rng.sample(other.followers, min(4, len(other.followers)))
-            self.carry_out(node, node.core.full(self.now_s, name, names))
+            self.carry_out(node, node.core.upstream_full(self.now_s, name, names))
         else:
             if me not in other.followers:
                 other.followers.append(me)
-            self.carry_out(node, node.core.opened(self.now_s, name, other.core.depth))
+            self.carry_out(node, node.core.depth_received(self.now_s, name, other.core.depth))
             if other.version is not None:
-                node.core.told(name, other.version)
-            self.take(node, other.index)
-            self.take(other, node.index)
+                node.core.version_received(name, other.version)
+            self.receive_index(node, other.index)
+            self.receive_index(other, node.index)
--- a/tests/list_site.py
+++ b/tests/list_site.py
@@ -88,7 +88,7 @@
 
     @property
     def hosts(self) -> set[str]:
-        return {str(raw["name"]) for raw in self.gateway.listed.values()}
+        return {str(raw["name"]) for raw in self.gateway.listed_hosts.values()}
 
     @property
     def index(self) -> int | None:
@@ -97,7 +97,7 @@
     @property
     def rows(self) -> list[dict[str, Any]]:
         """The member table as operators read it."""
-        found = json.loads(self.fleet.answer().body)["members"]
+        found = json.loads(self.fleet.members_answer().body)["members"]
         assert isinstance(found, list)
         return found
 
--- a/tests/raw_host.py
+++ b/tests/raw_host.py
@@ -14,16 +14,16 @@
 from cloverkeel.hosts.attempt import Attempt
 from cloverkeel.hosts.connection import HostConnection
 from cloverkeel.hosts.host import Host
-from cloverkeel.hosts.idle import REST_US
+from cloverkeel.hosts.idle import REUSE_DELAY_US
 from cloverkeel.hosts.pool import Pools
 from cloverkeel.http1 import Reply
-from cloverkeel.streams import Buffer
+from cloverkeel.streams import ReadBuffer
 from cloverkeel.telemetry import Telemetry
 from tests.helpers import SAFE
 from tests.sockets import reply, until
 
-PATIENCE_US = 20_000_000
-ASKED = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+TIMEOUT_US = 20_000_000
+REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
 def descriptors_to(ports: set[int]) -> int:
@@ -47,7 +47,7 @@
     taken.close()
 
 
-def seen_by(connection: HostConnection) -> None:
+def wait_until_readable(connection: HostConnection) -> None:
     """Wait, without a turn of the loop, until what its host has done has arrived at this side."""
     assert connection.poll.poll(5_000)
 
@@ -59,16 +59,16 @@
     listener: socket.socket
     pools: Pools
     known: Host
-    taken: list[socket.socket] = field(default_factory=list)
+    accepted: list[socket.socket] = field(default_factory=list)
     ended: list[Outcome] = field(default_factory=list)
     replies: list[Reply | None] = field(default_factory=list)
     pieces: list[bytes] = field(default_factory=list)  # of long answers
 
-    def send(self, data: bytes = ASKED, timeout_us: int = PATIENCE_US) -> Attempt:
+    def send(self, data: bytes = REQUEST, timeout_us: int = TIMEOUT_US) -> Attempt:
         attempt = Attempt(
-            self.known, lambda: data, self.on_end, on_begin=lambda attempt, head: self.pieces.append
+            self.known, lambda: data, self.on_end, on_response_begin=lambda attempt, head: self.pieces.append
         )
-        attempt.left_us = lambda: PATIENCE_US
+        attempt.remaining_us = lambda: TIMEOUT_US
         self.pools.send(attempt, timeout_us)
         return attempt
 
@@ -78,10 +78,10 @@
 
     async def accept(self) -> socket.socket:
         taken, _ = await asyncio.get_running_loop().sock_accept(self.listener)
-        self.taken.append(taken)
+        self.accepted.append(taken)
         return taken
 
-    async def read(self, taken: socket.socket, size: int = len(ASKED)) -> int:
+    async def read(self, taken: socket.socket, size: int = len(REQUEST)) -> int:
         """Bytes that came, up to a size or the end."""
         got = 0
         while got < size and (data := await asyncio.get_running_loop().sock_recv(taken, 1 << 20)):
@@ -96,7 +96,7 @@
         taken.sendall(b"".join(answer) or reply())
         await until(lambda: self.ended)
         for connection in self.known.idle:
-            connection.idle_since_us -= REST_US  # as if it had rested
+            connection.idle_since_us -= REUSE_DELAY_US  # as if it had rested
         self.ended.clear()
         self.replies.clear()
         return taken
@@ -104,19 +104,19 @@
 
 @asynccontextmanager
 async def raw_host(receive_buffer: int = 0) -> AsyncIterator[RawHost]:
-    pools = Pools(Settings(classes=(SAFE,), stop_sending_within_us=1_000_000), Telemetry(), Buffer(192))
+    pools = Pools(Settings(classes=(SAFE,), stop_sending_within_us=1_000_000), Telemetry(), ReadBuffer(192))
     with socket.socket() as listener:
         if receive_buffer:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
         listener.bind(("127.0.0.1", 0))
         listener.listen()
         listener.setblocking(False)
-        pools.put(1, "h", listener.getsockname(), True)
+        pools.update_host(1, "h", listener.getsockname(), True)
         host = RawHost(listener, pools, pools.hosts[1])
         try:
             yield host
-            await until(lambda: pools.open == len(host.known.idle) == host.known.open)
+            await until(lambda: pools.open_connections == len(host.known.idle) == host.known.open_connections)
         finally:
             pools.close()
-            for taken in host.taken:
+            for taken in host.accepted:
                 taken.close()
--- a/tests/streaming.py
+++ b/tests/streaming.py
@@ -47,7 +47,7 @@
             task.cancel()
 
 
-def answering(head: str, *pieces: bytes, reset: bool = False) -> Serve:
+def single_response(head: str, *pieces: bytes, reset: bool = False) -> Serve:
     """A host that answers the first request of a connection with this, and ends it."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from cloverkeel.front import reading
+from cloverkeel.front import request_reader
 from tests.sockets import (
     Running,
     answers,
@@ -39,14 +39,14 @@
     data: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Whatever stood unread at the sweep put it off, so that a peer of single bytes was never late."""
-    monkeypatch.setattr(reading, "HEAD_S", 0.3)
-    monkeypatch.setattr(reading, "BODY_SLACK_S", 0.3)
+    monkeypatch.setattr(request_reader, "HEAD_TIMEOUT_S", 0.3)
+    monkeypatch.setattr(request_reader, "BODY_GRACE_S", 0.3)
     async with peer() as host, running(configuration(host)) as run:
         client = socket.create_connection(("127.0.0.1", run.port))
         client.sendall(data)
         await until(lambda: run.server.connections)
         (connection,) = run.server.connections
-        found = connection.on_unfinished
+        found = connection.on_request_timeout
         looked = 0
 
         def with_a_byte_unread() -> None:
@@ -55,8 +55,8 @@
             client.sendall(b"a" if data.strip() else b"\n")
             found()
 
-        monkeypatch.setattr(connection, "on_unfinished", with_a_byte_unread)
-        await until(lambda: connection.served)
+        monkeypatch.setattr(connection, "on_request_timeout", with_a_byte_unread)
+        await until(lambda: connection.has_responded)
         assert client.recv(4096).startswith(b"HTTP/1.1 408 ") and looked == 2
         assert not host.seen and not run.gateway.pending
         client.close()
@@ -71,15 +71,15 @@
         client.send(b"".join(request("transfer") for _ in range(20)) + last[:30])
         await until(lambda: host.seen)
         (connection,) = run.server.connections
-        assert connection.reading is not None and connection.held_at_s < math.inf
-        connection.awaits_since_s -= 60  # it all lies a minute back
-        connection.held_at_s -= 60
+        assert connection.incoming is not None and connection.paused_since_s < math.inf
+        connection.awaiting_since_s -= 60  # it all lies a minute back
+        connection.paused_since_s -= 60
         host.script = answers(reply())
         host.seen[0].answer(reply())
         for _ in range(20):
             assert (await client.answer()).status == 200
-        assert connection.held_at_s == math.inf
-        assert not connection.is_late(asyncio.get_running_loop().time())
+        assert connection.paused_since_s == math.inf
+        assert not connection.is_overdue(asyncio.get_running_loop().time())
         client.send(last[30:])
         assert (await client.answer()).status == 200
         client.close()
@@ -93,16 +93,16 @@
         client.send(request("transfer") + waits)
         await until(lambda: host.seen)
         (connection,) = run.server.connections
-        assert connection.reading is not None
-        connection.awaits_since_s -= 60  # the one before takes a minute
+        assert connection.incoming is not None
+        connection.awaiting_since_s -= 60  # the one before takes a minute
         connection.body_due_s -= 60
-        connection.reading.expects_since_s -= 60
-        assert not connection.is_late(loop.time())
+        connection.incoming.awaits_continue_since_s -= 60
+        assert not connection.is_overdue(loop.time())
         host.seen[0].answer(reply())
         assert (await client.answer()).status == 200
         assert await client.reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
-        assert not connection.is_late(loop.time())
-        assert connection.is_late(loop.time() + 60)  # from here on the time is its own
+        assert not connection.is_overdue(loop.time())
+        assert connection.is_overdue(loop.time() + 60)  # from here on the time is its own
         host.script = answers(reply())
         client.send(b"body")
         assert (await client.answer()).status == 200
@@ -149,18 +149,18 @@
         assert transport is not None
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         reader.sendall(b"".join(request() for _ in range(200)))
-        await until(lambda: connection.unread_since_s < math.inf and connection.current is None)
+        await until(lambda: connection.write_blocked_since_s < math.inf and connection.current is None)
         other = await run.connect()
         for _ in range(5):  # of turns that it could have taken
             assert (await other.ask(request())).status == 200
         # What the transport holds before it says so is 64 KiB, and one answer is more than that allows for.
         begun = len(host.seen) - 5
         assert transport.get_write_buffer_size() < 65_536 + 61_000 and begun <= 4  # the kernel takes some
-        assert connection.held_at_s < math.inf  # nor is more of it read
+        assert connection.paused_since_s < math.inf  # nor is more of it read
         taken = 0
         while taken < 200 * 60_000:  # once it does, all goes on
             taken += len(await asyncio.get_running_loop().sock_recv(reader, 1 << 20))
-        await until(lambda: connection.current is None and not connection.waiting)
+        await until(lambda: connection.current is None and not connection.queue)
         assert len(host.seen) == 205
         reader.close()
         other.close()
@@ -177,7 +177,7 @@
         client.send(request("transfer") + request("transfer", budget_ms=20_000))
         await until(lambda: host.seen)
         (connection,) = run.server.connections
-        connection.waiting[0].waits_since_us -= waited_s * 1_000_000
+        connection.queue[0].queued_since_us -= waited_s * 1_000_000
         host.script = answers(reply())
         host.seen[0].answer(reply())
         assert (await client.answer()).status == 200
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -2,9 +2,9 @@
 
 from tests.helpers import Driver, sends, trip
 from caperdrift.interface import ListedServer, ListKind, Outcome
-from caperdrift.policy.breaker import COOLDOWN_US, MINIMUM, RING, TRIALS, Breaker, State
-from caperdrift.policy.servers import CEILING, FLOOR
-from caperdrift.policy.weights import CUT, STEP, adjust_weight
+from caperdrift.policy.breaker import COOLDOWN_US, MINIMUM, RING_SIZE, TRIALS, Breaker, State
+from caperdrift.policy.servers import MAX_WEIGHT, MIN_WEIGHT
+from caperdrift.policy.weights import WEIGHT_CUT, WEIGHT_STEP, adjust_weight
 
 
 def tripped() -> Breaker:
@@ -15,7 +15,7 @@
 
 def half_open() -> Breaker:
     breaker = tripped()
-    assert breaker.lets_through(COOLDOWN_US)
+    assert breaker.allow(COOLDOWN_US)
     return breaker
 
 
@@ -30,30 +30,30 @@
 def test_the_ring_forgets_its_oldest_outcome() -> None:
     breaker = Breaker()
     breaker.record(0, True, 0, 0.0)
-    for _ in range(RING):
+    for _ in range(RING_SIZE):
         breaker.record(0, False, 0, 0.0)
-    assert breaker.failures == 0 and len(breaker.ring) == RING
+    assert breaker.failures == 0 and len(breaker.ring) == RING_SIZE
 
 
 def test_an_open_server_gets_nothing_until_the_cooldown_ends() -> None:
     breaker = tripped()
-    assert not breaker.lets_through(COOLDOWN_US - 1)
-    assert breaker.lets_through(COOLDOWN_US)
+    assert not breaker.allow(COOLDOWN_US - 1)
+    assert breaker.allow(COOLDOWN_US)
     assert breaker.state is State.HALF_OPEN
 
 
 def test_half_open_gives_out_no_more_than_its_trials() -> None:
     breaker = half_open()
     for _ in range(TRIALS):
-        assert breaker.lets_through(COOLDOWN_US)
-        assert breaker.take_trial() == 1
-    assert not breaker.lets_through(COOLDOWN_US)
+        assert breaker.allow(COOLDOWN_US)
+        assert breaker.start_trial() == 1
+    assert not breaker.allow(COOLDOWN_US)
 
 
 def test_good_trials_close_and_empty_the_ring() -> None:
     breaker = half_open()
     for _ in range(TRIALS):
-        breaker.take_trial()
+        breaker.start_trial()
     results = [breaker.record(COOLDOWN_US, False, 1, 0.0) for _ in range(TRIALS)]
     assert results[-1] is State.CLOSED
     assert not breaker.ring and breaker.failures == 0
@@ -62,7 +62,7 @@
 def test_bad_trials_reopen_for_longer() -> None:
     breaker = half_open()
     for _ in range(TRIALS):
-        breaker.take_trial()
+        breaker.start_trial()
     breaker.record(COOLDOWN_US, True, 1, 0.0)
     assert breaker.record(COOLDOWN_US, True, 1, 0.0) is State.OPEN
     assert breaker.open_until_us == 3 * COOLDOWN_US
@@ -70,10 +70,10 @@
 
 def test_in_half_open_only_trials_count() -> None:
     breaker = half_open()
-    breaker.take_trial()
-    for _ in range(RING):
+    breaker.start_trial()
+    for _ in range(RING_SIZE):
         assert breaker.record(COOLDOWN_US, True, 0, 0.0) is None
-    assert breaker.state is State.HALF_OPEN and breaker.trials_out == 1
+    assert breaker.state is State.HALF_OPEN and breaker.trials_in_flight == 1
 
 
 def test_late_outcomes_enter_the_ring_and_restart_the_cooldown() -> None:
@@ -84,7 +84,7 @@
 
 def test_failures_that_all_servers_share_convict_none() -> None:
     breaker = Breaker()
-    for n in range(RING):
+    for n in range(RING_SIZE):
         breaker.record(0, n % 2 == 0, 0, 0.5)
     assert breaker.state is State.CLOSED
 
@@ -110,21 +110,24 @@
     server.weight = 0.5
     name, _ = driver.arrive()
     driver.end(name, 0)
-    assert server.weight == 0.5 + STEP
+    assert server.weight == 0.5 + WEIGHT_STEP
     name, _ = driver.arrive(klass=2)
     driver.end(name, 0, Outcome.RESET)
-    assert server.weight == (0.5 + STEP) * CUT
+    assert server.weight == (0.5 + WEIGHT_STEP) * WEIGHT_CUT
     name, _ = driver.arrive(klass=2)
     driver.end(name, 0, Outcome.ERROR)  # the other class's last answer was good: this class's own
-    assert server.weight == (0.5 + STEP) * CUT and server.part(2).weight == CEILING * CUT
+    assert (
+        server.weight == (0.5 + WEIGHT_STEP) * WEIGHT_CUT
+        and server.class_state(2).weight == MAX_WEIGHT * WEIGHT_CUT
+    )
 
 
 def test_a_reply_over_twice_the_smoothed_latency_is_cut() -> None:
     driver = Driver(servers=1)
     server = driver.balancer.servers[0]
     name, _ = driver.arrive()
-    driver.end(name, 0, latency_us=int(driver.balancer.smoothed[0] * 2.2))
-    assert server.weight == CEILING * CUT
+    driver.end(name, 0, latency_us=int(driver.balancer.smoothed_us[0] * 2.2))
+    assert server.weight == MAX_WEIGHT * WEIGHT_CUT
 
 
 def test_weight_stays_between_floor_and_ceiling() -> None:
@@ -132,10 +135,10 @@
     server = driver.balancer.servers[0]
     for _ in range(40):
         adjust_weight(driver.balancer, server, True)
-    assert server.weight == FLOOR
+    assert server.weight == MIN_WEIGHT
     for _ in range(400):
         adjust_weight(driver.balancer, server, False)
-    assert server.weight == CEILING
+    assert server.weight == MAX_WEIGHT
 
 
 def test_a_newcomer_starts_at_the_mean_weight() -> None:
@@ -161,7 +164,7 @@
         assert sends(actions)
         driver.end(name, 0)
     assert server.breaker.state.value == "closed"
-    assert server.weight == max(FLOOR, weight)
+    assert server.weight == max(MIN_WEIGHT, weight)
 
 
 def test_a_failed_connect_of_a_trial_reopens_at_once_for_longer() -> None:
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from caperdrift.checks import watch
-from caperdrift.checks.account import InvariantBroken
+from caperdrift.checks import attach_checks
+from caperdrift.checks.model import InvariantBroken
 from caperdrift.interface import (
     Action,
     AttemptEnded,
@@ -28,7 +28,7 @@
 from caperdrift.policy.balancer import Balancer
 from caperdrift.policy.breaker import Breaker
 from caperdrift.policy.servers import Server
-from caperdrift.policy.sharers import BELIEVED_US
+from caperdrift.policy.proxy_count import LOWER_COUNT_DELAY_US
 from faultlab.storm.module import run_module
 from tests.helpers import SETTINGS, START_US
 
@@ -51,7 +51,7 @@
 
 def test_a_second_answer_is_caught_with_seed_and_event() -> None:
     balancer = Twice(SETTINGS, 3)
-    watch(balancer, 3)
+    attach_checks(balancer, 3)
     balancer.handle(START_US, ServerList(ListKind.FULL))
     with pytest.raises(InvariantBroken, match="seed 3 event 2: r1 answered though nothing is owed"):
         balancer.handle(START_US, RequestArrived("r1", 0, 400_000))
@@ -60,7 +60,7 @@
 def test_a_gateway_logs_the_first_broken_invariant_and_goes_on() -> None:
     lines: list[str] = []
     balancer = Twice(SETTINGS, 3)
-    watch(balancer, 3, lines.append)
+    attach_checks(balancer, 3, lines.append)
     for name in ("r1", "r2"):
         assert len(balancer.handle(START_US, RequestArrived(name, 0, 400_000))) == 2
     assert len(lines) == 1 and "seed 3 event 1" in lines[0]
@@ -75,7 +75,7 @@
 
     lines: list[str] = []
     balancer = Fails(SETTINGS, 3)
-    watch(balancer, 3, lines.append)
+    attach_checks(balancer, 3, lines.append)
     with pytest.raises(ZeroDivisionError):
         balancer.handle(START_US, ServerList(ListKind.FULL))
     assert len(balancer.handle(START_US, RequestArrived("r1", 0, 400_000))) == 2 and not lines
@@ -88,7 +88,7 @@
             return [Send(event.request, 1, 1_000)] if isinstance(event, AttemptEnded) else actions
 
     balancer = Again(replace(SETTINGS, classes=SETTINGS.classes[2:]), 3)
-    watch(balancer, 3)
+    attach_checks(balancer, 3)
     balancer.handle(START_US, ServerList(ListKind.FULL, (ListedServer(1),)))
     balancer.handle(START_US, RequestArrived("r1", 0, 1_000_000))
     with pytest.raises(InvariantBroken, match="unsafe"):
@@ -97,9 +97,9 @@
 
 def test_a_fleet_that_is_smaller_than_the_settings_say_has_larger_parts_of_a_cold_server() -> None:
     balancer = Balancer(replace(SETTINGS, proxies=60, warm_after_us=60_000_000, start_capacity=0.1), 1)
-    watch(balancer, 1)
+    attach_checks(balancer, 1)
     balancer.handle(START_US, Fleet((1,)))
-    listed_us = START_US + BELIEVED_US
+    listed_us = START_US + LOWER_COUNT_DELAY_US
     cold = ListedServer(1, started_us=listed_us - 1_000_000)
     balancer.handle(listed_us, ServerList(ListKind.FULL, (cold,)))
     sent = 0
@@ -113,16 +113,21 @@
 
 
 BREAKS: tuple[tuple[str, Any, str, Any], ...] = (
-    ("open", Breaker, "may_pass", lambda breaker, now_us: True),
+    ("open", Breaker, "would_allow", lambda breaker, now_us: True),
     ("not ready", Server, "ready", True),
-    ("has the weight", weights, "FLOOR", 0.01),
+    ("has the weight", weights, "MIN_WEIGHT", 0.01),
     ("cold server", choice, "has_cold_capacity", lambda proxy, server, request: True),
-    ("half-open", Breaker, "take_trial", lambda breaker: breaker.episode),
-    ("out by its count", retries, "stop_work", lambda proxy, attempt: None),
-    ("of a target that it was not meant for", routes, "names", lambda hosts, entry: True),
-    ("at once, of", balancer, "is_full", lambda proxy, number, route: False),
-    ("after its route's deadline", admission, "capped", lambda proxy, route, *left: (1, *left)),
-    ("drew a target", admission, "targets", lambda proxy, route: tuple(t.hosts for t in route.targets[:1])),
+    ("half-open", Breaker, "start_trial", lambda breaker: breaker.episode),
+    ("out by its count", retries, "remove_in_flight", lambda proxy, attempt: None),
+    ("of a target that it was not meant for", routes, "matches", lambda hosts, entry: True),
+    ("at once, of", balancer, "is_at_limit", lambda proxy, number, route: False),
+    ("after its route's deadline", admission, "apply_route_caps", lambda proxy, route, *left: (1, *left)),
+    (
+        "drew a target",
+        admission,
+        "draw_targets",
+        lambda proxy, route: tuple(t.hosts for t in route.targets[:1]),
+    ),
 )
 
 
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -12,7 +12,7 @@
 import pytest
 from caperdrift.interface import Outcome, Send
 
-from cloverkeel.front import reading
+from cloverkeel.front import request_reader
 from cloverkeel.hosts.attempt import Attempt
 from cloverkeel.hosts.connection import HostConnection
 from cloverkeel.http1 import Reply
@@ -33,7 +33,7 @@
 from tests.test_gateway_outcomes import outcomes
 
 
-class Leaver:
+class RawClient:
     """A client on a socket of its own, which closes while the loop stands still."""
 
     def __init__(self, run: Running, receive_buffer: int = 0) -> None:
@@ -43,7 +43,7 @@
         self.socket.connect(("127.0.0.1", run.port))
         self.send = self.socket.sendall
 
-    def leave(self, how: str = "close") -> None:
+    def disconnect(self, how: str = "close") -> None:
         if how == "reset":
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         if how == "end":  # of its sending alone: it reads on, or does not
@@ -67,14 +67,16 @@
             one.close()
 
 
-PART = request("transfer", bytes(200_000))[:100_000]  # of a long body: it waits for a host to take it
+PARTIAL_LONG_REQUEST = request("transfer", bytes(200_000))[
+    :100_000
+]  # of a long body: it waits for a host to take it
 
 
 @on_loop
 async def test_an_attempt_that_nobody_wants_is_not_written_and_leaves_its_connection_to_the_next(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("cloverkeel.hosts.idle.REST_US", 0)
+    monkeypatch.setattr("cloverkeel.hosts.idle.REUSE_DELAY_US", 0)
     async with peer() as host, running(configuration(host)) as run:
         pools, ends = run.gateway.pools, []
 
@@ -85,14 +87,14 @@
         for _ in range(2):  # on a new connection, and on a kept one
             pools.send(Attempt(known, request, on_end, is_wanted=lambda: False), 20_000_000)
             await until(lambda: known.idle)
-        assert ends == [Outcome.MOOT, Outcome.MOOT]
+        assert ends == [Outcome.NOT_SENT, Outcome.NOT_SENT]
         pools.send(Attempt(known, request, on_end), 20_000_000)
         await until(lambda: len(ends) == 3)
         assert ends[2] is Outcome.OK and len(host.seen) == 1 and host.opened == 1
 
 
 @pytest.mark.parametrize("may_cancel", [False, True])
-@pytest.mark.parametrize("data", [request("transfer"), PART], ids=["short", "long"])
+@pytest.mark.parametrize("data", [request("transfer"), PARTIAL_LONG_REQUEST], ids=["short", "long"])
 @on_loop
 async def test_a_client_that_leaves_while_its_connection_comes_up_ends_the_attempt_at_once(
     data: bytes, may_cancel: bool
@@ -100,44 +102,44 @@
     with full_listener() as listener:
         address = f"127.0.0.1:{listener.getsockname()[1]}"
         async with running(configuration(address, mayCancel=may_cancel)) as run:
-            told, client = outcomes(run), Leaver(run)
+            told, client = outcomes(run), RawClient(run)
             client.send(data)
-            await until(lambda: run.gateway.pools.open)
-            client.leave()
-            await until(lambda: not run.server.connections and not run.gateway.pools.open)
-            assert [event.outcome for event in told] == [Outcome.MOOT] and told[0].finished
+            await until(lambda: run.gateway.pools.open_connections)
+            client.disconnect()
+            await until(lambda: not run.server.connections and not run.gateway.pools.open_connections)
+            assert [event.outcome for event in told] == [Outcome.NOT_SENT] and told[0].finished
             assert not run.gateway.pending and not run.gateway.balancer.requests
 
 
 @pytest.mark.parametrize("may_cancel", [False, True])
 @pytest.mark.parametrize("how", ["close", "reset"])
-@pytest.mark.parametrize("data", [request("transfer"), PART], ids=["short", "long"])
+@pytest.mark.parametrize("data", [request("transfer"), PARTIAL_LONG_REQUEST], ids=["short", "long"])
 @on_loop
 async def test_a_client_that_leaves_in_the_moment_in_which_the_connection_comes_up_gets_nothing_begun(
     data: bytes, how: str, may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     made = HostConnection.connection_made
     async with peer() as host, running(configuration(host, mayCancel=may_cancel)) as run:
-        told, client = outcomes(run), Leaver(run)
+        told, client = outcomes(run), RawClient(run)
 
         def leave_first(connection: HostConnection, transport: asyncio.BaseTransport) -> None:
-            client.leave(how)  # and the loop has had no turn since
+            client.disconnect(how)  # and the loop has had no turn since
             made(connection, transport)
 
         monkeypatch.setattr(HostConnection, "connection_made", leave_first)
         client.send(data)
         await until(lambda: told)
         await until(lambda: not run.server.connections)
-        assert [event.outcome for event in told] == [Outcome.MOOT] and told[0].finished
+        assert [event.outcome for event in told] == [Outcome.NOT_SENT] and told[0].finished
         assert not host.seen and not run.gateway.pending and not run.gateway.balancer.requests
-        assert not any(server.out for server in run.gateway.balancer.servers.values())
+        assert not any(server.in_flight for server in run.gateway.balancer.servers.values())
 
 
 @pytest.mark.parametrize("first", [b"", reply(503, b"", "X-Rejected: 1"), reply(500)])
 @on_loop
 async def test_no_further_attempt_begins_for_a_client_that_leaves_as_the_first_fails(first: bytes) -> None:
     def script(exchange: Exchange) -> None:
-        client.leave()  # both are ready in the loop's next poll
+        client.disconnect()  # both are ready in the loop's next poll
         if first:
             exchange.answer(first)
         else:
@@ -145,7 +147,7 @@
 
     config = configuration
     async with peer(script) as one, peer(script) as two, running(config(one, two, mayCancel=False)) as run:
-        told, client = outcomes(run), Leaver(run)
+        told, client = outcomes(run), RawClient(run)
         client.send(request())
         await until(lambda: told and not run.server.connections)
         assert len(one.seen) + len(two.seen) == 1
@@ -158,7 +160,7 @@
     with full_listener() as listener:
         async with peer() as host, running(configuration(host, mayCancel=False)) as run:
             told, gateway = outcomes(run), run.gateway
-            gateway.pools.put(1, "late", ("127.0.0.1", listener.getsockname()[1]), True)
+            gateway.pools.update_host(1, "late", ("127.0.0.1", listener.getsockname()[1]), True)
             host.script = silent
             client = await run.connect()
             client.send(request())
@@ -171,7 +173,7 @@
             assert attempt is not None and attempt.connection is not None and not attempt.ended
             connection = attempt.connection
             attempt.payload = lambda: pytest.fail("it is written")
-            gateway.pools.put_on(connection, attempt)  # as if it had come up
+            gateway.pools.write_attempt(connection, attempt)  # as if it had come up
             assert attempt.ended
             await until(lambda: len(told) == 2)
             assert told[1].outcome is Outcome.MOOT and not gateway.pending
@@ -188,28 +190,28 @@
         if not swept:
             monkeypatch.setattr(run.server, "sweep", lambda: None)
             await asyncio.sleep(0.25)  # the one that was due
-        client = Leaver(run)
+        client = RawClient(run)
         client.send(b"".join(request("transfer") for _ in range(40)))
         await until(lambda: host.seen)
         (connection,) = run.server.connections
-        await until(lambda: connection.held_at_s < math.inf)
-        client.leave(how)
+        await until(lambda: connection.paused_since_s < math.inf)
+        client.disconnect(how)
         if not swept:
             host.seen[0].answer(reply())
         await until(lambda: not run.server.connections)
         if swept:
             host.seen[0].answer(reply())  # to one that was out before
         await until(lambda: not run.gateway.pending)
-        assert len(host.seen) == 1 and not connection.waiting
+        assert len(host.seen) == 1 and not connection.queue
 
 
 @on_loop
 async def test_an_end_is_seen_though_output_waits_and_an_unread_answer_holds_no_descriptor(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(reading, "UNREAD_S", 0.05)
+    monkeypatch.setattr(request_reader, "WRITE_STALL_S", 0.05)
     async with peer(answers(reply(200, bytes(300_000)))) as host, running(configuration(host)) as run:
-        client = Leaver(run, receive_buffer=2048)
+        client = RawClient(run, receive_buffer=2048)
         await until(lambda: run.server.connections)
         (connection,) = run.server.connections
         transport = connection.transport
@@ -219,12 +221,12 @@
         client.send(request("transfer"))
         await until(lambda: transport.get_write_buffer_size())
         client.send(b"".join(request("transfer") for _ in range(3)))
-        await until(lambda: len(connection.waiting) == 3)
-        client.leave("end")
+        await until(lambda: len(connection.queue) == 3)
+        client.disconnect("end")
         await until(lambda: not run.gateway.pending)  # its output still waits, or has been given up
         await until(lambda: not run.server.connections)
-        assert len(host.seen) == 1 and not connection.waiting
-        client.leave()
+        assert len(host.seen) == 1 and not connection.queue
+        client.disconnect()
 
 
 @on_loop
@@ -233,16 +235,16 @@
         config = configuration(host, mayCancel=False)
         config["settings"]["lanes"][2]["sequential"] = True
         async with running(config) as run:
-            first, second, third = Leaver(run), Leaver(run), Leaver(run)
+            first, second, third = RawClient(run), RawClient(run), RawClient(run)
             for count, client in enumerate((first, second, third), 1):
                 client.send(request("transfer", x_call_id=f"in-line-{count}"))
                 await until(lambda n=count: len(run.gateway.pending) == n)  # type: ignore[misc]
             await until(lambda: host.seen)
-            second.leave()
+            second.disconnect()
             host.seen[0].answer(reply())  # both are ready in the loop's next poll
             await until(lambda: len(host.seen) == 2)
             host.seen[1].answer(reply())
             await until(lambda: not run.gateway.pending)
             assert [e.message.headers["x-call-id"] for e in host.seen] == ["in-line-1", "in-line-3"]
-            first.leave()
-            third.leave()
+            first.disconnect()
+            third.disconnect()
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -13,7 +13,7 @@
 
 from cloverkeel import http1, operator
 from cloverkeel.front.connection import ClientConnection
-from cloverkeel.operator import Answer, Operator
+from cloverkeel.operator import Answer, OperatorServer
 from tests.sockets import (
     Running,
     answers,
@@ -65,7 +65,7 @@
     monkeypatch.setattr(protocol, "connection_made", connection_made)
 
 
-@pytest.mark.parametrize("way", ["close_idle", "make_room", "on_unfinished"])
+@pytest.mark.parametrize("way", ["close_idle", "reclaim_descriptors", "on_request_timeout"])
 @on_loop
 async def test_a_request_that_crosses_the_close_of_an_idle_connection_meets_an_end_and_no_reset(
     way: str, monkeypatch: pytest.MonkeyPatch
@@ -73,8 +73,8 @@
     async with peer() as host, running(configuration(host)) as run:
         with raw_client(run.port) as client:
             connection = await connected(run)
-            connection.served = True
-            connection.rests_since_s -= 60
+            connection.has_responded = True
+            connection.idle_since_s -= 60
 
             def crossing(linger_s: float = http1.LINGER_S) -> None:
                 client.send(request("transfer"))  # after the last look for one, and before the end
@@ -82,9 +82,9 @@
                 connection.close(linger_s)
 
             monkeypatch.setattr(connection, "close", crossing)
-            if way == "make_room":
+            if way == "reclaim_descriptors":
                 monkeypatch.setattr(type(run.server), "free_descriptors", property(lambda self: 40))
-            (connection if way == "on_unfinished" else run.server).__getattribute__(way)()
+            (connection if way == "on_request_timeout" else run.server).__getattribute__(way)()
             assert not run.server.connections
             assert await read_all(client) == b""
             assert not host.seen
@@ -126,7 +126,7 @@
         with raw_client(run.port, receive_buffer=4096) as client:
             connection = await connected(run)
             client.send(request("transfer", connection=keep))
-            await until(lambda: connection.shut)
+            await until(lambda: connection.write_shut)
             assert connection.transport is not None and connection.transport.get_write_buffer_size()
             client.send(request("transfer"))
             data = await read_all(client)
@@ -147,7 +147,7 @@
 
     monkeypatch.setattr(http1, "_end_linger", counted)
     monkeypatch.setattr(operator, "lingering_close", partial(http1.lingering_close, linger_s=0.01))
-    calls = Operator(("127.0.0.1", 0), {b"/large": lambda: Answer(200, LARGE)})
+    calls = OperatorServer(("127.0.0.1", 0), {b"/large": lambda: Answer(200, LARGE)})
     await calls.start()
     assert calls.listener is not None
     with raw_client(calls.listener.sockets[0].getsockname()[1], receive_buffer=4096) as client:
@@ -164,7 +164,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     small_send_buffers(monkeypatch, ClientConnection)
-    monkeypatch.setattr(http1, "UNREAD_S", 0.05)
+    monkeypatch.setattr(http1, "WRITE_STALL_S", 0.05)
     async with peer(answers(reply(200, LARGE))) as host, running(configuration(host)) as run:
         for body in (LARGE, b""):
             host.script = answers(reply(200, body))
@@ -183,8 +183,8 @@
         with raw_client(run.port) as client:
             client.send(data[:-3])
             connection = await connected(run)
-            await until(lambda: connection.reading)
-            connection.on_unfinished()
+            await until(lambda: connection.incoming)
+            connection.on_request_timeout()
             client.send(data[-3:] + request("transfer"))
             assert (await read_all(client)).startswith(b"HTTP/1.1 408 ")
             assert not host.seen
@@ -214,7 +214,7 @@
 
             taken: list[object] = []
             monkeypatch.setattr(run.gateway, "body_ended", body_ended)
-            monkeypatch.setattr(run.gateway, "arrive", taken.append)
+            monkeypatch.setattr(run.gateway, "accept", taken.append)
             client.send(long[-5:] + request("transfer") + request("transfer", expect="100-continue")[:-2])
             data = await read_all(client)
             assert data.startswith(b"HTTP/1.1 502 ") and data.count(b"HTTP/1.1 ") == 1
@@ -233,7 +233,7 @@
         assert run.server.free_descriptors == spare
         assert list(run.server.lingering) == [second, first]
         object.__setattr__(run.server.config, "sockets", 3)
-        run.server.make_room()
+        run.server.reclaim_descriptors()
         await until(lambda: second not in run.server.lingering)
         assert list(run.server.lingering) == [first, third]
         for client in clients:
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -66,7 +66,7 @@
 def test_a_budget_that_is_not_parted_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     burst = replace(LULL, load=4.0, quiet=(0.2, 2.0), seconds=4.0, live=False)
     assert worst_and_least(burst)[0] <= 1.0
-    monkeypatch.setattr(cold, "sharers", lambda proxy: 1)
+    monkeypatch.setattr(cold, "proxy_count", lambda proxy: 1)
     assert worst_and_least(burst)[0] > 1.0
 
 
--- a/tests/test_coldstart_lab.py
+++ b/tests/test_coldstart_lab.py
@@ -14,10 +14,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverkeel.fleet.lists.links import FEED
-from cloverkeel.fleet.lists.order import HeldList, ListVersion, Taken, decode
-from cloverkeel.fleet.lists.relays import Peer, choose
-from cloverkeel.fleet.membership.frames import FrameError, Frames
+from cloverkeel.fleet.lists.upstream_connections import LIST_FEED
+from cloverkeel.fleet.lists.versioned_list import HeldList, ListVersion, ApplyResult, decode
+from cloverkeel.fleet.lists.relays import Peer, choose_relays
+from cloverkeel.fleet.membership.frames import FrameError, FrameCodec
 from faultlab.__main__ import main
 from faultlab.coldstart import figures
 from faultlab.coldstart.fall import HostAccount
@@ -174,18 +174,18 @@
 def test_a_liar_gets_a_name_that_makes_it_a_relay() -> None:
     members = [Peer(f"gw-{n}", "abc"[n % 3]) for n in range(40)]
     name = relay_name("coldstart", members, 3, "a")
-    assert name in choose("coldstart", [*members, Peer(name, "a")], 3)
+    assert name in choose_relays("coldstart", [*members, Peer(name, "a")], 3)
 
 
 def test_of_a_liars_lists_the_old_one_alone_is_a_list() -> None:
     told = lies([{"name": "host-0", "status": "SERVING"}], oldest=1)
     old, broken, no_entries, no_list, enormous = (next(iter(told)) for _ in range(5))
     held = HeldList()
-    assert held.take(decode(old)) is Taken.NEW and held.version == ListVersion(0, 1)
+    assert held.apply(decode(old)) is ApplyResult.NEW and held.version == ListVersion(0, 1)
     with pytest.raises(ValueError):
-        HeldList().take(decode(broken))
+        HeldList().apply(decode(broken))
     for bad in (no_entries, no_list):
         with pytest.raises(ValueError):
             decode(bad)
     with pytest.raises(FrameError):
-        Frames("coldstart").encode(FEED, enormous)
+        FrameCodec("coldstart").encode(LIST_FEED, enormous)
--- a/tests/test_repeat_window.py
+++ b/tests/test_deduplication_window.py
@@ -12,7 +12,7 @@
 
 from caperdrift.interface import Effect, ListKind, Outcome, RequestClass
 from cloverkeel.clock import now_us
-from cloverkeel.entries import parse_list
+from cloverkeel.host_entries import parse_list
 from cloverkeel.hosts import pool
 from cloverkeel.hosts.attempt import Attempt
 from cloverkeel.hosts.connection import HostConnection
@@ -33,10 +33,10 @@
 )
 
 WINDOW_US = 8_000_000  # no test takes so long: the clock is set on
-Hook = Callable[[asyncio.BaseTransport, Callable[[], None]], None]
+ConnectHook = Callable[[asyncio.BaseTransport, Callable[[], None]], None]
 
 
-class Clock:
+class PoolClock:
     """The pools' clock, which a test sets on."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -50,7 +50,7 @@
     return config
 
 
-def when_connected(monkeypatch: pytest.MonkeyPatch, hook: Hook) -> None:
+def when_connected(monkeypatch: pytest.MonkeyPatch, hook: ConnectHook) -> None:
     """Call `hook` in place of a connection to a host coming up, with what lets it come up."""
 
     class Hooked(HostConnection):
@@ -66,7 +66,7 @@
     late_us: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its connection comes up that long after the window's end."""
-    clock, came = Clock(monkeypatch), 0
+    clock, came = PoolClock(monkeypatch), 0
 
     def hook(_: asyncio.BaseTransport, come_up: Callable[[], None]) -> None:
         nonlocal came
@@ -96,7 +96,7 @@
     as not sent at the window's. The one timer of the window fired 47 to 278 us before the window's end by
     the clock, found it not over, and nothing looked again. `early_us` has the timer fire that early.
     """
-    clock, partly, ended = Clock(monkeypatch), [], []
+    clock, partly, ended = PoolClock(monkeypatch), [], []
     body = b"x" * 60_000
     full = socket.create_server(("127.0.0.1", 0), backlog=5)
     full.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -131,7 +131,7 @@
     with full:
         async with peer(fail) as one, running(keyed(one)) as run:
             assert (await run.ask(request("hold", body))).status == 503
-            assert partly == [False, True] and ended == [Outcome.ERROR, Outcome.MOOT]
+            assert partly == [False, True] and ended == [Outcome.ERROR, Outcome.NOT_SENT]
             accepted, _ = full.accept()
             with accepted:
                 accepted.settimeout(10)
@@ -149,7 +149,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A second copy has gone out while the first connection came up: the first attempt is the repeat now."""
-    clock, held = Clock(monkeypatch), []
+    clock, held = PoolClock(monkeypatch), []
 
     def hook(_: asyncio.BaseTransport, come_up: Callable[[], None]) -> None:
         held.append(come_up)
@@ -184,8 +184,8 @@
     driver = Driver(replace(SETTINGS, classes=(klass,)), servers=4)
     sent_us = driver.now_us
     name, actions = driver.arrive(patience_us=klass.give_up_us)
-    assert sends(actions)[0].latest_us == 0
+    assert sends(actions)[0].write_deadline_us == 0
     driver.now_us += 10_000
     again = sends(driver.end(name, sends(actions)[0].server, outcome))[0]
-    assert again.latest_us == (sent_us + klass.window_us - 1 if bound else 0)
+    assert again.write_deadline_us == (sent_us + klass.window_us - 1 if bound else 0)
     assert klass.effect is not Effect.KEYED or again.server % 2 == sends(actions)[0].server % 2 or not bound
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -89,7 +89,7 @@
         with raw_client(run.port) as busy:
             data, loop = request("transfer"), asyncio.get_running_loop()
             busy.send(data[:-2])
-            await until(lambda: any(c.reading for c in run.server.connections))
+            await until(lambda: any(c.incoming for c in run.server.connections))
             object.__setattr__(run.server.config, "sockets", 30)
             with raw_client(run.port) as later:
                 later.send(request("transfer"))
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -38,12 +38,12 @@
         data = request("hold", b"x", budget_ms=480, x_call_cost="61000", x_again="1", x_caller="zeta")
         assert (await run.ask(data)).status == 200
         (event,) = told
-        assert (event.klass, event.patience_us, event.work_us) == (1, 480_000, 61_000)
+        assert (event.klass, event.client_timeout_us, event.work_us) == (1, 480_000, 61_000)
         assert event.is_retry and event.tenant == 1
         assert event.key == stable_id("7f3a9c21e0b4d655", 8)
         data = b"GET /search HTTP/1.1\r\nHost: b\r\nX-Call-Id: bare\r\n\r\n"
         assert (await run.ask(data)).status == 200
-        assert told[1].key is None and told[1].patience_us == 20_000_000 and not told[1].is_retry
+        assert told[1].key is None and told[1].client_timeout_us == 20_000_000 and not told[1].is_retry
 
 
 @pytest.mark.parametrize(
@@ -192,7 +192,7 @@
         await until(lambda: run.server.connections)
         (connection,) = run.server.connections
         run.server.close_idle()
-        assert not connection.deaf
+        assert not connection.ignores_input
         answer = await client.ask(request("transfer"))
         assert answer.status == 200
         run.server.close_idle()
@@ -216,10 +216,10 @@
         with socket.create_connection(("127.0.0.1", run.port)) as client:
             await until(lambda: run.server.connections)
             (connection,) = run.server.connections
-            connection.served = True
+            connection.has_responded = True
             client.sendall(request("transfer"))  # and the loop has had no turn since
             run.server.close_idle()
-            assert not connection.deaf
+            assert not connection.ignores_input
             loop = asyncio.get_running_loop()
             answer = await loop.run_in_executor(None, client.recv, 65536)
             assert answer.startswith(b"HTTP/1.1 200 ")
@@ -234,9 +234,9 @@
         mute, slow = await run.connect(), await run.connect()
         slow.send(request()[:-2])
         await until(lambda: len(run.server.connections) == 3)
-        await until(lambda: any(connection.reading for connection in run.server.connections))
+        await until(lambda: any(connection.incoming for connection in run.server.connections))
         for connection in run.server.connections:
-            connection.awaits_since_s -= 60
+            connection.awaiting_since_s -= 60
         assert (await slow.answer()).status == 408
         assert await slow.reader.read() == b"" == await mute.reader.read()
         assert (await kept.ask(request())).status == 200  # between requests a client may take its time
@@ -263,12 +263,12 @@
 ) -> None:
     """The first tenant answered for all of them, and was shed first."""
     async with peer() as host, running(configuration(host)) as run:
-        seen, arrive = [], run.gateway.arrive
+        seen, arrive = [], run.gateway.accept
 
         def arrived(call: Call) -> bool:
             seen.append(call.tenant)
             return arrive(call)
 
-        monkeypatch.setattr(run.gateway, "arrive", arrived)
+        monkeypatch.setattr(run.gateway, "accept", arrived)
         assert (await run.ask(request(x_caller=caller))).status == 200
         assert seen == [tenant]
--- a/tests/test_gateway_discovery.py
+++ b/tests/test_gateway_discovery.py
@@ -10,7 +10,7 @@
 
 from caperdrift.interface import FetchList, ListKind, ServerList, WatchList
 from cloverkeel.config import parse_address
-from cloverkeel.listtimes import CALL_TIMEOUT_S, call_s, retry_s
+from cloverkeel.discovery_timing import CALL_TIMEOUT_S, call_timeout_s, retry_delay_s
 from tests.sockets import (
     Exchange,
     Peer,
@@ -50,7 +50,7 @@
 
 
 def watcher(run: Running) -> None:
-    run.gateway.carry_out(WatchList())
+    run.gateway.execute(WatchList())
 
 
 @on_loop
@@ -109,7 +109,7 @@
         watcher(run)
         await until(lambda: registry.seen)
         told = lists(run)
-        run.gateway.carry_out(WatchList(False))
+        run.gateway.execute(WatchList(False))
         await until(lambda: registry.ended == 1)
         assert not told and run.gateway.discovery.watching is None
 
@@ -118,7 +118,7 @@
 async def test_a_slow_service_is_waited_for_longer_where_there_is_no_list(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("cloverkeel.listtimes.CALL_TIMEOUT_S", 0.2)
+    monkeypatch.setattr("cloverkeel.discovery_timing.CALL_TIMEOUT_S", 0.2)
 
     async def slow(exchange: Exchange) -> None:
         await asyncio.sleep(0.3)  # what is measured: each answer takes longer than one call's time
@@ -130,7 +130,7 @@
         config["settings"]["membershipMode"] = "on_request"
         async with running(config) as run:
             await until(lambda: host_id(3) in run.gateway.pools.hosts)
-            assert len(asked(registry)) >= 2 and run.gateway.discovery.late == 0
+            assert len(asked(registry)) >= 2 and run.gateway.discovery.consecutive_timeouts == 0
 
 
 @on_loop
@@ -141,7 +141,7 @@
         config["settings"] |= {"membershipMode": "on_request", "contract": {"mustAskInUs": 10**12}}
         async with running(config) as run:  # no call but the test's
             told = lists(run)
-            run.gateway.carry_out(FetchList())
+            run.gateway.execute(FetchList())
             await until(lambda: told)
             assert asked(registry) == ["/registry/instances"]
             (event,) = told
@@ -207,7 +207,7 @@
             watcher(run)
             await until(lambda: told)
             assert run.gateway.discovery.watching is None
-            run.gateway.discovery.move(parse_address(new.address, "discovery"))
+            run.gateway.discovery.change_address(parse_address(new.address, "discovery"))
             await until(lambda: new.seen)
             assert asked(new) == ["/registry/instances"]
 
@@ -216,8 +216,8 @@
 @on_loop
 async def test_a_watch_that_falls_silent_is_opened_anew(monkeypatch: pytest.MonkeyPatch, mode: str) -> None:
     """Such a watch stood for 20 s and more, while its news counted as told after 6 s."""
-    monkeypatch.setattr("cloverkeel.listtimes.HOLD_S", 0.05)
-    monkeypatch.setattr("cloverkeel.listtimes.CALL_TIMEOUT_S", 0.5)
+    monkeypatch.setattr("cloverkeel.discovery_timing.HOLD_S", 0.05)
+    monkeypatch.setattr("cloverkeel.discovery_timing.CALL_TIMEOUT_S", 0.5)
 
     def script(exchange: Exchange) -> None:
         if "hold_ms=0 " in exchange.message.first:
@@ -240,8 +240,8 @@
     monkeypatch: pytest.MonkeyPatch, mode: str
 ) -> None:
     """Each of its calls was ended before the answer came, for ever."""
-    monkeypatch.setattr("cloverkeel.listtimes.HOLD_S", 0.2)
-    monkeypatch.setattr("cloverkeel.listtimes.CALL_TIMEOUT_S", 0.2)
+    monkeypatch.setattr("cloverkeel.discovery_timing.HOLD_S", 0.2)
+    monkeypatch.setattr("cloverkeel.discovery_timing.CALL_TIMEOUT_S", 0.2)
     opened: list[int] = []  # connections at each call
 
     async def slow(exchange: Exchange) -> None:
@@ -262,7 +262,7 @@
 
 @on_loop
 async def test_a_late_answer_never_follows_a_newer_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("cloverkeel.listtimes.CALL_TIMEOUT_S", 0.1)
+    monkeypatch.setattr("cloverkeel.discovery_timing.CALL_TIMEOUT_S", 0.1)
 
     def script(exchange: Exchange) -> None:
         if len(registry.seen) == 2:  # the first one waits
@@ -275,15 +275,15 @@
         await until(lambda: host_id(4) in run.gateway.pools.hosts)
         await until(lambda: registry.ended == 1)  # the first: what it would say is heard no more
         assert registry.seen[0].writer.is_closing() and not registry.seen[1].writer.is_closing()
-        assert run.gateway.discovery.slow is None and run.gateway.discovery.index == 9
+        assert run.gateway.discovery.late_reply_task is None and run.gateway.discovery.index == 9
 
 
 @pytest.mark.parametrize("stop_sending_s", [0.5, 1.0, 2.0, 10.0])
 def test_the_agent_is_asked_soon_after_an_outage_however_long(stop_sending_s: float) -> None:
     """It was asked up to 5 s late, and never again after 1,024 failures, while its news counts as told; then
     in time where servers may be used for 2 s after it, and late in a deployment where it is less."""
-    waits = [retry_s(True, stop_sending_s, failures, False) for failures in range(5_000)]
-    assert call_s(True, stop_sending_s) + max(waits) < min(stop_sending_s, 2.0) * 0.8
+    waits = [retry_delay_s(True, stop_sending_s, failures, False) for failures in range(5_000)]
+    assert call_timeout_s(True, stop_sending_s) + max(waits) < min(stop_sending_s, 2.0) * 0.8
     assert min(waits[2:]) >= min(stop_sending_s, 2.0) / 8
 
 
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -104,7 +104,7 @@
             told = outcomes(run)
             assert (await run.ask(request("transfer"))).status == 503
             assert [event.outcome for event in told] == [Outcome.CONNECT_FAILED]
-            assert run.gateway.pools.open == 0
+            assert run.gateway.pools.open_connections == 0
         for one in fill:
             one.close()
 
@@ -116,7 +116,7 @@
         assert (await run.ask(request("transfer", budget_ms=60))).status == 504
         assert [event.outcome for event in told] == [Outcome.TIMEOUT]
         await until(lambda: host.ended == 1)  # the host can tell that nobody waits
-        assert run.gateway.pools.open == 0 and not run.gateway.pending
+        assert run.gateway.pools.open_connections == 0 and not run.gateway.pending
 
 
 @on_loop
@@ -218,7 +218,7 @@
 
 @on_loop
 async def test_answers_in_chunks_and_interim_answers_are_read(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("cloverkeel.hosts.idle.REST_US", 0)
+    monkeypatch.setattr("cloverkeel.hosts.idle.REUSE_DELAY_US", 0)
     data = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     data += b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
     async with peer(answers(data)) as host, running(configuration(host)) as run:
@@ -263,7 +263,7 @@
         client.send(data)
         await until(lambda: host.seen)
         id_ = host.seen[0].message.headers["x-call-id"]
-        run.gateway.carry_out(Send(id_, 12345, 1_000_000))  # a host that nobody has listed
-        assert [event.outcome for event in told] == [Outcome.MOOT]
+        run.gateway.execute(Send(id_, 12345, 1_000_000))  # a host that nobody has listed
+        assert [event.outcome for event in told] == [Outcome.NOT_SENT]
         client.close()
         await asyncio.sleep(0)
