--- a/tests/test_gateway_pools.py
+++ b/tests/test_gateway_pools.py
@@ -9,7 +9,7 @@
 from caperdrift.interface import ListKind, Outcome
 from cloverkeel.clock import now_us
 from cloverkeel.config import parse
-from cloverkeel.entries import parse_list
+from cloverkeel.host_entries import parse_list
 from cloverkeel.hosts.attempt import Attempt
 from cloverkeel.hosts.connection import HostConnection
 from cloverkeel.http1 import Reply
@@ -34,7 +34,7 @@
 @pytest.fixture(autouse=True)
 def no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
     """Connections may be used again at once: that they rest first is tested in test_host_crossings."""
-    monkeypatch.setattr("cloverkeel.hosts.idle.REST_US", 0)
+    monkeypatch.setattr("cloverkeel.hosts.idle.REUSE_DELAY_US", 0)
 
 
 def idle(run: Running, number: int = 0) -> list[HostConnection]:
@@ -64,7 +64,7 @@
         assert (await run.ask(request("transfer"))).status == 200
         pool, connection = run.gateway.pools, idle(run)[0]
         host.seen[0].writer.close()
-        await until(lambda: not connection.is_fresh())
+        await until(lambda: not connection.is_quiet())
         ended: list[Outcome] = []
         # Sent before the loop has told of the end, if it has not yet.
         if not idle(run):
@@ -95,9 +95,9 @@
             taken.sendall(reply())
             await asking
             connection = idle(run)[0]
-            assert connection.is_fresh()
+            assert connection.is_quiet()
             taken.close()  # and the loop has had no turn since
-            assert not connection.is_fresh()
+            assert not connection.is_quiet()
 
 
 @on_loop
@@ -124,10 +124,10 @@
         for connection in idle(run):
             connection.idle_since_us -= 10_000_000
         pools.sweep()
-        await until(lambda: pools.open == 1)
+        await until(lambda: pools.open_connections == 1)
         idle(run)[0].idle_since_us -= 45_000_000
         pools.sweep()
-        await until(lambda: pools.open == 0 and host.ended == 4)
+        await until(lambda: pools.open_connections == 0 and host.ended == 4)
 
 
 @on_loop
@@ -172,7 +172,7 @@
         run.gateway.on_list(
             ListKind.FULL if whole else ListKind.DELTA, parse_list(hosts_list(8, *entries), names)[2]
         )
-        await until(lambda: host.ended == 1 and run.gateway.pools.open == 0)
+        await until(lambda: host.ended == 1 and run.gateway.pools.open_connections == 0)
 
 
 @on_loop
@@ -186,7 +186,7 @@
 
         known = pools.hosts[host_id(0)]
         pools.send(Attempt(known, lambda: request(), on_end), 20_000_000)
-        known.drained_us = now_us() - 1_000_001
+        known.draining_since_us = now_us() - 1_000_001
         await until(lambda: ended)
         assert ended == [Outcome.CONNECT_FAILED] and not host.seen
         pools.send(Attempt(known, lambda: request(), on_end), 20_000_000)
@@ -233,15 +233,15 @@
             pools = run.gateway.pools
             late = await run.connect()
             assert (await late.ask(request())).status == 200
-            had = pools.open
+            had = pools.open_connections
             object.__setattr__(run.server.config, "sockets", 1)
             first, _ = run.server.connections
-            first.rests_since_s -= 60
-            run.server.make_room()  # a client's comes first: a new one to a host costs that host work
-            assert await client.reader.read() == b"" and pools.open == had
+            first.idle_since_s -= 60
+            run.server.reclaim_descriptors()  # a client's comes first: a new one costs that host work
+            assert await client.reader.read() == b"" and pools.open_connections == had
             for _ in range(had):
-                run.server.make_room()
-            await until(lambda: pools.open == 0)
+                run.server.reclaim_descriptors()
+            await until(lambda: pools.open_connections == 0)
             assert (await late.ask(request())).status == 200  # too fresh an idle one to be closed
             late.close()
             client.close()
@@ -284,5 +284,5 @@
                 await until(lambda: len(ended) == 2)
                 assert ended[1] is Outcome.OK
                 pools.close_idle(known.id)
-                await until(lambda: pools.open == 0)
-        assert known.open == 0 and not known.idle
+                await until(lambda: pools.open_connections == 0)
+        assert known.open_connections == 0 and not known.idle
--- a/tests/test_gateway_routes.py
+++ b/tests/test_gateway_routes.py
@@ -54,7 +54,7 @@
         assert (len(old.seen), len(new.seen)) == (8, 8)
         for _ in range(8):
             assert (await run.ask(request("transfer"))).status == 200  # no route's
-        assert len(old.seen) > 8 and len(new.seen) > 8 and not run.gateway.balancer.routed[0]
+        assert len(old.seen) > 8 and len(new.seen) > 8 and not run.gateway.balancer.pending_by_route[0]
 
 
 @on_loop
@@ -125,7 +125,7 @@
         other["known"]["endpoints"][1]["type"] = "m9"
         config = replace(parse(other), discovery=run.server.config.discovery)
         run.gateway.reconfigure(config)
-        run.gateway.discovery.take_known(other["known"])
+        run.gateway.discovery.load_known_list(other["known"])
         assert (await run.ask(request())).status == 200 and len(new.seen) == 1
 
 
@@ -135,4 +135,4 @@
     async with peer() as host, running(routed(host)) as run:
         run.gateway.routes = Serving(run.gateway) if routes else None
         assert (await run.ask(request())).status == 200
-        assert set(run.gateway.balancer.routed) == {0}
+        assert set(run.gateway.balancer.pending_by_route) == {0}
--- a/tests/test_way_out.py
+++ b/tests/test_graceful_shutdown.py
@@ -37,7 +37,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The system has let them in, and would reset them with what they have sent."""
-    monkeypatch.setattr(server, "ACCEPT_ON_S", 0.0)
+    monkeypatch.setattr(server, "ACCEPT_AFTER_TERM_S", 0.0)
     async with peer() as host, running(configuration(host)) as run:
         clients = [socket.create_connection(("127.0.0.1", run.port)) for _ in range(20)]
         for client in clients:
@@ -56,19 +56,19 @@
 async def test_a_request_that_comes_in_pieces_over_the_signal_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(server, "ACCEPT_ON_S", 0.0)
+    monkeypatch.setattr(server, "ACCEPT_AFTER_TERM_S", 0.0)
     async with peer() as host, running(configuration(host)) as run:
         data = request("transfer", b"whole")
         with raw_client(run.port) as client:
             client.send(data[:1])
             connection = await connected(run)
-            await until(lambda: connection.reading)
+            await until(lambda: connection.incoming)
             connection.opened_s -= 1.0
             draining = asyncio.create_task(run.server.drain())
             for at in range(1, len(data)):
                 client.send(data[at : at + 1])
                 await asyncio.sleep(0)
-                assert not connection.shut
+                assert not connection.write_shut
             got = await read_all(client)
             assert got.startswith(b"HTTP/1.1 200 ") and b"Connection: close" in got
         await draining
@@ -97,19 +97,20 @@
 ) -> None:
     """The process ended 0.02 s later, with what they had not yet taken."""
     small_send_buffers(monkeypatch, ClientConnection)
-    monkeypatch.setattr(server, "LAST_MOMENT_S", 20.0)
+    monkeypatch.setattr(server, "FAIL_MARGIN_S", 20.0)
     async with peer(answers(reply(200, LARGE))) as host, running(configuration(host)) as run:
         with raw_client(run.port, receive_buffer=4096) as slow, raw_client(run.port) as held:
             await until(lambda: len(run.server.connections) == 2)
             slow.send(request("transfer"))
             await until(
-                lambda: len(run.server.connections) == 2 and any(c.served for c in run.server.connections)
+                lambda: len(run.server.connections) == 2
+                and any(c.has_responded for c in run.server.connections)
             )
             host.script = silent
             held.send(request("transfer") + request("transfer") + request("transfer")[:-2])
-            await until(lambda: any(c.current and c.waiting and c.reading for c in run.server.connections))
+            await until(lambda: any(c.current and c.queue and c.incoming for c in run.server.connections))
             run.server.draining = True
-            failing = asyncio.create_task(run.server.fail_rest())
+            failing = asyncio.create_task(run.server.fail_pending())
             await until(lambda: len(run.server.lingering) == 2)
             slow.send(request("transfer"))  # clients go on sending
             got = await read_all(held)
@@ -127,12 +128,12 @@
 @on_loop
 async def test_it_does_not_wait_for_those_who_do_not_end(monkeypatch: pytest.MonkeyPatch) -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
-        monkeypatch.setattr(server, "LAST_MOMENT_S", server.EXIT_S)
+        monkeypatch.setattr(server, "FAIL_MARGIN_S", server.EXIT_MARGIN_S)
         with raw_client(run.port) as client:
             client.send(request("transfer"))
             connection = await connected(run)
             await until(lambda: host.seen)
-            assert await run.server.fail_rest() == 1
+            assert await run.server.fail_pending() == 1
             assert connection in run.server.lingering
             assert (await read_all(client)).startswith(b"HTTP/1.1 504 ")
 
@@ -240,4 +241,4 @@
         first, *others = settings.classes
         classes = (replace(first, give_up_us=500_000), *(replace(c, dropped=True) for c in others))
         run.server.config = replace(run.server.config, settings=replace(settings, classes=classes))
-        assert others and run.server.end_s == pytest.approx(0.5 + 0.6)
+        assert others and run.server.drain_timeout_s == pytest.approx(0.5 + 0.6)
--- a/tests/test_host_answers.py
+++ b/tests/test_host_answers.py
@@ -10,7 +10,7 @@
 
 from cloverkeel.clock import now_us
 from cloverkeel.hosts.attempt import Attempt
-from cloverkeel.hosts.bodies import LongBodies
+from cloverkeel.hosts.streamed_bodies import StreamedBodies
 from cloverkeel.hosts.connection import HostConnection
 from tests.sockets import Exchange, configuration, on_loop, peer, reply, request, running, until
 from tests.test_gateway_outcomes import outcomes
@@ -59,7 +59,7 @@
         exchange.answer(reply(200, b"mine"))
 
     monkeypatch.setattr(HostConnection, "buffer_updated", counted)
-    monkeypatch.setattr("cloverkeel.hosts.idle.REST_US", 0)
+    monkeypatch.setattr("cloverkeel.hosts.idle.REUSE_DELAY_US", 0)
     async with peer(script) as host, running(configuration(host)) as run:
         assert len((await run.ask(request())).body) == 100_000
         pools = run.gateway.pools
@@ -100,7 +100,7 @@
             if ends == "broken":
                 with pytest.raises(ConnectionResetError):
                     await client.reader.read()
-            await until(lambda: run.gateway.pools.open == 0 and not run.gateway.pending)
+            await until(lambda: run.gateway.pools.open_connections == 0 and not run.gateway.pending)
         # One that has begun and is cut off tells of its host, and of no crowd there: that is for time-outs.
         assert [event.outcome for event in told] == [Outcome.RESET if ends == "broken" else Outcome.TIMEOUT]
         client.close()
@@ -112,9 +112,9 @@
 ) -> None:
     """Over 64 KiB the first bytes are timed, also of an answer that is not yet long when the time is out."""
     looks = 0
-    on_rate = LongBodies.on_rate
+    on_rate = StreamedBodies.on_rate_check
 
-    def counted(bodies: LongBodies, connection: HostConnection, attempt: Attempt) -> None:
+    def counted(bodies: StreamedBodies, connection: HostConnection, attempt: Attempt) -> None:
         nonlocal looks
         looks += 1
         on_rate(bodies, connection, attempt)
@@ -126,8 +126,8 @@
         await until(lambda: looks >= 3)
         exchange.answer(b"15f90\r\n%s\r\n0\r\n\r\n" % bytes(90_000))
 
-    monkeypatch.setattr(LongBodies, "on_rate", counted)
-    monkeypatch.setattr("cloverkeel.hosts.bodies.LEAST_RATE", 1)
+    monkeypatch.setattr(StreamedBodies, "on_rate_check", counted)
+    monkeypatch.setattr("cloverkeel.hosts.streamed_bodies.MIN_BYTES_PER_S", 1)
     async with peer(script) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request("transfer", budget_ms=100))
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -13,24 +13,24 @@
 from caperdrift.interface import Outcome
 from cloverkeel.clock import now_us
 from cloverkeel.hosts.connection import HostConnection
-from tests.raw_host import ASKED, PATIENCE_US, descriptors_to, raw_host, reset, seen_by
+from tests.raw_host import REQUEST, TIMEOUT_US, descriptors_to, raw_host, reset, wait_until_readable
 from tests.sockets import on_loop, peer, reply, request, until
 
 SMALL = 65_536  # a socket's buffer: far less than what is written
 
 
-def between(monkeypatch: pytest.MonkeyPatch, does: Callable[[HostConnection], None]) -> None:
+def run_before_write(monkeypatch: pytest.MonkeyPatch, does: Callable[[HostConnection], None]) -> None:
     """Have something happen between `take`, which found a connection fresh, and the write to it."""
-    is_fresh = HostConnection.is_fresh
+    is_fresh = HostConnection.is_quiet
 
     def crossed(connection: HostConnection) -> bool:
         if not is_fresh(connection):
             return False
         does(connection)
-        seen_by(connection)
+        wait_until_readable(connection)
         return True
 
-    monkeypatch.setattr(HostConnection, "is_fresh", crossed)
+    monkeypatch.setattr(HostConnection, "is_quiet", crossed)
 
 
 @on_loop
@@ -40,10 +40,10 @@
     """The write itself fails: not a byte of it can have arrived."""
     async with raw_host() as host:
         first = await host.exchange()
-        between(monkeypatch, lambda connection: reset(first))
+        run_before_write(monkeypatch, lambda connection: reset(first))
         host.send()
         second = await host.accept()
-        assert await host.read(second) == len(ASKED)
+        assert await host.read(second) == len(REQUEST)
         second.sendall(reply())
         await until(lambda: host.ended)
         assert host.ended == [Outcome.OK] and host.pools.counts.stale == 1
@@ -57,14 +57,14 @@
     async with raw_host() as host:
         first = await host.exchange()
         if end == "orderly":
-            between(monkeypatch, lambda connection: first.close())
+            run_before_write(monkeypatch, lambda connection: first.close())
         else:
             write = HostConnection.write
 
             def crossed(connection: HostConnection, data: bytes) -> bool:
                 written = write(connection, data)
                 reset(first)
-                seen_by(connection)
+                wait_until_readable(connection)
                 return written
 
             monkeypatch.setattr(HostConnection, "write", crossed)
@@ -80,14 +80,14 @@
 ) -> None:
     async with raw_host() as host:
         first = await host.exchange()
-        between(monkeypatch, lambda connection: first.sendall(bytes_))
+        run_before_write(monkeypatch, lambda connection: first.sendall(bytes_))
         host.send()
-        assert await host.read(first) == len(ASKED)
+        assert await host.read(first) == len(REQUEST)
         if not host.ended:
             first.sendall(reply(200, b"mine"))
         await until(lambda: host.ended)
         assert host.ended == [Outcome.ERROR]
-        await until(lambda: host.pools.open == 0)
+        await until(lambda: host.pools.open_connections == 0)
 
 
 @pytest.mark.parametrize("bytes_", [b"H", b"HTTP/1.1 200", reply(200, b"whose?"), b"\r\n"])
@@ -100,12 +100,12 @@
         first = await host.exchange()
         connection = host.known.idle[0]
         first.sendall(bytes_)
-        seen_by(connection)
+        wait_until_readable(connection)
         if in_the_loop:
-            await until(lambda: host.pools.open == 0)
+            await until(lambda: host.pools.open_connections == 0)
         host.send()
         second = await host.accept()
-        assert await host.read(second) == len(ASKED)
+        assert await host.read(second) == len(REQUEST)
         second.sendall(reply(200, b"mine"))
         await until(lambda: host.ended)
         assert host.ended == [Outcome.OK] and host.replies[0] is not None and host.replies[0].body == b"mine"
@@ -114,9 +114,9 @@
 @pytest.mark.parametrize("then", ["reset", "time-out", "read and reset", "read and end"])
 @on_loop
 async def test_a_request_is_written_once_its_last_byte_is_with_the_kernel(then: str) -> None:
-    data = ASKED + bytes(16_000_000)
+    data = REQUEST + bytes(16_000_000)
     async with raw_host(SMALL) as host:
-        attempt = host.send(data, PATIENCE_US if then != "time-out" else 200_000)
+        attempt = host.send(data, TIMEOUT_US if then != "time-out" else 200_000)
         taken = await host.accept()
         got = await host.read(taken, 10_000)
         assert attempt.connection is not None and not attempt.connection.is_written
@@ -142,7 +142,7 @@
 
         def crossed(connection: HostConnection) -> None:
             name, _, port = moved.address.partition(":")
-            host.pools.put(1, "h", (name, int(port)), True)
+            host.pools.update_host(1, "h", (name, int(port)), True)
             on_connected(connection)
 
         monkeypatch.setattr(host.pools, "on_connected", crossed)
@@ -182,16 +182,16 @@
         taken = await host.accept()
         await host.read(taken)
         coming_up = host.send()
-        host.pools.remove(1)
-        host.pools.put(1, "h", address, True)
+        host.pools.remove_host(1)
+        host.pools.update_host(1, "h", address, True)
         again = host.pools.hosts[1]
         late = await host.accept()
-        assert await host.read(late) == len(ASKED)  # within the grace
+        assert await host.read(late) == len(REQUEST)  # within the grace
         taken.sendall(reply())
         late.sendall(reply())
         await until(lambda: len(host.ended) == 2)
         assert host.ended == [Outcome.OK] * 2 and coming_up.ended
-        assert not again.idle and not host.known.idle and again.open == 0
+        assert not again.idle and not host.known.idle and again.open_connections == 0
 
 
 @pytest.mark.parametrize("rested", [False, True])
@@ -204,11 +204,11 @@
             host.known.idle[0].idle_since_us = now_us()
         host.send()
         if rested:
-            assert await host.read(first) == len(ASKED)
+            assert await host.read(first) == len(REQUEST)
             first.sendall(reply(200, b"mine"))
         else:
             second = await host.accept()
-            assert await host.read(second) == len(ASKED)
+            assert await host.read(second) == len(REQUEST)
             first.sendall(reply(200, b"whose?"))
             await until(lambda: host.pools.counts.ended_idle == 1)
             second.sendall(reply(200, b"mine"))
@@ -251,7 +251,7 @@
         assert attempt.connection is not None and attempt.connection.transport is None
         time.sleep(0.15)
         taken = await host.accept()
-        assert await host.read(taken) == len(ASKED)
+        assert await host.read(taken) == len(REQUEST)
         taken.sendall(reply())
         await until(lambda: host.ended)
         assert host.ended == [Outcome.OK]
--- a/tests/test_host_descriptors.py
+++ b/tests/test_host_descriptors.py
@@ -13,7 +13,7 @@
 from cloverkeel.hosts.attempt import Attempt
 from cloverkeel.hosts.pool import Pools
 from cloverkeel.http1 import Reply
-from cloverkeel.streams import Buffer
+from cloverkeel.streams import ReadBuffer
 from cloverkeel.telemetry import Telemetry
 from tests.helpers import SAFE
 from tests.raw_host import descriptors_to
@@ -21,7 +21,7 @@
 
 ROUNDS = 150
 REPLY = reply()
-ASKED = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
+REQUEST = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
 
 def serving(rng: random.Random) -> Callable[[Exchange], None]:
@@ -55,7 +55,7 @@
     pools = Pools(
         Settings(classes=(SAFE,), connect_timeout_us=30_000, stop_sending_within_us=10_000),
         Telemetry(),
-        Buffer(192),
+        ReadBuffer(192),
     )
     with socket.socket() as full:
         full.bind(("127.0.0.1", 0))
@@ -73,13 +73,13 @@
                 ended.append(attempt)
 
             def put(id_: int, ready: bool = True) -> None:
-                pools.put(id_, f"h{id_}", rng.choice(addresses), ready, rng.randrange(2))
+                pools.update_host(id_, f"h{id_}", rng.choice(addresses), ready, rng.randrange(2))
                 hosts.add(pools.hosts[id_])
 
             def send() -> None:
-                attempt = Attempt(rng.choice(list(pools.hosts.values())), lambda: ASKED, on_end)
+                attempt = Attempt(rng.choice(list(pools.hosts.values())), lambda: REQUEST, on_end)
                 if rng.random() < 0.5:
-                    attempt.on_begin = lambda attempt, head: lambda piece: None
+                    attempt.on_response_begin = lambda attempt, head: lambda piece: None
                 out.append(attempt)
                 pools.send(attempt, rng.choice((0, 1_000, 20_000, 60_000)))
 
@@ -87,9 +87,9 @@
                 put(id_)
             acts: list[Callable[[], object]] = [
                 lambda: put(rng.randrange(4), rng.random() < 0.8),
-                lambda: pools.remove(rng.randrange(1, 4)),
+                lambda: pools.remove_host(rng.randrange(1, 4)),
                 lambda: pools.close_idle(rng.randrange(4)),
-                pools.give_up_idle,
+                pools.close_longest_idle,
                 lambda: pools.cancel(rng.choice(out)),
             ]
             for _ in range(ROUNDS):
@@ -101,12 +101,14 @@
                     await asyncio.sleep(0)
                 if rng.random() < 0.1:
                     await until(lambda: len(ended) == len(out))
-                    await until(lambda: pools.open == descriptors_to(ports))
-                    assert pools.open == sum(host.open for host in hosts)
+                    await until(lambda: pools.open_connections == descriptors_to(ports))
+                    assert pools.open_connections == sum(host.open_connections for host in hosts)
             await until(lambda: len(ended) == len(out))
             assert len({id(attempt) for attempt in ended}) == len(out)  # each ended once
             pools.close()
-            await until(lambda: pools.open == descriptors_to(ports) == 0)
-            assert not any(host.open or host.idle for host in hosts) and not pools.bodies.passing
+            await until(lambda: pools.open_connections == descriptors_to(ports) == 0)
+            assert (
+                not any(host.open_connections or host.idle for host in hosts) and not pools.bodies.streaming
+            )
         for one in fill:
             one.close()
--- a/tests/test_ledger_shell.py
+++ b/tests/test_ledger_shell.py
@@ -16,7 +16,7 @@
 from cloverkeel.fleet.ledger.store import StoreError
 from cloverkeel.fleet.membership.calls import CallFailed
 from cloverkeel.fleet.membership.service import Membership
-from cloverkeel.fleet.state import Figures
+from cloverkeel.fleet.state import StoreCounters
 from cloverkeel.fleet.state.store import Store as StateStore
 from tests.sockets import on_loop, until
 from tests.test_membership_service import member
@@ -28,7 +28,7 @@
     directory.mkdir(exist_ok=True)
     fd = StateStore.take_lock(str(directory))
     assert fd is not None
-    state, _ = StateStore.open(str(directory), fd, Figures(), time.time())
+    state, _ = StateStore.open(str(directory), fd, StoreCounters(), time.time())
     state.prepare()
     state.close()
     made = Service(membership, str(directory), Settings(digest_s=0.5))
--- a/tests/test_ledger_store.py
+++ b/tests/test_ledger_store.py
@@ -16,7 +16,7 @@
 from cloverkeel.fleet.ledger.records import Record, digest
 from cloverkeel.fleet.ledger.replica import Put
 from cloverkeel.fleet.ledger.store import Store, StoreError, Writer
-from cloverkeel.fleet.state import FILE, Figures, verify
+from cloverkeel.fleet.state import FILE, StoreCounters, verify
 from cloverkeel.fleet.state.store import Store as StateStore
 
 
@@ -25,7 +25,7 @@
     """A state directory as the state store of a version without a ledger leaves it."""
     fd = StateStore.take_lock(str(tmp_path))
     assert fd is not None
-    state, _ = StateStore.open(str(tmp_path), fd, Figures(), time.time())
+    state, _ = StateStore.open(str(tmp_path), fd, StoreCounters(), time.time())
     state.prepare()
     state.close()
     return str(tmp_path)
--- a/tests/test_list_answers.py
+++ b/tests/test_list_answers.py
@@ -8,8 +8,8 @@
 import pytest
 
 from cloverkeel.config import parse_address
-from cloverkeel.listcall import DiscoveryConnection
-from cloverkeel.listtimes import CALL_TIMEOUT_S
+from cloverkeel.discovery_connection import DiscoveryConnection
+from cloverkeel.discovery_timing import CALL_TIMEOUT_S
 from tests.sockets import (
     Exchange,
     answers,
@@ -154,7 +154,7 @@
             discovery = run.gateway.discovery
             discovery.watch(True) if call == "watch" else discovery.fetch()
             await until(lambda: host_id(3) in run.gateway.pools.hosts)
-            assert run.gateway.balancer.list_calls_failed == 0 and discovery.slow is None
+            assert run.gateway.balancer.list_calls_failed == 0 and discovery.late_reply_task is None
             assert registry.opened == 1
 
 
@@ -188,7 +188,7 @@
     def read_then_move(call: DiscoveryConnection, data: bytes) -> None:
         read(call, data)
         if is_read and data == late:
-            run.gateway.discovery.move(parse_address(new.address, "discovery"))
+            run.gateway.discovery.change_address(parse_address(new.address, "discovery"))
 
     read, late = DiscoveryConnection.data_received, list_reply(99, endpoint("s-1", "127.0.0.1:1"))
     monkeypatch.setattr(DiscoveryConnection, "data_received", read_then_move)
@@ -200,7 +200,7 @@
         await until(lambda: old.seen)
         old.seen[0].answer(late)
         if not is_read:
-            run.gateway.discovery.move(parse_address(new.address, "discovery"))
+            run.gateway.discovery.change_address(parse_address(new.address, "discovery"))
         await until(lambda: new.seen)
         assert named(new.seen[0]) == "whole" and run.gateway.discovery.index is None
         new.seen[0].answer(list_reply(3, FRESH))
--- a/tests/test_list_follow.py
+++ b/tests/test_list_follow.py
@@ -7,12 +7,25 @@
 
 import pytest
 
-from cloverkeel.fleet.lists.actions import Ask, Fallback, Have, Subscribe, Unsubscribe, Watch
-from cloverkeel.fleet.lists.draws import ALONE_S, GROWS_S, FollowSettings
-from cloverkeel.fleet.lists.follow import BAD_S, BLIND_S, GRACE_S, SETTLE_S, Follower
-from cloverkeel.fleet.lists.limits import DEPTH, FEEDS, feeds_limit
-from cloverkeel.fleet.lists.order import ListVersion
-from cloverkeel.fleet.lists.relays import Peer, choose
+from cloverkeel.fleet.lists.actions import (
+    FetchList,
+    FallbackStarted,
+    AnnounceList,
+    Subscribe,
+    Unsubscribe,
+    Watch,
+)
+from cloverkeel.fleet.lists.jitter import ALONE_JITTER_MAX_S, VIEW_STABLE_S, SelectorSettings
+from cloverkeel.fleet.lists.source_selector import (
+    INVALID_AVOID_S,
+    RELAY_OUTAGE_S,
+    FALLBACK_GRACE_S,
+    RELAY_SETTLE_S,
+    SourceSelector,
+)
+from cloverkeel.fleet.lists.limits import MAX_DEPTH, MAX_UPSTREAMS, max_followers
+from cloverkeel.fleet.lists.versioned_list import ListVersion
+from cloverkeel.fleet.lists.relays import Peer, choose_relays
 
 from tests.fleet_sim import Site
 
@@ -24,14 +37,14 @@
 
 def settled(site: Site) -> None:
     """What holds in a fleet at rest."""
-    relays = set(choose("site", site.live(), 3))
+    relays = set(choose_relays("site", site.live(), 3))
     for name, node in site.nodes.items():
         if node.state != "up":
             continue
         assert node.index == site.index, name
         assert node.core.is_relay == node.core.watching == (name in relays), name
-        assert len(node.core.feeds) == FEEDS and node.core.is_fed, name
-        assert node.core.depth is not None and node.core.depth <= DEPTH
+        assert len(node.core.upstreams) == MAX_UPSTREAMS and node.core.has_live_upstream, name
+        assert node.core.depth is not None and node.core.depth <= MAX_DEPTH
         assert len(node.followers) <= site.limit
 
 
@@ -79,7 +92,7 @@
     site = Site(7)
     mass_start(site, 200)
     site.run(8.0)
-    first, second, _ = choose("site", site.live(), 3)
+    first, second, _ = choose_relays("site", site.live(), 3)
     for name in (first, second):
         getattr(site, harm)(name)
     site.change()
@@ -97,7 +110,7 @@
     mass_start(site, 100)
     site.run(8.0)
     before = len(site.calls)
-    for name in choose("site", site.live(), 3):
+    for name in choose_relays("site", site.live(), 3):
         site.kill(name)
     site.change()
     site.run(20.0)
@@ -124,11 +137,11 @@
     site = Site(4)
     mass_start(site, 30)
     site.run(6.0)
-    first = site.nodes[choose("site", site.live(), 3)[0]]
+    first = site.nodes[choose_relays("site", site.live(), 3)[0]]
     site.carry_out(first, first.core.service_failed(site.now_s))
     first.core.call_due_s = site.now_s + 100.0  # its calls would go on failing
     site.run(0.01)
-    site.run(BLIND_S)
+    site.run(RELAY_OUTAGE_S)
     assert first.core.depth == 1 and not first.core.service_up
     site.change()
     site.run(0.01)
@@ -137,142 +150,151 @@
 
 def test_a_late_answer_of_the_service_begins_the_next_watch_and_is_no_way_without_one() -> None:
     core = follower()
-    core.view(0.0, True, [ME, *OTHERS])
+    core.view_changed(0.0, True, [ME, *OTHERS])
     now_s = next(n / 10 for n in range(60) if Watch(True) in core.tick(n / 10, None))
     core.service_failed(now_s + 1.0)
     assert core.depth is None and not core.watching
     assert Watch(True) in core.service_answered(now_s + 1.5) and core.depth == 0
     core.service_failed(now_s + 3.0)
-    core.opened(now_s + 3.1, next(iter(core.feeds)), 0)
+    core.depth_received(now_s + 3.1, next(iter(core.upstreams)), 0)
     assert core.service_answered(now_s + 3.5) == [] and core.depth == 1  # fed: it needs none of its own
 
 
 ME = Peer("me", "a")
 OTHERS = [Peer(f"g{n}", "abc"[n % 3], f"127.0.0.1:{n + 1}") for n in range(8)]
-RELAYS = choose("site", [ME, *OTHERS], 3)
+RELAYS = choose_relays("site", [ME, *OTHERS], 3)
 
 
-def follower(own_watch: bool = False) -> Follower:
-    made = Follower(ME, FollowSettings("site", own_watch=own_watch), random.Random(1))
-    assert made.view(0.0, False, [ME]) == []  # nothing before it has joined
+def follower(own_watch: bool = False) -> SourceSelector:
+    made = SourceSelector(ME, SelectorSettings("site", own_watch=own_watch), random.Random(1))
+    assert made.view_changed(0.0, False, [ME]) == []  # nothing before it has joined
     return made
 
 
 def test_a_follower_asks_two_follows_two_and_sets_a_bad_one_aside() -> None:
     core = follower()
     assert ME.name not in RELAYS
-    actions = core.view(1.0, True, [ME, *OTHERS])
-    assert len([a for a in actions if isinstance(a, Ask)]) == 2
+    actions = core.view_changed(1.0, True, [ME, *OTHERS])
+    assert len([a for a in actions if isinstance(a, FetchList)]) == 2
     followed = [a.peer.name for a in actions if isinstance(a, Subscribe)]
     assert len(followed) == 2 and set(followed) <= set(RELAYS)
     first, second = followed
-    core.opened(1.1, first, 0)
-    core.opened(1.1, second, 0)
+    core.depth_received(1.1, first, 0)
+    core.depth_received(1.1, second, 0)
     third = next(name for name in RELAYS if name not in followed)
-    actions = core.bad(2.0, first)
-    assert [type(a) for a in actions] == [Unsubscribe, Subscribe] and third in core.feeds
-    core.opened(2.1, third, 0)
-    assert core.gap(2.0 + BAD_S - 0.1, first) == []
-    core.tick(2.0 + BAD_S, None)
-    assert set(core.feeds) == set(followed)  # the nearer one again
+    actions = core.invalid_list_received(2.0, first)
+    assert [type(a) for a in actions] == [Unsubscribe, Subscribe] and third in core.upstreams
+    core.depth_received(2.1, third, 0)
+    assert core.newer_list_reported(2.0 + INVALID_AVOID_S - 0.1, first) == []
+    core.tick(2.0 + INVALID_AVOID_S, None)
+    assert set(core.upstreams) == set(followed)  # the nearer one again
 
 
 def test_a_fed_one_takes_its_role_on_once_the_view_has_stood_and_its_first_call_waits_for_news() -> None:
-    me = next(peer for peer in OTHERS if peer.name in choose("site", OTHERS, 3))
-    core = Follower(me, FollowSettings("site", gateways=8), random.Random(1))
-    core.view(0.0, True, OTHERS)
-    core.opened(0.1, next(iter(core.feeds)), 0)
+    me = next(peer for peer in OTHERS if peer.name in choose_relays("site", OTHERS, 3))
+    core = SourceSelector(me, SelectorSettings("site", gateways=8), random.Random(1))
+    core.view_changed(0.0, True, OTHERS)
+    core.depth_received(0.1, next(iter(core.upstreams)), 0)
     acts = [(n / 10, a) for n in range(2, 40) for a in core.tick(n / 10, None) if isinstance(a, Watch)]
     [(now_s, watch)] = acts
-    assert now_s == pytest.approx(GROWS_S) and watch == Watch(True, is_fed=True)
+    assert now_s == pytest.approx(VIEW_STABLE_S) and watch == Watch(True, has_live_upstream=True)
 
 
 def test_one_that_is_not_fed_acts_soon_however_the_view_grows() -> None:
-    me = next(peer for peer in OTHERS if peer.name in choose("site", OTHERS, 3))
-    core = Follower(me, FollowSettings("site", gateways=8), random.Random(1))
-    core.view(0.0, True, OTHERS)
-    for name in core.asking.copy():
-        core.asked(0.05, name)
+    me = next(peer for peer in OTHERS if peer.name in choose_relays("site", OTHERS, 3))
+    core = SourceSelector(me, SelectorSettings("site", gateways=8), random.Random(1))
+    core.view_changed(0.0, True, OTHERS)
+    for name in core.pending_fetches.copy():
+        core.fetch_ended(0.05, name)
     acts = [n / 10 for n in range(1, 40) if Watch(True) in core.tick(n / 10, None)]
-    assert len(acts) == 1 and SETTLE_S <= acts[0] <= 1.5 * SETTLE_S + 0.1
+    assert len(acts) == 1 and RELAY_SETTLE_S <= acts[0] <= 1.5 * RELAY_SETTLE_S + 0.1
 
 
 def test_all_silent_is_one_call_within_the_draw_and_back_once_one_speaks() -> None:
     core = follower()
-    core.view(0.0, True, [ME, *OTHERS])
+    core.view_changed(0.0, True, [ME, *OTHERS])
     seen = [(n / 20, core.tick(n / 20, None)) for n in range(60)]
     [(now_s, actions)] = [(at_s, a) for at_s, a in seen if Watch(True) in a]
-    assert isinstance(actions[0], Fallback) and GRACE_S <= now_s <= GRACE_S + 9 / 20.0 + 0.05
+    assert (
+        isinstance(actions[0], FallbackStarted)
+        and FALLBACK_GRACE_S <= now_s <= FALLBACK_GRACE_S + 9 / 20.0 + 0.05
+    )
     core.service_answered(now_s)
-    name = next(iter(core.feeds))
-    core.opened(now_s, name, 0)
+    name = next(iter(core.upstreams))
+    core.depth_received(now_s, name, 0)
     assert core.tick(now_s + 0.5, None) == []
     assert Watch(False) in core.tick(now_s + 1.1, None)
 
 
 def test_one_that_stays_behind_is_told_once_a_second() -> None:
     core = follower()
-    core.view(0.0, True, [ME, *OTHERS])
-    for name in core.feeds:
-        core.opened(0.1, name, 0)
-        core.told(name, ListVersion(0, 9))
-    slow = next(iter(core.feeds))
-    core.told(slow, ListVersion(0, 8))
+    core.view_changed(0.0, True, [ME, *OTHERS])
+    for name in core.upstreams:
+        core.depth_received(0.1, name, 0)
+        core.version_received(name, ListVersion(0, 9))
+    slow = next(iter(core.upstreams))
+    core.version_received(slow, ListVersion(0, 8))
     held = ListVersion(0, 9)
-    told = [a for n in range(25) for a in core.tick(1.0 + n / 10, held) if isinstance(a, Have)]
+    told = [a for n in range(25) for a in core.tick(1.0 + n / 10, held) if isinstance(a, AnnounceList)]
     assert [have.peer.name for have in told] == [slow, slow]
 
 
 def test_with_pushed_lists_peers_help_at_the_start_alone() -> None:
     core = follower(own_watch=True)
-    actions = core.view(0.0, True, [ME, *OTHERS])
-    assert len(actions) == 2 and all(isinstance(a, Ask) for a in actions)
+    actions = core.view_changed(0.0, True, [ME, *OTHERS])
+    assert len(actions) == 2 and all(isinstance(a, FetchList) for a in actions)
     assert core.tick(50.0, None) == []
 
 
 def test_the_limit_of_followers_follows_the_descriptors() -> None:
-    assert [feeds_limit(n) for n in (64, 256, 1024)] == [16, 32, 128]
+    assert [max_followers(n) for n in (64, 256, 1024)] == [16, 32, 128]
 
 
 def test_one_that_has_found_nobody_of_many_draws_before_it_calls_and_no_relay_is_made_of_it() -> None:
     made = []
     for seed in range(200):
-        core = Follower(ME, FollowSettings("site", gateways=200), random.Random(seed))
-        core.view(0.0, True, [ME])
+        core = SourceSelector(ME, SelectorSettings("site", gateways=200), random.Random(seed))
+        core.view_changed(0.0, True, [ME])
         moments = [n / 10 for n in range(101) if Watch(True) in core.tick(n / 10, None)]
         assert len(moments) == 1 and not core.is_relay
         made += moments
-    assert max(made) <= ALONE_S + 0.1
-    assert max(sum(at <= moment < at + 1 for moment in made) for at in range(6)) < 200 / ALONE_S * 1.6
+    assert max(made) <= ALONE_JITTER_MAX_S + 0.1
+    assert (
+        max(sum(at <= moment < at + 1 for moment in made) for at in range(6)) < 200 / ALONE_JITTER_MAX_S * 1.6
+    )
 
 
 def test_one_that_is_alone_asks_the_seeds_and_calls_for_itself_where_none_answers() -> None:
     for answers, called in ((True, False), (False, True)):
-        core = Follower(ME, FollowSettings("site", gateways=40, seeds=("127.0.0.1:7",)), random.Random(1))
-        core.view(0.0, True, [ME])
+        core = SourceSelector(
+            ME, SelectorSettings("site", gateways=40, seeds=("127.0.0.1:7",)), random.Random(1)
+        )
+        core.view_changed(0.0, True, [ME])
         calls = False
         for n in range(50):
             actions = core.tick(n / 10, None)
             calls |= Watch(True) in actions
-            for ask in (action for action in actions if isinstance(action, Ask)):
+            for ask in (action for action in actions if isinstance(action, FetchList)):
                 assert ask.peer.address == "127.0.0.1:7"
-                core.asked(n / 10, ask.peer.name, answers)
+                core.fetch_ended(n / 10, ask.peer.name, answers)
         assert calls is called
     # Where datagrams alone do not pass, what it reads of seeds is no watch for ever.
     moments = (n / 10 for n in range(50, 260))
-    answering = Follower(ME, FollowSettings("site", gateways=40, seeds=("127.0.0.1:7",)), random.Random(1))
-    answering.view(0.0, True, [ME])
+    answering = SourceSelector(
+        ME, SelectorSettings("site", gateways=40, seeds=("127.0.0.1:7",)), random.Random(1)
+    )
+    answering.view_changed(0.0, True, [ME])
     for now_s in moments:
-        if Watch(True) in answering.asked(now_s, "127.0.0.1:7") + answering.tick(now_s, None):
+        if Watch(True) in answering.fetch_ended(now_s, "127.0.0.1:7") + answering.tick(now_s, None):
             break
-    assert ALONE_S <= now_s <= 2 * ALONE_S
+    assert ALONE_JITTER_MAX_S <= now_s <= 2 * ALONE_JITTER_MAX_S
 
 
 def test_one_that_finds_the_others_before_its_draw_never_calls() -> None:
-    core = Follower(ME, FollowSettings("site", gateways=200), random.Random(4))
-    core.view(0.0, True, [ME])
+    core = SourceSelector(ME, SelectorSettings("site", gateways=200), random.Random(4))
+    core.view_changed(0.0, True, [ME])
     assert Watch(True) not in core.tick(0.1, None)
-    actions = core.view(0.2, True, [ME, *OTHERS])
+    actions = core.view_changed(0.2, True, [ME, *OTHERS])
     first = next(a.peer.name for a in actions if isinstance(a, Subscribe))
-    core.opened(0.3, first, 0)
+    core.depth_received(0.3, first, 0)
     assert not any(Watch(True) in core.tick(0.3 + n / 10, None) for n in range(100))
--- a/tests/test_list_order.py
+++ b/tests/test_list_order.py
@@ -8,25 +8,25 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cloverkeel.fleet.lists.order import (
-    ENTRIES,
-    Body,
+from cloverkeel.fleet.lists.versioned_list import (
+    MAX_ENTRIES,
+    ListUpdate,
     HeldList,
     ListVersion,
-    Raw,
-    Taken,
-    as_version,
+    RawEntry,
+    ApplyResult,
+    decode_version,
     decode,
     encode,
-    judge,
+    answer_version,
 )
 
 
-def entry(number: int, turn: int) -> Raw:
+def entry(number: int, turn: int) -> RawEntry:
     return {"name": f"s-{number}", "address": f"127.0.0.1:{turn + 1}", "status": "SERVING"}
 
 
-def gone(number: int) -> Raw:
+def gone(number: int) -> RawEntry:
     return {"name": f"s-{number}", "address": "127.0.0.1:1", "status": "DELETED"}
 
 
@@ -36,7 +36,7 @@
 
     def __init__(self, has_epoch: bool) -> None:
         self.has_epoch, self.starts, self.turn = has_epoch, 0, 0
-        self.entries: dict[str, Raw] = {f"s-{n}": entry(n, 0) for n in range(3)}
+        self.entries: dict[str, RawEntry] = {f"s-{n}": entry(n, 0) for n in range(3)}
         self.restart()
 
     @property
@@ -55,9 +55,9 @@
     def restart(self) -> None:
         self.starts += 1
         self.first = self.index = 1 if self.has_epoch else 10_000 - 100 * self.starts
-        self.log: list[Raw] = []
+        self.log: list[RawEntry] = []
 
-    def answer(self, asked: int | None) -> tuple[int, bool, list[Raw]]:
+    def answer(self, asked: int | None) -> tuple[int, bool, list[RawEntry]]:
         if asked is None or not self.first <= asked <= self.index:
             return self.index, True, list(self.entries.values())
         return self.index, False, self.log[asked - self.first :]
@@ -68,8 +68,8 @@
 
     def __init__(self) -> None:
         self.held = HeldList()
-        self.out: list[tuple[ListVersion | None, int | None, tuple[int, bool, list[Raw]]]] = []
-        self.sent: list[Body] = []
+        self.out: list[tuple[ListVersion | None, int | None, tuple[int, bool, list[RawEntry]]]] = []
+        self.sent: list[ListUpdate] = []
 
     def ask(self, service: Service) -> None:
         asked = self.held.version
@@ -78,9 +78,9 @@
     def hear(self, place: int) -> None:
         asked, epoch, (index, whole, entries) = self.out.pop(place % len(self.out))
         before = self.held.version
-        taken, body = self.held.answered(asked, judge(asked, index, epoch), whole, entries)
+        taken, body = self.held.apply_answer(asked, answer_version(asked, index, epoch), whole, entries)
         assert before is None or (self.held.version is not None and self.held.version >= before)
-        assert (taken is Taken.NEW) == (body is not None)
+        assert (taken is ApplyResult.NEW) == (body is not None)
         if body is not None:
             self.sent.append(body)
 
@@ -100,12 +100,12 @@
     steps: list[tuple[str, int]], has_epoch: bool
 ) -> None:
     service, relays, follower = Service(has_epoch), [Relay(), Relay()], HeldList()
-    passed: list[Body] = []
+    passed: list[ListUpdate] = []
 
-    def hear(body: Body) -> None:
+    def hear(body: ListUpdate) -> None:
         before = follower.version
-        taken = follower.take(decode(json.loads(json.dumps(encode(body)))))
-        if taken is Taken.NEW:
+        taken = follower.apply(decode(json.loads(json.dumps(encode(body)))))
+        if taken is ApplyResult.NEW:
             assert before is None or body.version > before
         else:
             assert follower.version == before
@@ -127,15 +127,15 @@
     # Calm comes: each relay hears of the other's list, asks anew until nothing changes, and passes on.
     for _ in range(4):
         for relay, other in (relays, relays[::-1]):
-            whole = other.held.whole()
+            whole = other.held.full_list()
             if whole is not None:
-                relay.held.take(whole)
+                relay.held.apply(whole)
             relay.out = []
             relay.ask(service)
             relay.hear(0)
     for relay in relays:
         assert relay.held.entries == service.entries
-        whole = relay.held.whole()
+        whole = relay.held.full_list()
         if whole is not None:
             hear(whole)
     if service.entries:
@@ -144,49 +144,51 @@
 
 
 def test_only_the_calls_own_list_judges_a_restart() -> None:
-    assert judge(ListVersion(0, 5), 7, None) == ListVersion(
+    assert answer_version(ListVersion(0, 5), 7, None) == ListVersion(
         0, 7
     )  # slow beside a peer that said (0, 9) meanwhile
-    assert judge(ListVersion(2, 100), 3, None) == ListVersion(
+    assert answer_version(ListVersion(2, 100), 3, None) == ListVersion(
         3, 3
     )  # two relays that see one restart count alike
-    assert judge(ListVersion(2, 100), 100, None) == ListVersion(2, 100)
-    assert judge(None, 3, None) == ListVersion(0, 3)
-    assert judge(ListVersion(2, 100), 3, 17) == ListVersion(17, 3)  # the service's own epoch goes before
+    assert answer_version(ListVersion(2, 100), 100, None) == ListVersion(2, 100)
+    assert answer_version(None, 3, None) == ListVersion(0, 3)
+    assert answer_version(ListVersion(2, 100), 3, 17) == ListVersion(
+        17, 3
+    )  # the service's own epoch goes before
 
 
 def test_a_change_is_taken_only_over_the_very_list_it_was_made_from() -> None:
     one, two = HeldList(), HeldList()
-    one.answered(None, ListVersion(0, 1), True, [entry(1, 1)])
-    two.answered(None, ListVersion(0, 1), True, [entry(1, 2)])  # counted alike, another list
-    _, change = one.answered(ListVersion(0, 1), ListVersion(0, 2), False, [entry(2, 1)])
-    assert change is not None and two.take(change) is Taken.GAP and two.version == ListVersion(0, 1)
-    whole = one.whole()
-    assert whole is not None and two.take(whole) is Taken.NEW and two.entries == one.entries
+    one.apply_answer(None, ListVersion(0, 1), True, [entry(1, 1)])
+    two.apply_answer(None, ListVersion(0, 1), True, [entry(1, 2)])  # counted alike, another list
+    _, change = one.apply_answer(ListVersion(0, 1), ListVersion(0, 2), False, [entry(2, 1)])
+    assert change is not None and two.apply(change) is ApplyResult.GAP and two.version == ListVersion(0, 1)
+    whole = one.full_list()
+    assert whole is not None and two.apply(whole) is ApplyResult.NEW and two.entries == one.entries
 
 
 def test_a_change_after_a_restart_asks_for_the_whole() -> None:
     held = HeldList()
-    held.answered(None, ListVersion(0, 9), True, [entry(1, 1)])
-    version = judge(held.version, 2, None)
-    assert held.answered(held.version, version, False, [entry(2, 1)]) == (Taken.GAP, None)
+    held.apply_answer(None, ListVersion(0, 9), True, [entry(1, 1)])
+    version = answer_version(held.version, 2, None)
+    assert held.apply_answer(held.version, version, False, [entry(2, 1)]) == (ApplyResult.GAP, None)
     assert held.version == ListVersion(0, 9)
 
 
 def test_entries_that_are_not_those_of_the_digest_change_nothing() -> None:
     held = HeldList()
-    _, body = held.answered(None, ListVersion(0, 1), True, [entry(1, 1)])
+    _, body = held.apply_answer(None, ListVersion(0, 1), True, [entry(1, 1)])
     assert body is not None
     with pytest.raises(ValueError, match="digest"):
-        held.take(body._replace(version=ListVersion(1, 1), entries=(entry(1, 9),)))
+        held.apply(body._replace(version=ListVersion(1, 1), entries=(entry(1, 9),)))
     assert held.version == ListVersion(0, 1) and held.entries == {"s-1": entry(1, 1)}
 
 
 def test_an_empty_list_is_not_passed_on() -> None:
     held = HeldList()
-    assert held.whole() is None
-    held.answered(None, ListVersion(0, 1), True, [])
-    assert held.whole() is None
+    assert held.full_list() is None
+    held.apply_answer(None, ListVersion(0, 1), True, [])
+    assert held.full_list() is None
 
 
 GOOD = {"v": [0, 1], "digest": 1, "base": None, "entries": []}
@@ -198,7 +200,7 @@
         None, 7, [], {}, {**GOOD, "v": [0, -1]}, {**GOOD, "v": [True, 1]}, {**GOOD, "v": [0, 2**60]},
         {**GOOD, "v": [0, 1.0]}, {**GOOD, "v": [1]}, {**GOOD, "digest": -1}, {**GOOD, "digest": "1"},
         {**GOOD, "base": [0]}, {**GOOD, "base": [0, 1, None]}, {**GOOD, "base": 3}, {**GOOD, "entries": {}},
-        {**GOOD, "entries": [7]}, {**GOOD, "entries": [{}] * (ENTRIES + 1)},
+        {**GOOD, "entries": [7]}, {**GOOD, "entries": [{}] * (MAX_ENTRIES + 1)},
     ],
 )  # fmt: skip
 def test_what_is_no_list_is_refused(raw: object) -> None:
@@ -214,7 +216,7 @@
     )
 )
 def test_garbage_is_decoded_or_refused(raw: object) -> None:
-    for read in (decode, as_version):
+    for read in (decode, decode_version):
         try:
             read(raw)
         except ValueError:
--- a/tests/test_list_process.py
+++ b/tests/test_list_process.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 from typing import Any
 
-from cloverkeel.fleet.lists.relays import Peer, choose
+from cloverkeel.fleet.lists.relays import Peer, choose_relays
 from faultlab.ports import free_port
 from tests.list_site import CLUSTER, Registry
 from tests.sockets import configuration, on_loop, peer, read_message
@@ -16,7 +16,7 @@
 from tests.test_membership_process import table
 
 NAMES = ("g0", "g1", "g2")
-RELAYS = choose("site", [Peer(name, "a") for name in NAMES], 2)
+RELAYS = choose_relays("site", [Peer(name, "a") for name in NAMES], 2)
 TELEMETRY = b"GET /api/telemetry HTTP/1.1\r\nHost: o\r\n\r\n"
 
 
--- a/tests/test_list_relays.py
+++ b/tests/test_list_relays.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cloverkeel.fleet.lists.relays import Peer, choose, preferred
+from cloverkeel.fleet.lists.relays import Peer, choose_relays, by_preference
 
 VIEWS = st.dictionaries(
     st.integers(0, 400).map("g{}".format), st.sampled_from("abc"), min_size=1, max_size=40
@@ -21,8 +21,8 @@
 def test_equal_views_give_equal_relays_with_one_a_zone(
     view: dict[str, str], count: int, random: object
 ) -> None:
-    chosen = choose("site", peers(view), count)
-    assert chosen == choose("site", peers(view)[::-1], count)
+    chosen = choose_relays("site", peers(view), count)
+    assert chosen == choose_relays("site", peers(view)[::-1], count)
     assert {view[name] for name in chosen} == set(view.values())
     assert len(chosen) == len(set(chosen)) == max(len(set(view.values())), min(count, len(view)))
 
@@ -32,9 +32,9 @@
 def test_a_member_that_goes_moves_one_place_at_most(
     view: dict[str, str], count: int, data: st.DataObject
 ) -> None:
-    before = choose("site", peers(view), count)
+    before = choose_relays("site", peers(view), count)
     lost = data.draw(st.sampled_from(sorted(view)))
-    after = choose("site", peers({n: z for n, z in view.items() if n != lost}), count)
+    after = choose_relays("site", peers({n: z for n, z in view.items() if n != lost}), count)
     if lost not in before:
         assert after == before
     else:
@@ -43,7 +43,7 @@
 
 def test_relays_are_spread_and_the_own_zone_comes_first() -> None:
     relays = [Peer("x", "a"), Peer("y", "b"), Peer("z", "b")]
-    firsts = {preferred("site", Peer(f"g{n}", "c"), relays)[0].name for n in range(40)}
+    firsts = {by_preference("site", Peer(f"g{n}", "c"), relays)[0].name for n in range(40)}
     assert firsts == {"x", "y", "z"}
-    assert preferred("site", Peer("g", "a"), relays)[0].name == "x"
-    assert [p.name for p in preferred("site", Peer("x", "a"), relays[:1])] == []
+    assert by_preference("site", Peer("g", "a"), relays)[0].name == "x"
+    assert [p.name for p in by_preference("site", Peer("x", "a"), relays[:1])] == []
--- a/tests/test_list_sharing.py
+++ b/tests/test_list_sharing.py
@@ -9,14 +9,14 @@
 
 import pytest
 
-from caperdrift.policy.sharers import sharers
+from caperdrift.policy.proxy_count import proxy_count
 from cloverkeel.fleet.cluster import ClusterSettings
 from cloverkeel.config import parse
 from cloverkeel.discovery import Discovery
-from cloverkeel.listcall import CallError
-from cloverkeel.fleet.lists.intake import Intake
-from cloverkeel.fleet.lists.order import HeldList, ListVersion, Taken, decode, encode
-from cloverkeel.fleet.lists.relays import Peer, choose
+from cloverkeel.discovery_connection import CallError
+from cloverkeel.fleet.lists.ingest import ListIngest
+from cloverkeel.fleet.lists.versioned_list import HeldList, ListVersion, ApplyResult, decode, encode
+from cloverkeel.fleet.lists.relays import Peer, choose_relays
 from cloverkeel.fleet.membership.calls import Calls
 from cloverkeel.fleet.membership.service import Membership
 from tests.list_site import Node, Registry, site
@@ -24,7 +24,7 @@
 
 NOWHERE = "127.0.0.1:1"
 NAMES = [f"g{n}" for n in range(4)]
-RELAYS = choose("site", [Peer(name, "a") for name in NAMES], 2)
+RELAYS = choose_relays("site", [Peer(name, "a") for name in NAMES], 2)
 
 
 @on_loop
@@ -35,12 +35,12 @@
         await made.all_have("s-1", "s-2")
         made.registry.change("s-2", "DRAINING")
         await until(lambda: all(node.index == 101 for node in made.nodes.values()))
-        draining = [node.gateway.listed[min(node.gateway.listed)] for node in made.nodes.values()]
+        draining = [node.gateway.listed_hosts[min(node.gateway.listed_hosts)] for node in made.nodes.values()]
         assert all(raw == draining[0] for raw in draining)
         for name, node in made.nodes.items():
             assert (node.count("list_service_calls_total") > 0) <= (name in RELAYS)
         nodes = made.nodes.values()
-        await until(lambda: all(sharers(node.gateway.balancer) == len(NAMES) for node in nodes))
+        await until(lambda: all(proxy_count(node.gateway.balancer) == len(NAMES) for node in nodes))
         assert all({row["name"] for row in node.rows if row["relay"]} == set(RELAYS) for node in nodes)
 
 
@@ -73,7 +73,7 @@
 async def test_full_members_send_followers_on_to_theirs() -> None:
     async with site("s-1", "s-2") as made:
         names = [f"g{n}" for n in range(7)]
-        relays = choose("site", [Peer(name, "a") for name in names], 1)
+        relays = choose_relays("site", [Peer(name, "a") for name in names], 1)
         for name in names:
             node = await made.add(name, "" if name in relays else NOWHERE, relays=1)
             assert node.fleet.sharing is not None
@@ -111,7 +111,7 @@
 
 
 def listing(version: ListVersion, *entries: dict[str, Any]) -> dict[str, Any]:
-    _, body = HeldList().answered(None, version, True, entries)
+    _, body = HeldList().apply_answer(None, version, True, entries)
     assert body is not None
     return encode(body)
 
@@ -133,18 +133,20 @@
 @on_loop
 async def test_answers_of_the_service_that_lead_nowhere_fail_the_watch_in_place_of_a_loop() -> None:
     intake, told = fresh_intake()
-    assert intake.begin() == (None, True)
+    assert intake.call_started() == (None, True)
     for raw, whole, error in ((-1, True, ValueError), (2**60, True, ValueError), (5, False, CallError)):
         with pytest.raises(error):
-            intake.answered(intake.begin(), {}, raw, whole, [])
+            intake.call_answered(intake.call_started(), {}, raw, whole, [])
     assert not told
-    intake.take(decode(listing(ListVersion(7, 500), Registry.entry("s-x"))))
+    intake.apply_from_peer(decode(listing(ListVersion(7, 500), Registry.entry("s-x"))))
     with pytest.raises(CallError, match="epoch is 3"):
-        intake.answered(intake.begin(), {"epoch": 3}, 500, True, [])
-    intake.answered(intake.begin(), {"epoch": 8}, 1, False, [])  # a change of a list not held here
-    assert intake.begin().for_whole and intake.discovery.index is None
-    intake.answered(intake.begin(), {"epoch": 8}, 1, True, [])
-    assert intake.held.version == ListVersion(8, 1) and intake.discovery.epoch == 8
+        intake.call_answered(intake.call_started(), {"epoch": 3}, 500, True, [])
+    intake.call_answered(
+        intake.call_started(), {"epoch": 8}, 1, False, []
+    )  # a change of a list not held here
+    assert intake.call_started().for_full_list and intake.discovery.index is None
+    intake.call_answered(intake.call_started(), {"epoch": 8}, 1, True, [])
+    assert intake.held_list.version == ListVersion(8, 1) and intake.discovery.epoch == 8
 
 
 @contextmanager
@@ -156,12 +158,12 @@
     calls.close()
 
 
-def fresh_intake() -> tuple[Intake, list[Any]]:
+def fresh_intake() -> tuple[ListIngest, list[Any]]:
     """One without a list, and what it tells."""
     told: list[Any] = []
     config = parse(configuration())
     discovery = Discovery(config.discovery, config.names, lambda *heard: told.append(heard), False, 2.0)
-    return Intake(discovery, discovery.on_list, told.append, told.append), told
+    return ListIngest(discovery, discovery.on_list, told.append, told.append), told
 
 
 @pytest.mark.parametrize("body", STRANGE, ids=range(len(STRANGE)))
@@ -169,9 +171,9 @@
 async def test_what_is_no_list_is_refused_and_changes_nothing(body: object) -> None:
     intake, told = fresh_intake()
     with pytest.raises(ValueError):
-        intake.take(decode(body))
-    assert not told and intake.held.version is None
-    assert intake.take(decode(GOOD)) is Taken.NEW and len(told) == 2
+        intake.apply_from_peer(decode(body))
+    assert not told and intake.held_list.version is None
+    assert intake.apply_from_peer(decode(GOOD)) is ApplyResult.NEW and len(told) == 2
 
 
 @on_loop
@@ -209,11 +211,11 @@
     async with site("s-1") as made:
         node = await made.add("g0")
         assert node.fleet.sharing is not None
-        links = node.fleet.sharing.links
-        opening = links.follow(Peer("g1", "a", node.address), None)
+        links = node.fleet.sharing.connections
+        opening = links.open(Peer("g1", "a", node.address), None)
         links.drop("g1")
         await opening
-        assert not links.links and node.fleet.gauges()["list_followers"] == 0
+        assert not links.connections and node.fleet.gauges()["list_followers"] == 0
 
 
 @on_loop
@@ -227,7 +229,7 @@
             node = made.nodes["g0"]
             sharing = node.fleet.sharing
             assert sharing is not None
-            sharing._take("g9", old)
+            sharing._receive_list("g9", old)
             assert node.hosts == {"s-1"} and node.index == 100
             # Asked for what is newer than it has, it gives its own; for less, nothing.
             answer = await calls.call(node.address, "list.get", [0, 50], 1.0)
@@ -241,7 +243,7 @@
         for name in NAMES[:3]:
             node = await made.add(name)
             assert node.fleet.neighbours is not None
-            node.fleet.neighbours.since_s -= 60.0  # it has served long enough
+            node.fleet.neighbours.started_s -= 60.0  # it has served long enough
         await made.all_have("s-1", "s-2")
         for node in made.nodes.values():
             for server in node.gateway.balancer.servers.values():
--- a/tests/test_list_told.py
+++ b/tests/test_list_told.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from cloverkeel.listcall import DiscoveryConnection
-from cloverkeel.listtimes import CALL_TIMEOUT_S, TOLD_MOVED_S, TOLD_S
+from cloverkeel.discovery_connection import DiscoveryConnection
+from cloverkeel.discovery_timing import CALL_TIMEOUT_S, ADDRESS_CHANGE_BOUND_S, UPDATE_BOUND_S
 from tests.sockets import (
     Exchange,
     Message,
@@ -156,7 +156,7 @@
     """Calls to the agent took 1 s where servers may be used for 0.5 s; calls on request waited for as long as
     other settings made the module wait, for over 6 s where it must ask in 20 s or more."""
     monkeypatch.setattr("random.uniform", max)
-    bound_s = stop_sending_s if mode == "pushed" else TOLD_S
+    bound_s = stop_sending_s if mode == "pushed" else UPDATE_BOUND_S
     async with asyncio.TaskGroup() as group:
         runs = {
             name: group.create_task(told_after(mode, stop_sending_s, 400.0, fails))
@@ -187,15 +187,15 @@
             discovery = run.gateway.discovery
             discovery.watch(True)
             await until(lambda: old.seen)
-            discovery.failures = discovery.late = run.gateway.balancer.list_calls_failed = 99
+            discovery.failures = discovery.consecutive_timeouts = run.gateway.balancer.list_calls_failed = 99
             begun_s = asyncio.get_running_loop().time()
-            discovery.move(("127.0.0.1", service.port))
+            discovery.change_address(("127.0.0.1", service.port))
             if first == "refused":
                 await until(lambda: discovery.watching is None)
                 service.good_s = begun_s
                 await service.listen()
             await until(lambda: host_id(3) in run.gateway.pools.hosts)
-            assert asyncio.get_running_loop().time() - begun_s < TOLD_MOVED_S
+            assert asyncio.get_running_loop().time() - begun_s < ADDRESS_CHANGE_BOUND_S
     service.close()
 
 
@@ -210,7 +210,9 @@
         async with running(config) as run:
             begun_s = asyncio.get_running_loop().time()
             await until(lambda: host_id(3) in run.gateway.pools.hosts)
-            assert asyncio.get_running_loop().time() - begun_s < TOLD_S - 1.0  # a call may still be lost
+            assert (
+                asyncio.get_running_loop().time() - begun_s < UPDATE_BOUND_S - 1.0
+            )  # a call may still be lost
             registry.script = silent
 
 
@@ -219,17 +221,17 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The next watch took it for one that had just answered, and its first call waited for news."""
-    monkeypatch.setattr("cloverkeel.listtimes.CALL_TIMEOUT_S", 0.1)
+    monkeypatch.setattr("cloverkeel.discovery_timing.CALL_TIMEOUT_S", 0.1)
     async with peer(silent) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"] |= {"membershipMode": "on_request", "contract": {"mustAskInUs": 10**12}}
         async with running(config) as run:
             discovery = run.gateway.discovery
             discovery.watch(True)
-            await until(lambda: discovery.slow is not None and discovery.watching is None)
+            await until(lambda: discovery.late_reply_task is not None and discovery.watching is None)
             registry.seen[0].answer(reply(500))
-            await until(lambda: discovery.slow is None)
-            assert discovery.spare is None
+            await until(lambda: discovery.late_reply_task is None)
+            assert discovery.spare_connection is None
             discovery.watch(True)
             await until(lambda: len(registry.seen) == 2)
             assert registry.seen[1].message.first.split(" ")[1].endswith("hold_ms=0")
@@ -292,6 +294,6 @@
             begun_s = asyncio.get_running_loop().time()
             assert not registry.opened
             await until(lambda: host_id(3) in run.gateway.pools.hosts)
-            bound_s = 1.0 if mode == "pushed" else TOLD_S - CALL_TIMEOUT_S
+            bound_s = 1.0 if mode == "pushed" else UPDATE_BOUND_S - CALL_TIMEOUT_S
             assert asyncio.get_running_loop().time() - begun_s < bound_s
             registry.script = silent
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -7,33 +7,33 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cloverkeel.fleet.membership.broadcasts import Broadcasts, retransmits
+from cloverkeel.fleet.membership.broadcasts import BroadcastQueue, retransmit_limit
 from cloverkeel.fleet.membership.codec import Codec
 from cloverkeel.fleet.membership.health import LocalHealth, suspicion_timeout_s
 from cloverkeel.fleet.membership.member import Member
 from cloverkeel.fleet.membership.messages import (
-    MOST_DATAGRAMS,
+    MAX_VIEW_DATAGRAMS,
     Action,
-    Alone,
-    Changed,
-    Exchange,
+    NoSeedAnswered,
+    MemberChanged,
+    ExchangeViews,
     Gossip,
     Message,
     Push,
-    Refused,
+    NameConflict,
     Send,
     Timing,
 )
-from cloverkeel.fleet.membership.rumours import Rumour, Status, View
+from cloverkeel.fleet.membership.updates import MemberUpdate, Status, View
 
-ME = Rumour("a", "127.0.0.1:1", 5, Status.ALIVE)
+ME = MemberUpdate("a", "127.0.0.1:1", 5, Status.ALIVE)
 names, addresses = st.sampled_from(["b", "c", "d"]), st.sampled_from(["127.0.0.1:2", "127.0.0.1:3"])
-rumours = st.builds(Rumour, names, addresses, st.integers(0, 4), st.sampled_from(Status))
+rumours = st.builds(MemberUpdate, names, addresses, st.integers(0, 4), st.sampled_from(Status))
 
 
 @given(st.lists(rumours, max_size=20), st.randoms())
 def test_views_that_heard_the_same_rumours_in_any_order_or_twice_agree(
-    heard: list[Rumour], rng: object
+    heard: list[MemberUpdate], rng: object
 ) -> None:
     shuffled = heard * 2
     rng.shuffle(shuffled)  # type: ignore[attr-defined]
@@ -44,21 +44,25 @@
         second.merge(rumour)
     assert first.members == second.members
     for name, rumour in first.members.items():
-        assert rumour.order == max(r.order for r in heard if r.name == name)
+        assert rumour.precedence == max(r.precedence for r in heard if r.name == name)
 
 
 def test_a_member_refutes_a_suspicion_of_itself_and_ignores_its_old_self() -> None:
     view = View(ME)
-    assert view.merge(Rumour("a", ME.address, 5, Status.SUSPECT)) == Rumour("a", ME.address, 6, Status.ALIVE)
-    assert view.merge(Rumour("a", "127.0.0.1:9", 4, Status.LEFT)) is None  # the old process of an upgrade
+    assert view.merge(MemberUpdate("a", ME.address, 5, Status.SUSPECT)) == MemberUpdate(
+        "a", ME.address, 6, Status.ALIVE
+    )
+    assert (
+        view.merge(MemberUpdate("a", "127.0.0.1:9", 4, Status.LEFT)) is None
+    )  # the old process of an upgrade
     assert view.me.incarnation == 6
 
 
 def test_a_dead_member_comes_back_only_with_a_higher_incarnation() -> None:
     view = View(ME)
-    view.merge(Rumour("b", "x", 3, Status.DEAD))
-    assert view.merge(Rumour("b", "x", 3, Status.ALIVE)) is None
-    assert view.merge(Rumour("b", "x", 4, Status.ALIVE)) is not None
+    view.merge(MemberUpdate("b", "x", 3, Status.DEAD))
+    assert view.merge(MemberUpdate("b", "x", 3, Status.ALIVE)) is None
+    assert view.merge(MemberUpdate("b", "x", 4, Status.ALIVE)) is not None
 
 
 def test_suspicion_shrinks_with_confirmations_from_beta_times_the_least_to_the_least() -> None:
@@ -70,27 +74,27 @@
 def test_local_health_is_bounded_and_scales_the_timings() -> None:
     health = LocalHealth()
     for _ in range(20):
-        health.worse()
-    assert health.scale == 9
-    health.better()
-    assert health.scale == 8 and retransmits(4, 50) == 24
+        health.degrade()
+    assert health.multiplier == 9
+    health.improve()
+    assert health.multiplier == 8 and retransmit_limit(4, 50) == 24
 
 
 @given(st.lists(rumours, min_size=1, max_size=30), st.integers(1, 5), st.integers(40, 200))
 def test_each_rumour_rides_at_most_its_limit_and_the_newest_of_a_name_wins(
-    added: list[Rumour], limit: int, budget: int
+    added: list[MemberUpdate], limit: int, budget: int
 ) -> None:
-    queue = Broadcasts()
+    queue = BroadcastQueue()
     for rumour in added:
         queue.add(rumour)
-    sent: list[Rumour] = []
+    sent: list[MemberUpdate] = []
     for _ in range(limit * len(added) + 1):
-        taken = queue.take(budget, lambda r: 40, limit)
+        taken = queue.select(budget, lambda r: 40, limit)
         assert len(taken) <= budget // 40
         sent += taken
     newest = {r.name: r for r in added}
     assert sorted(sent, key=str) == sorted(list(newest.values()) * limit, key=str)
-    assert not queue.waiting
+    assert not queue.queued
 
 
 CODEC = Codec("c" * 64)
@@ -108,7 +112,7 @@
         self.drop, self.twice, self.now_s = drop, twice, 0.0
         self.members = {
             at(n): Member(
-                Rumour(f"m{n}", at(n), 1, Status.ALIVE),
+                MemberUpdate(f"m{n}", at(n), 1, Status.ALIVE),
                 Timing(),
                 seeds=(at(0),) if n else (),
                 rng=random.Random(seed + n),
@@ -125,7 +129,7 @@
     def carry(self, source: str, actions: list[Action]) -> None:
         for action in actions:
             self.actions.append((source, action))
-            if isinstance(action, Exchange):  # a call carries both views
+            if isinstance(action, ExchangeViews):  # a call carries both views
                 asker, other = self.members[source], self.members[action.address]
                 views = [Push(m.me, tuple(m.members().values())) for m in (asker, other)]
                 self.carry(action.address, other.receive(views[0], self.now_s))
@@ -182,7 +186,7 @@
     net.run(2.3)
     net.cut.clear()
     net.run(5.0)
-    deaths = [a for _, a in net.actions if isinstance(a, Changed) and a.rumour.status is Status.DEAD]
+    deaths = [a for _, a in net.actions if isinstance(a, MemberChanged) and a.update.status is Status.DEAD]
     assert not deaths
     assert net.status("m2") == {Status.ALIVE} and net.members[at(2)].me.incarnation > 1
 
@@ -202,7 +206,7 @@
     net = Net(3, seed=4)
     net.run(1.0)
     for take_over in (False, True):
-        twin = Member(Rumour("m2", at(9), 1, Status.ALIVE), Timing(), (at(0),), take_over)
+        twin = Member(MemberUpdate("m2", at(9), 1, Status.ALIVE), Timing(), (at(0),), take_over)
         net.members[at(9)] = twin
         net.carry(at(9), twin.start(net.now_s))
         net.run(net.now_s + 0.5)
@@ -246,7 +250,9 @@
     views = [m.members() for m in net.members.values()]
     assert all(view == views[0] for view in views)
     assert {r.status for r in views[0].values()} == {Status.ALIVE}
-    told = [a for _, a in net.actions[before:] if isinstance(a, Changed) and a.rumour.status is Status.DEAD]
+    told = [
+        a for _, a in net.actions[before:] if isinstance(a, MemberChanged) and a.update.status is Status.DEAD
+    ]
     assert not told  # what one side held of the other is doubted, not believed
 
 
@@ -254,7 +260,7 @@
     net = Net(3, seed=6)
     late = net.members.pop(at(0))
     net.run(3.0)
-    assert [a for _, a in net.actions if isinstance(a, Alone)] == [Alone((at(0),))] * 2
+    assert [a for _, a in net.actions if isinstance(a, NoSeedAnswered)] == [NoSeedAnswered((at(0),))] * 2
     asked = sum(s == at(1) and isinstance(a, Send) for s, a in net.actions)
     assert 6 <= asked <= 10
     net.members[at(0)] = late
@@ -267,11 +273,11 @@
     seed_, joiner = net.members.values()
     for n in range(1_000):
         name = f"gateway-{n:04}"
-        seed_.receive(Push(Rumour(name, f"127.0.0.1:{n + 5000}", 1, Status.ALIVE, "zone-a")), 0.0)
+        seed_.receive(Push(MemberUpdate(name, f"127.0.0.1:{n + 5000}", 1, Status.ALIVE, "zone-a")), 0.0)
     net.run(0.05)
-    assert [a for _, a in net.actions if isinstance(a, Exchange)] == [Exchange(at(0))]
+    assert [a for _, a in net.actions if isinstance(a, ExchangeViews)] == [ExchangeViews(at(0))]
     assert joiner.members().keys() == seed_.members().keys() and len(joiner.members()) == 1_002
-    assert sum(s == at(0) and isinstance(a, Send) for s, a in net.actions) <= MOST_DATAGRAMS
+    assert sum(s == at(0) and isinstance(a, Send) for s, a in net.actions) <= MAX_VIEW_DATAGRAMS
 
 
 def test_a_member_that_stood_still_does_not_suspect_those_it_did_not_hear() -> None:
@@ -284,33 +290,35 @@
         net.now_s += 0.3
         held, net.flight = net.flight, []
         net.members[at(1)] = still
-        still.stalled(0.3)
+        still.on_stall(0.3)
         net.carry(at(1), still.tick(net.now_s))
         net.flight = held
-    suspected = [a for s, a in net.actions if isinstance(a, Changed) and a.rumour.status is Status.SUSPECT]
+    suspected = [
+        a for s, a in net.actions if isinstance(a, MemberChanged) and a.update.status is Status.SUSPECT
+    ]
     assert not suspected
 
 
 def test_a_suspicion_is_confirmed_by_those_that_hold_it_however_many_pass_it_on() -> None:
     member = Member(ME, Timing())
     for name in ("b", "c", "d", "e"):
-        member.receive(Push(Rumour(name, at(ord(name)), 1, Status.ALIVE)), 0.0)
-    held = Rumour("b", at(ord("b")), 1, Status.SUSPECT, by="c")
+        member.receive(Push(MemberUpdate(name, at(ord(name)), 1, Status.ALIVE)), 0.0)
+    held = MemberUpdate("b", at(ord("b")), 1, Status.SUSPECT, suspected_by="c")
     senders = [member.members()[name] for name in ("c", "d", "e")]
     for sender in senders:
         member.receive(Gossip(sender, (held,)), 0.0)
     assert member.roster.suspicions["b"][1] == {"c"}
-    member.receive(Gossip(senders[0], (replace(held, by="e"),)), 0.0)
+    member.receive(Gossip(senders[0], (replace(held, suspected_by="e"),)), 0.0)
     assert member.roster.suspicions["b"][1] == {"c", "e"}
     sent = [a.message for a in member.tick(0.06) if isinstance(a, Send)]
     passed = [CODEC.decode(CODEC.encode(message)) for message in sent if isinstance(message, Gossip)]
-    assert {r.by for m in passed for r in m.rumours if r.status is Status.SUSPECT} == {"e"}
+    assert {r.suspected_by for m in passed for r in m.updates if r.status is Status.SUSPECT} == {"e"}
 
 
 def test_a_view_that_still_holds_one_gone_does_not_bring_it_back_to_those_that_reaped_it() -> None:
     member = Member(ME, Timing())
-    sender = Rumour("b", at(1), 1, Status.ALIVE)
-    held = tuple(Rumour(status.value, at(2), 3, status) for status in Status)
+    sender = MemberUpdate("b", at(1), 1, Status.ALIVE)
+    held = tuple(MemberUpdate(status.value, at(2), 3, status) for status in Status)
     member.receive(Push(sender, held), 0.0)
     assert member.members().keys() == {"a", "b", "alive", "suspect"}
     member.receive(Gossip(sender, held), 0.0)  # news of a death is taken: an older rumour may come after it
@@ -319,10 +327,12 @@
 
 def test_an_upgrade_that_meets_its_old_self_late_takes_over_and_anybody_else_is_refused() -> None:
     for take_over in (True, False):
-        member = Member(Rumour("b", at(9), 1, Status.ALIVE), Timing(), (at(0),), take_over)
+        member = Member(MemberUpdate("b", at(9), 1, Status.ALIVE), Timing(), (at(0),), take_over)
         member.start(0.0)
-        assert any(isinstance(a, Alone) for a in member.tick(Timing().join_wait_s))
-        view = (Rumour("b", at(2), 4, Status.ALIVE),)  # of a process before that is not heard of any more
-        actions = member.receive(Push(Rumour("a", at(1), 1, Status.ALIVE), view), 2.0)
+        assert any(isinstance(a, NoSeedAnswered) for a in member.tick(Timing().join_wait_s))
+        view = (
+            MemberUpdate("b", at(2), 4, Status.ALIVE),
+        )  # of a process before that is not heard of any more
+        actions = member.receive(Push(MemberUpdate("a", at(1), 1, Status.ALIVE), view), 2.0)
         assert member.refused is not take_over and member.me.incarnation == (5 if take_over else 1)
-        assert any(isinstance(a, Refused) and a.joining for a in actions) is not take_over
+        assert any(isinstance(a, NameConflict) and a.joining for a in actions) is not take_over
--- a/tests/test_members_faults.py
+++ b/tests/test_members_faults.py
@@ -2,15 +2,15 @@
 
 from dataclasses import replace
 
-from cloverkeel.fleet.membership.member import MOST_OUTRANKED, Member
-from cloverkeel.fleet.membership.messages import Changed, Ping, Push, Timing
-from cloverkeel.fleet.membership.rumours import Rumour, Status
+from cloverkeel.fleet.membership.member import MAX_OUTRANKS, Member
+from cloverkeel.fleet.membership.messages import MemberChanged, Ping, Push, Timing
+from cloverkeel.fleet.membership.updates import MemberUpdate, Status
 
-A = Rumour("a", "127.0.0.1:1", 5, Status.ALIVE)
-B = Rumour("b", "127.0.0.1:2", 3, Status.ALIVE)
+A = MemberUpdate("a", "127.0.0.1:1", 5, Status.ALIVE)
+B = MemberUpdate("b", "127.0.0.1:2", 3, Status.ALIVE)
 
 
-def started(me: Rumour = A, seeds: tuple[str, ...] = (), take_over: bool = False) -> Member:
+def started(me: MemberUpdate = A, seeds: tuple[str, ...] = (), take_over: bool = False) -> Member:
     member = Member(me, Timing(), seeds, take_over)
     member.start(0.0)
     return member
@@ -18,9 +18,11 @@
 
 def test_a_ping_that_says_its_suspicion_twice_is_refuted_once() -> None:
     member = started()
-    suspicion = replace(A, status=Status.SUSPECT, by="b")
+    suspicion = replace(A, status=Status.SUSPECT, suspected_by="b")
     actions = member.receive(Ping(1, B, "a", (suspicion,), suspect=True), 1.0)
-    assert [a.rumour.incarnation for a in actions if isinstance(a, Changed) and a.rumour.name == "a"] == [6]
+    assert [
+        a.update.incarnation for a in actions if isinstance(a, MemberChanged) and a.update.name == "a"
+    ] == [6]
     assert member.roster.health.score == 1
 
 
@@ -29,7 +31,7 @@
     older = replace(A, incarnation=9)
     member.receive(Ping(1, B, "a", (older,)), 1.0)
     assert member.me.incarnation == 10 and member.roster.health.score == 0
-    assert member.roster.broadcasts.waiting["a"][-1] == member.me
+    assert member.roster.broadcasts.queued["a"][-1] == member.me
     member.receive(Ping(2, B, "a", (older, member.me)), 2.0)
     assert member.me.incarnation == 10
 
@@ -41,7 +43,7 @@
     refuted = replace(A, incarnation=7)  # the older one had to refute something before it heard
     successor.receive(Ping(1, B, "a", (refuted,)), 0.2)
     assert not successor.refused and successor.me.incarnation == 7 + 4  # ahead of its next refutations
-    for n in range(MOST_OUTRANKED):
+    for n in range(MAX_OUTRANKS):
         successor.receive(Ping(2, B, "a", (replace(A, incarnation=100 + 100 * n),)), 0.3)
     assert successor.refused
 
@@ -52,7 +54,7 @@
     assert successor.joining_until_s is None
     successor.receive(Ping(1, B, "a", (replace(A, incarnation=7),)), 3.0)
     assert not successor.refused and successor.me.incarnation == 8
-    other = Rumour("a", "127.0.0.1:7", 9, Status.ALIVE)  # its own successor: from another address
+    other = MemberUpdate("a", "127.0.0.1:7", 9, Status.ALIVE)  # its own successor: from another address
     successor.receive(Ping(2, B, "a", (other,)), 4.0)
     assert successor.refused
 
@@ -79,9 +81,9 @@
     """It stood over the living member at the same incarnation, which took it for its successor."""
     member = started()
     member.receive(Ping(1, B, "a"), 0.1)
-    ghost = replace(A, address="127.0.0.1:9", status=Status.SUSPECT, by="b")
+    ghost = replace(A, address="127.0.0.1:9", status=Status.SUSPECT, suspected_by="b")
     actions = member.receive(Ping(2, B, "a", (ghost,)), 1.0)
-    assert [a.rumour.incarnation for a in actions if isinstance(a, Changed)] == [A.incarnation + 1]
-    assert not member.refused and member.roster.broadcasts.waiting["a"][-1] == member.me
+    assert [a.update.incarnation for a in actions if isinstance(a, MemberChanged)] == [A.incarnation + 1]
+    assert not member.refused and member.roster.broadcasts.queued["a"][-1] == member.me
     member.receive(Ping(3, B, "a", (replace(ghost, incarnation=A.incarnation + 2),)), 2.0)
     assert member.refused  # a successor's number is higher
--- a/tests/test_members_health.py
+++ b/tests/test_members_health.py
@@ -5,11 +5,11 @@
 
 from cloverkeel.fleet.membership.member import Member
 from cloverkeel.fleet.membership.messages import Nack, Ping, PingReq, Push, Send, Timing
-from cloverkeel.fleet.membership.rumours import Rumour, Status
+from cloverkeel.fleet.membership.updates import MemberUpdate, Status
 from faultlab.storm.cluster.faults import History
 from faultlab.storm.cluster.members import Cluster
 
-A, B, C, D = (Rumour(name, f"127.0.0.1:{n}", 1, Status.ALIVE) for n, name in enumerate("abcd", 1))
+A, B, C, D = (MemberUpdate(name, f"127.0.0.1:{n}", 1, Status.ALIVE) for n, name in enumerate("abcd", 1))
 
 
 def probed(nacks: int, suspected: bool) -> Member:
@@ -25,7 +25,7 @@
     for helper in helpers[:nacks]:
         member.receive(Nack(pings[0].seq, helper), 0.35)
     if suspected:
-        held = replace(member.view.members[target], status=Status.SUSPECT, by=helpers[0].name)
+        held = replace(member.view.members[target], status=Status.SUSPECT, suspected_by=helpers[0].name)
         member.receive(Ping(9, helpers[0], "a", (held,)), 0.36)
     member.tick(0.41)
     assert member.view.members[target].status is Status.SUSPECT
@@ -40,12 +40,12 @@
 
 def test_a_member_that_stood_still_asks_less_and_waits_longer() -> None:
     member = Member(A, Timing())
-    member.stalled(0.19)
+    member.on_stall(0.19)
     assert member.roster.health.score == 0
-    member.stalled(0.5)
+    member.on_stall(0.5)
     assert member.roster.health.score == 2
-    member.stalled(60.0)
-    assert member.roster.health.score == member.roster.health.most
+    member.on_stall(60.0)
+    assert member.roster.health.score == member.roster.health.max_score
 
 
 def test_seven_in_ten_that_go_at_once_are_soon_held_dead_and_nobody_else() -> None:
--- a/tests/test_membership_lab.py
+++ b/tests/test_membership_lab.py
@@ -16,7 +16,7 @@
 
 from cloverkeel.fleet.membership.codec import Codec
 from cloverkeel.fleet.membership.messages import Ping, Push
-from cloverkeel.fleet.membership.rumours import Rumour, Status
+from cloverkeel.fleet.membership.updates import MemberUpdate, Status
 from faultlab.fleet import CLUSTER, Fleet, Light
 from faultlab.relay import Place, Rule
 
@@ -201,9 +201,9 @@
     """Random bytes of every size, real messages cut at every length and with a byte changed, other versions
     and clusters: nothing a core may take."""
     rng = random.Random(11)
-    sender = Rumour("stranger", "127.0.0.1:9", 1, Status.ALIVE)
+    sender = MemberUpdate("stranger", "127.0.0.1:9", 1, Status.ALIVE)
     real = Codec(CLUSTER).encode(
-        Push(sender, tuple(Rumour(f"x{n}", "127.0.0.1:9", 1, Status.DEAD) for n in range(9)))
+        Push(sender, tuple(MemberUpdate(f"x{n}", "127.0.0.1:9", 1, Status.DEAD) for n in range(9)))
     )
     yield from (rng.randbytes(size) for size in (*range(1_500), 4_096, 9_000, 65_507))
     yield from (real[:size] for size in range(1, len(real)))
--- a/tests/test_membership_process.py
+++ b/tests/test_membership_process.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from cloverkeel.config import follow, parse
+from cloverkeel.config import merge_reloaded, parse
 from cloverkeel.errors import ConfigError
 from faultlab.ports import free_port
 from tests.sockets import configuration, on_loop, peer, read_message
@@ -157,4 +157,4 @@
     started = parse(configuration() | {"cluster": CLUSTER})
     assert started.cluster is not None and started.cluster.bind_address == ("127.0.0.1", 0)
     for again in (configuration(), configuration() | {"cluster": CLUSTER | {"name": "green"}}):
-        assert follow(started, parse(again)).cluster == started.cluster  # a SIGHUP changes none
+        assert merge_reloaded(started, parse(again)).cluster == started.cluster  # a SIGHUP changes none
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -20,10 +20,10 @@
 from cloverkeel.fleet.membership.calls import CallFailed, Calls
 from cloverkeel.fleet.membership.checked import CheckedMember
 from cloverkeel.fleet.membership.codec import Codec, parse_address
-from cloverkeel.fleet.membership.feeds import UNSENT_BYTES, Feed
-from cloverkeel.fleet.membership.frames import FRAME_BYTES, Frames
+from cloverkeel.fleet.membership.feeds import MAX_UNSENT_BYTES, Feed
+from cloverkeel.fleet.membership.frames import MAX_FRAME_BYTES, FrameCodec
 from cloverkeel.fleet.membership.messages import Ping
-from cloverkeel.fleet.membership.rumours import Rumour, Status
+from cloverkeel.fleet.membership.updates import MemberUpdate, Status
 from cloverkeel.fleet.membership.service import Membership
 from tests.sockets import on_loop, until
 
@@ -75,8 +75,8 @@
 async def test_garbage_of_every_size_is_counted_and_the_members_go_on() -> None:
     async with three() as (first, second, third):
         host, port = parse_address(first.address)
-        head, rng = Codec("blue").head, random.Random(1)
-        stranger = Rumour("s", "127.0.0.1:9", 1, Status.ALIVE)
+        head, rng = Codec("blue").header, random.Random(1)
+        stranger = MemberUpdate("s", "127.0.0.1:9", 1, Status.ALIVE)
         sound = Codec("blue").encode(Ping(1, stranger, "m0"))
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as noise:
             for size in range(1, 1_600, 3):
@@ -150,8 +150,8 @@
     first = await member("m0")
     assert first.member is not None
     for n in range(1_000):
-        rumour = Rumour(f"gateway-{n:04}", f"127.0.0.9:{n + 1}", 1, Status.ALIVE, "zone-a")
-        first.member.roster.learn(rumour, asyncio.get_running_loop().time(), "test")
+        rumour = MemberUpdate(f"gateway-{n:04}", f"127.0.0.9:{n + 1}", 1, Status.ALIVE, "zone-a")
+        first.member.roster.apply_update(rumour, asyncio.get_running_loop().time(), "test")
     second = await member("m1", first.address)
     await until(lambda: len(second.view()) == len(first.view()) == 1_002)
     assert second.counters()["views_swapped"] == second.counters()["calls_out"] == 1
@@ -223,7 +223,7 @@
         with pytest.raises(CallFailed, match="no address"):
             await caller.call("nowhere", "later", None, 5.0)
         assert caller.counts["calls_failed"] == 8
-        await until(lambda: not callee.serving)
+        await until(lambda: not callee.connections)
 
 
 @on_loop
@@ -234,7 +234,7 @@
     monkeypatch.setattr(serving, "MOST_CONNECTIONS", 3)
     async with caller_and_callee() as (caller, callee, address):
         callee.serve("echo", lambda peer, body: body)
-        frame = Frames("blue").encode
+        frame = FrameCodec("blue").encode
         request = frame("echo", ("x", 1))
         for data in (
             os.urandom(3),  # too little: the time ends it
@@ -244,9 +244,9 @@
             frame("echo", 1),
             frame("echo", ("", 1)),
             frame("echo", ("x" * 129, 1)),
-            Frames("green").encode("echo", ("x", 1)),
+            FrameCodec("green").encode("echo", ("x", 1)),
             request[:-1],
-            (FRAME_BYTES + 1).to_bytes(4, "big"),
+            (MAX_FRAME_BYTES + 1).to_bytes(4, "big"),
         ):
             reader, writer = await asyncio.open_connection(*parse_address(address))
             writer.write(data)
@@ -260,7 +260,7 @@
         }  # fmt: skip
         held = [await asyncio.open_connection(*parse_address(address)) for _ in range(4)]
         await until(lambda: callee.counts["connections_refused"] == 1)
-        await until(lambda: not callee.serving)  # their time is up
+        await until(lambda: not callee.connections)  # their time is up
         assert await caller.call(address, "echo", 7, 5.0) == 7
         for _, writer in held:
             writer.close()
@@ -311,7 +311,7 @@
 
 @on_loop
 async def test_silence_wrong_frames_and_bodies_that_are_not_understood_end_a_feed() -> None:
-    frames, sent = Frames("blue"), b""
+    frames, sent = FrameCodec("blue"), b""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         writer.write(sent)
@@ -324,7 +324,7 @@
     for data, why in (
         (b"", "silent for 1 s"),
         (frames.encode("feed", 1) + b"\xff" * 9, "oversized"),
-        (Frames("green").encode("feed", 1), "cluster"),
+        (FrameCodec("green").encode("feed", 1), "cluster"),
         (frames.encode("feed", "x"), "not understood: TypeError"),
         (frames.encode("error", "no"), "error: no"),
     ):
@@ -346,11 +346,11 @@
         callee.serve_feed("list", lambda feed, body: feeds.append(feed))
         host, port = parse_address(address)
         with socket.create_connection((host, port)) as stuck:
-            stuck.sendall(Frames("blue").encode("list", ("stuck", None)))
+            stuck.sendall(FrameCodec("blue").encode("list", ("stuck", None)))
             await until(lambda: feeds)
             feeds[0].on_close = lambda: closed.append(1)
             sent = 0
-            while not feeds[0].closed and sent < 100 * UNSENT_BYTES:
+            while not feeds[0].closed and sent < 100 * MAX_UNSENT_BYTES:
                 feeds[0].send(bytes(100_000))
                 sent += 100_000
                 await asyncio.sleep(0)
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -10,11 +10,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverkeel.fleet.membership.codec import MOST_INCARNATION, Codec, DatagramError, rumours_from_body
-from cloverkeel.fleet.membership.frames import FrameError, Frames
+from cloverkeel.fleet.membership.codec import MAX_INCARNATION, Codec, DatagramError, updates_from_body
+from cloverkeel.fleet.membership.frames import FrameError, FrameCodec
 from cloverkeel.fleet.membership.messages import (
-    DATAGRAM_BYTES,
-    MESSAGE_BYTES,
+    MAX_DATAGRAM_BYTES,
+    MESSAGE_OVERHEAD_BYTES,
     Ack,
     Gossip,
     Join,
@@ -23,9 +23,9 @@
     Ping,
     PingReq,
     Push,
-    rumour_bytes,
+    update_bytes,
 )
-from cloverkeel.fleet.membership.rumours import Rumour, Status
+from cloverkeel.fleet.membership.updates import MemberUpdate, Status
 
 CODEC = Codec("blue")
 
@@ -39,7 +39,7 @@
     ["127.0.0.1:1", "255.255.255.255:65535", "[::1]:7000", f"[{'abcd:' * 7}abcd]:65535"]
 )
 rumours = st.builds(
-    Rumour, short(128, 1), addresses, st.integers(0, MOST_INCARNATION), st.sampled_from(Status),
+    MemberUpdate, short(128, 1), addresses, st.integers(0, MAX_INCARNATION), st.sampled_from(Status),
     short(64), short(128),
 )  # fmt: skip
 riders = st.lists(rumours, max_size=2).map(tuple)
@@ -57,18 +57,20 @@
 
 @given(messages)
 def test_a_message_comes_as_it_went_and_is_never_larger_than_estimated(message: Message) -> None:
-    estimate = MESSAGE_BYTES - 60 + rumour_bytes(message.sender)  # this cluster's name is 60 bytes shorter
-    estimate += sum(map(rumour_bytes, message.rumours))
+    estimate = (
+        MESSAGE_OVERHEAD_BYTES - 60 + update_bytes(message.sender)
+    )  # this cluster's name is 60 bytes shorter
+    estimate += sum(map(update_bytes, message.updates))
     if isinstance(message, Ping):
         estimate += 2 + len(message.target.encode())
     elif isinstance(message, PingReq):
-        estimate += rumour_bytes(message.target)
-    if estimate > DATAGRAM_BYTES:
+        estimate += update_bytes(message.target)
+    if estimate > MAX_DATAGRAM_BYTES:
         return
     data = CODEC.encode(message)
     assert len(data) <= estimate
     again = CODEC.decode(data)
-    assert again == message and again.sender.by == message.sender.by
+    assert again == message and again.sender.suspected_by == message.sender.suspected_by
 
 
 junk = st.recursive(
@@ -94,7 +96,7 @@
 @given(st.one_of(st.binary(max_size=60), junk.map(msgspec.msgpack.encode)), messages, st.randoms())
 def test_no_datagram_does_more_than_be_refused(data: bytes, message: Message, rng: random.Random) -> None:
     refused(data)
-    refused(CODEC.head + data)
+    refused(CODEC.header + data)
     try:
         sound = bytearray(CODEC.encode(message))
     except ValueError:
@@ -107,10 +109,10 @@
 
 
 def test_every_reason_for_a_refusal() -> None:
-    me = Rumour("a", "127.0.0.1:1", 1, Status.ALIVE)
+    me = MemberUpdate("a", "127.0.0.1:1", 1, Status.ALIVE)
     sound = CODEC.encode(Ack(1, me))
     wrong: dict[str, list[bytes]] = {
-        "oversized": [sound + bytes(DATAGRAM_BYTES), CODEC.head + bytes(60_000)],
+        "oversized": [sound + bytes(MAX_DATAGRAM_BYTES), CODEC.header + bytes(60_000)],
         "version": [b"", b"\x02" + sound[1:], b"GET / HTTP/1.1"],
         "cluster": [Codec("bluer").encode(Ack(1, me)), Codec("blu").encode(Ack(1, me))],
         "malformed": [sound[:1], sound[:4], sound[:-1], sound + b"\xc0"],
@@ -122,32 +124,32 @@
         (4, "z" * 65), (5, "b" * 129), (5, None),
     ]:  # fmt: skip
         bad = [*fields[:place], value, *fields[place + 1 :]]
-        wrong["malformed"].append(CODEC.head + msgspec.msgpack.encode([2, 1, bad, []]))
+        wrong["malformed"].append(CODEC.header + msgspec.msgpack.encode([2, 1, bad, []]))
         with pytest.raises(DatagramError):
-            rumours_from_body([bad])
-    wrong["malformed"].append(CODEC.head + msgspec.msgpack.encode([2, 1, [*fields, 0], []]))
-    wrong["malformed"].append(CODEC.head + msgspec.msgpack.encode([9, 1, fields, []]))
+            updates_from_body([bad])
+    wrong["malformed"].append(CODEC.header + msgspec.msgpack.encode([2, 1, [*fields, 0], []]))
+    wrong["malformed"].append(CODEC.header + msgspec.msgpack.encode([9, 1, fields, []]))
     for reason, datagrams in wrong.items():
         assert [refused(data) for data in datagrams] == [reason] * len(datagrams)
 
 
 @given(st.binary(max_size=200), junk, st.integers(1, 9))
 def test_frames_in_any_pieces_come_whole_or_not_at_all(noise: bytes, body: Any, step: int) -> None:
-    frames = Frames("blue", most=4096)
+    frames = FrameCodec("blue", most=4096)
     data, held, got = frames.encode("k", body) * 2, bytearray(), []
     for start in range(0, len(data), step):
         held += data[start : start + step]
-        while (frame := frames.take(held)) is not None:
+        while (frame := frames.decode_next(held)) is not None:
             got.append(frame)
     # Compared as sent again: a tuple comes as a list.
     assert [frames.encode(kind, value) for kind, value in got] == [data[: len(data) // 2]] * 2 and not held
     try:
         held = bytearray(noise)
-        while frames.take(held) is not None:
+        while frames.decode_next(held) is not None:
             pass
     except FrameError as error:
         assert error.reason in ("malformed", "oversized", "version", "cluster")
     with pytest.raises(FrameError, match="cluster"):
-        Frames("green").take(bytearray(data))
+        FrameCodec("green").decode_next(bytearray(data))
     with pytest.raises(FrameError, match="oversized"):
         frames.encode("k", bytes(5000))
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -9,14 +9,14 @@
 import pytest
 
 from cloverkeel import operator as front
-from cloverkeel.operator import POST_LIMIT, Answer, Operator
+from cloverkeel.operator import POST_LIMIT, Answer, OperatorServer
 from tests.sockets import Client, Message, on_loop, until
 
 READY = b"GET /api/ready HTTP/1.1\r\nHost: o\r\n\r\n"
 
 
 @asynccontextmanager
-async def operators(status: int = 200) -> AsyncIterator[tuple[Operator, int]]:
+async def operators(status: int = 200) -> AsyncIterator[tuple[OperatorServer, int]]:
     async def take(query: bytes, body: bytes) -> Answer:
         if query == b"never":
             await asyncio.Event().wait()
@@ -28,7 +28,7 @@
         return await take(query, b"")
 
     calls = {b"/api/ready": lambda: Answer(status, b"so\n")}
-    made = Operator(("127.0.0.1", 0), calls, {b"/api/take": take}, {b"/api/tell": tell})
+    made = OperatorServer(("127.0.0.1", 0), calls, {b"/api/take": take}, {b"/api/tell": tell})
     await made.start()
     assert made.listener is not None
     try:
@@ -113,7 +113,7 @@
 
 @on_loop
 async def test_a_body_s_call_that_is_never_done_ends_with_504(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "POST_S", 0.05)
+    monkeypatch.setattr(front, "HANDLER_TIMEOUT_S", 0.05)
     async with operators() as (made, port):
         assert (await call(port, post(1, "never"))).status == 504 and not made.tasks
 
@@ -136,8 +136,8 @@
 
 @on_loop
 async def test_callers_that_hold_on_give_way_and_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "MOST", 3)
-    monkeypatch.setattr(front, "CALL_S", 0.2)
+    monkeypatch.setattr(front, "MAX_CONNECTIONS", 3)
+    monkeypatch.setattr(front, "REQUEST_TIMEOUT_S", 0.2)
     async with operators() as (made, port):
         holding = [await caller(port) for _ in range(5)]
         for client in holding:
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -10,7 +10,7 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 
-from caperdrift.checks import watch
+from caperdrift.checks import attach_checks
 from caperdrift.interface import (
     Effect,
     Event,
@@ -21,9 +21,9 @@
     SettingsChanged,
     Tenant,
 )
-from caperdrift.policy.admission import excess
+from caperdrift.policy.admission import tenant_excess
 from caperdrift.policy.balancer import Balancer
-from cloverkeel.config import Config, follow, parse
+from cloverkeel.config import Config, merge_reloaded, parse
 from faultlab.storm.world.draws import draw_settings
 from faultlab.storm.world.world import World
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE, Driver, sends
@@ -54,12 +54,12 @@
     driver = Driver()
     name, actions = driver.arrive()
     driver.end(name, sends(actions)[0].server, latency_us=10_000)
-    measured = driver.balancer.smoothed[0]
+    measured = driver.balancer.smoothed_us[0]
     classes = tuple(replace(c, aim_us=10 * c.aim_us, give_up_us=10 * c.give_up_us) for c in SETTINGS.classes)
     driver.handle(SettingsChanged(replace(SETTINGS, classes=classes)))
-    assert driver.balancer.smoothed == [measured, 500_000.0, 750_000.0]
-    assert driver.balancer.unhindered[1:] == [500_000.0, 750_000.0]
-    assert driver.balancer.patience == [(4_000_000, 0), (8_000_000, 0), (10_000_000, 0)]
+    assert driver.balancer.smoothed_us == [measured, 500_000.0, 750_000.0]
+    assert driver.balancer.baseline_us[1:] == [500_000.0, 750_000.0]
+    assert driver.balancer.client_timeouts == [(4_000_000, 0), (8_000_000, 0), (10_000_000, 0)]
 
 
 @pytest.mark.parametrize("crowded", [False, True])
@@ -88,9 +88,9 @@
 def test_a_tenant_within_its_share_is_hardly_ever_over_it_by_chance(count: int) -> None:
     settings = replace(SETTINGS, tenants=(Tenant(1 / count),) * count, over_share_worth=0.0)
     driver, rng = Driver(settings), Random(1)
-    excesses = [max(0.0, excess(driver.balancer, rng.randrange(count))) for _ in range(20_000)]
+    excesses = [max(0.0, tenant_excess(driver.balancer, rng.randrange(count))) for _ in range(20_000)]
     assert sum(excesses) / len(excesses) < 0.01
-    many = [excess(driver.balancer, 0) for _ in range(1_000)]  # and one that is over it is found
+    many = [tenant_excess(driver.balancer, 0) for _ in range(1_000)]  # and one that is over it is found
     assert many[-1] > 0.2
 
 
@@ -165,7 +165,7 @@
     rng = Random(seed)
     settings = draw_settings(rng)
     balancer = Balancer(settings, seed)
-    watch(balancer, seed)
+    attach_checks(balancer, seed)
     world = ChangingWorld(rng, settings, None, Random(seed + 1))
     world.late = []
     for _ in range(events):
@@ -195,15 +195,15 @@
 def test_what_has_a_number_keeps_it_and_its_own_settings_whatever_files_follow(files: list[Config]) -> None:
     now = files[0]
     for file in files[1:]:
-        before, now = now, follow(now, file)
+        before, now = now, merge_reloaded(now, file)
         for kind in ("tenants", "zones", "kinds"):
             old, new = getattr(before.names, kind), getattr(now.names, kind)
             assert new == old | new and sorted(new.values()) == list(range(len(new))), kind
-        assert now.names.by_class[: len(before.names.by_class)] == before.names.by_class
-        assert len(now.settings.classes) == len(now.names.by_class) == len(set(now.names.by_class))
-        for number, name in enumerate(now.names.by_class):
+        assert now.names.class_names[: len(before.names.class_names)] == before.names.class_names
+        assert len(now.settings.classes) == len(now.names.class_names) == len(set(now.names.class_names))
+        for number, name in enumerate(now.names.class_names):
             assert now.settings.classes[number].give_up_us == 20_000_000 + ord(name)
-            assert now.settings.takes(number) is (name in file.names.classes)
+            assert now.settings.accepts_class(number) is (name in file.names.classes)
             assert now.names.classes.get(name, number) == number
         for tenant, number in now.names.tenants.items():
             share = ord(tenant) / 1000 if tenant in file.names.tenants else 0.0
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -30,12 +30,12 @@
     TimerFired,
     WatchList,
 )
-from caperdrift.policy.admission import excess
+from caperdrift.policy.admission import tenant_excess
 from caperdrift.policy.breaker import State
 from caperdrift.policy import choice
 from caperdrift.policy.balancer import Balancer
-from caperdrift.policy.choice import draw_weight, is_silent
-from caperdrift.policy.proxy import LOG_GAP_US, OVERDUE, SUBSET
+from caperdrift.policy.choice import draw_weight, is_unresponsive
+from caperdrift.policy.proxy import LOG_INTERVAL_US, OVERDUE_FACTOR, MIN_SUBSET_SIZE
 from caperdrift.policy.servers import Server
 from caperdrift.policy.shedding import SHED_STEP
 
@@ -86,11 +86,11 @@
 
 def test_a_second_copy_goes_out_when_the_first_is_overdue_and_the_loser_is_called_off() -> None:
     driver = Driver()
-    driver.balancer.smoothed[0] = 20_000.0
+    driver.balancer.smoothed_us[0] = 20_000.0
     name, actions = driver.arrive()
     first = sends(actions)[0].server
     (timer,) = timers(actions)
-    assert timer.due_us == driver.now_us + int(OVERDUE * 20_000)
+    assert timer.due_us == driver.now_us + int(OVERDUE_FACTOR * 20_000)
     driver.now_us = timer.due_us
     copy = sends(driver.handle(TimerFired(timer.token)))[0]
     assert copy.server != first
@@ -102,7 +102,7 @@
 
 def test_no_second_copy_where_none_is_allowed() -> None:
     driver = Driver(replace(SETTINGS, second_copies=False))
-    driver.balancer.smoothed[0] = 20_000.0
+    driver.balancer.smoothed_us[0] = 20_000.0
     _, actions = driver.arrive()
     (timer,) = timers(actions)
     driver.now_us = timer.due_us
@@ -121,7 +121,7 @@
 def test_a_silent_server_gets_nothing_more() -> None:
     driver = Driver(servers=1)
     driver.arrive(klass=2)
-    driver.now_us += int(OVERDUE * max(driver.balancer.smoothed)) + 1
+    driver.now_us += int(OVERDUE_FACTOR * max(driver.balancer.smoothed_us)) + 1
     assert not sends(driver.arrive(klass=2)[1])
 
 
@@ -134,7 +134,7 @@
     _, actions = driver.arrive(work_us=1_000)
     driver.now_us += 350_000
     _, others = driver.arrive()
-    assert is_silent(driver.balancer, driver.balancer.servers[sends(actions)[0].server])
+    assert is_unresponsive(driver.balancer, driver.balancer.servers[sends(actions)[0].server])
     assert sends(others)[0].server != sends(actions)[0].server
 
 
@@ -168,7 +168,7 @@
     (send,) = sends(driver.handle(TimerFired(rest.token)))
     assert send.request == third
     driver.end(third, send.server)
-    assert not driver.balancer.lines.get(7)
+    assert not driver.balancer.key_queues.get(7)
 
 
 def test_a_client_that_comes_again_under_its_name_while_its_key_rests_is_answered() -> None:
@@ -182,7 +182,7 @@
     (send,) = sends(driver.handle(TimerFired(rest.token)))
     assert send.request == name and name in driver.balancer.requests
     driver.end(name, send.server)
-    assert not driver.balancer.requests and not driver.balancer.lines and not driver.balancer.out
+    assert not driver.balancer.requests and not driver.balancer.key_queues and not driver.balancer.in_flight
 
 
 def test_a_popular_key_is_refused_before_a_line_that_cannot_be_served() -> None:
@@ -212,7 +212,7 @@
     bad = sends(actions)[0].server
     driver.end(name, bad)
     server = driver.balancer.servers[bad]
-    while server.breaker.state is State.CLOSED and server.part(0).breaker.state is State.CLOSED:
+    while server.breaker.state is State.CLOSED and server.class_state(0).breaker.state is State.CLOSED:
         name, actions = driver.arrive(klass=0)
         first = sends(actions)[0].server
         outcome = Outcome.FULL if first == bad else Outcome.OK
@@ -220,7 +220,7 @@
             driver.end(name, again.server, attempt=1)
     assert server.breaker.state is State.CLOSED and server.breaker.failures == 0
     assert server not in subset(driver.balancer, 0) and server in subset(driver.balancer, 2)
-    assert driver.balancer.shed_dear == 0.0
+    assert driver.balancer.shed_high_value == 0.0
 
 
 def test_failures_of_every_class_are_the_servers_own() -> None:
@@ -244,10 +244,10 @@
     ):
         driver = Driver(replace(SETTINGS, classes=(klass,)))
         name, actions = driver.arrive()
-        driver.balancer.smoothed[0] = driver.balancer.unhindered[0] = 50_000.0
-        driver.balancer.shed_at_us = driver.now_us
+        driver.balancer.smoothed_us[0] = driver.balancer.baseline_us[0] = 50_000.0
+        driver.balancer.shed_updated_us = driver.now_us
         driver.end(name, sends(actions)[0].server, outcome, latency_us=latency_us)
-        moved.append(driver.balancer.shed_dear)
+        moved.append(driver.balancer.shed_high_value)
     assert moved[0] == moved[1] > moved[2] > moved[3] == 0.0
 
 
@@ -288,15 +288,15 @@
     driver = Driver(replace(SETTINGS, tenants=tenants, over_share_worth=0.1), servers=9)
     refused = [0, 0]
     for n in range(600):
-        driver.balancer.shed = driver.balancer.shed_dear = 0.1 * (n > 200)
+        driver.balancer.shed_low_value = driver.balancer.shed_high_value = 0.1 * (n > 200)
         tenant = int(n % 10 == 0)
         name, actions = driver.arrive(klass=0, tenant=tenant)
         refused[tenant] += bool(finals(actions))
         for send in sends(actions):
             driver.end(name, send.server)
     assert refused[0] > 60 and refused[1] <= 20
-    assert excess(driver.balancer, 1) <= 0.0 < excess(driver.balancer, 0)
-    assert excess(driver.balancer, 7) == 0.0
+    assert tenant_excess(driver.balancer, 1) <= 0.0 < tenant_excess(driver.balancer, 0)
+    assert tenant_excess(driver.balancer, 7) == 0.0
 
 
 def test_without_servers_requests_are_refused() -> None:
@@ -335,7 +335,7 @@
 def test_log_lines_are_rate_limited() -> None:
     driver = Driver()
     first, second = driver.arrive(klass=7)[1], driver.arrive(klass=7)[1]
-    driver.now_us += LOG_GAP_US
+    driver.now_us += LOG_INTERVAL_US
     third = driver.arrive(klass=7)[1]
     assert [sum(isinstance(a, Log) for a in actions) for actions in (first, second, third)] == [1, 0, 1]
 
@@ -417,7 +417,7 @@
     balancer = driver.balancer
     assert not balancer.requests and len(balancer.servers) == 4
     assert not balancer.timers
-    assert len(balancer.ranked) == 4 and balancer.out == 0
+    assert len(balancer.ranked) == 4 and balancer.in_flight == 0
 
 
 def test_a_clock_that_steps_back_stands_still() -> None:
@@ -463,10 +463,10 @@
     for gap_us in (100_000, 1_500_000):
         driver = Driver()
         name, actions = driver.arrive(klass=2)
-        driver.balancer.shed_at_us = driver.now_us
+        driver.balancer.shed_updated_us = driver.now_us
         driver.now_us += gap_us
         driver.end(name, sends(actions)[0].server, latency_us=290_000)
-        shed.append(driver.balancer.shed)
+        shed.append(driver.balancer.shed_low_value)
     assert shed[1] >= 2 * shed[0] > 0
 
 
@@ -482,7 +482,7 @@
         name, actions = driver.arrive()
         met.add(sends(actions)[0].server)
         driver.end(name, sends(actions)[0].server)
-    assert len(met) <= SUBSET + 1
+    assert len(met) <= MIN_SUBSET_SIZE + 1
 
 
 def test_subsets_are_even_and_move_little() -> None:
@@ -494,16 +494,16 @@
         used.update(before)
         driver.list_servers(ListedServer(3, ServerStatus.GONE), ListedServer(60), kind=ListKind.DELTA)
         after = {server.entry.server for server in subset(driver.balancer, 0)}
-        assert len(before) == len(after) == SUBSET and len(after - before) <= 2
+        assert len(before) == len(after) == MIN_SUBSET_SIZE and len(after - before) <= 2
     assert sorted(used) == list(range(60))
-    assert max(used.values()) <= 2 * 40 * SUBSET / 60
+    assert max(used.values()) <= 2 * 40 * MIN_SUBSET_SIZE / 60
 
 
 def test_a_proxy_with_more_in_hand_reaches_further() -> None:
     """One proxy with a fifth of all traffic would crush the few servers of a fixed subset."""
     driver = Driver(replace(SETTINGS, proxies=300), servers=60)
     met = {sends(driver.arrive(klass=2)[1])[0].server for _ in range(40)}
-    assert len(met) > 3 * SUBSET
+    assert len(met) > 3 * MIN_SUBSET_SIZE
 
 
 def test_an_open_server_gives_its_place_to_the_next_in_rank() -> None:
@@ -520,9 +520,9 @@
     breaker = driver.balancer.servers[0].breaker
     for outcome in (Outcome.CONNECT_FAILED, Outcome.OK, Outcome.CONNECT_FAILED):
         driver.end(driver.arrive()[0], 0, outcome)
-        assert breaker.lets_through(driver.now_us)
+        assert breaker.allow(driver.now_us)
     driver.end(driver.arrive()[0], 0, Outcome.CONNECT_FAILED)
-    assert not breaker.lets_through(driver.now_us)
+    assert not breaker.allow(driver.now_us)
 
 
 COLD = replace(
@@ -539,7 +539,7 @@
         for step in range(1_000):
             name, actions = driver.arrive()
             if sends(actions):
-                work_us[step // 50] += driver.balancer.unhindered[0]
+                work_us[step // 50] += driver.balancer.baseline_us[0]
                 driver.end(name, 1, latency_us=30_000)
             driver.now_us += 10_000
     for first, second in pairwise(work_us):
@@ -576,8 +576,8 @@
     soon = 0
     for proxy in range(40):
         driver = Driver(replace(COLD, proxy=proxy), servers=0, seed=proxy)
-        driver.balancer.smoothed = [1_000_000.0] * 3
-        driver.balancer.mean_work = [10_000.0] * 3
+        driver.balancer.smoothed_us = [1_000_000.0] * 3
+        driver.balancer.mean_work_us = [10_000.0] * 3
         driver.list_servers(ListedServer(1, started_us=driver.now_us))
         driver.now_us += 4 * COLD.fall_us
         soon += bool(sends(driver.arrive(work_us=10_000)[1]))
@@ -627,7 +627,7 @@
         driver = Driver(replace(COLD, proxies=200, proxy=proxy), servers=59)
         driver.list_servers(ListedServer(59, started_us=driver.now_us), kind=ListKind.DELTA)
         users += any(s.entry.server == 59 for s in subset(driver.balancer, 0))
-    assert 0.75 < users / (200 * SUBSET / 60) < 1.5
+    assert 0.75 < users / (200 * MIN_SUBSET_SIZE / 60) < 1.5
 
 
 def test_drained_servers_leave_the_others_evenly_shared() -> None:
@@ -639,7 +639,7 @@
         drained = [ListedServer(s.entry.server, status=ServerStatus.DRAINING) for s in by_hash[10:30]]
         driver.list_servers(*drained, kind=ListKind.DELTA)
         users.update(s.entry.server for s in subset(driver.balancer, 0))
-    mean = 200 * SUBSET / 40
+    mean = 200 * MIN_SUBSET_SIZE / 40
     assert len(users) == 40 and max(users.values()) < 1.5 * mean and min(users.values()) > mean / 1.5
 
 
@@ -668,16 +668,16 @@
     dear = replace(SAFE, worth=10.0)
     driver = Driver(Settings(classes=(cheap, dear)))
     for number in range(100):
-        driver.balancer.asked[number % 2] += 1
+        driver.balancer.offered[number % 2] += 1
         driver.balancer.served[number % 2] += 1
     for latency_us, shed in ((390_000, [True, False]), (5_000, [False, False])):
         for _ in range(round(0.3 / SHED_STEP)):
             name, actions = driver.arrive(klass=1)
-            driver.balancer.shed_at_us = driver.now_us
+            driver.balancer.shed_updated_us = driver.now_us
             driver.end(name, sends(actions)[0].server, latency_us=latency_us)
             driver.now_us += 4_000_000
         refused = []
-        driver.balancer.shed_at_us = driver.now_us  # an old answer tells nothing: see test_shedding
+        driver.balancer.shed_updated_us = driver.now_us  # an old answer tells nothing: see test_shedding
         for klass in (0, 1):
             name, actions = driver.arrive(klass=klass)
             refused.append(bool(finals(actions)))
@@ -690,12 +690,12 @@
 def test_no_copy_and_no_repeat_of_what_may_have_run_while_anything_is_shed() -> None:
     """Three hundred proxies doubled their work at the first jam, and the fleet never left it."""
     driver = Driver()
-    driver.balancer.shed = SHED_STEP
+    driver.balancer.shed_low_value = SHED_STEP
     driver.balancer.random.seed(1)
     name, actions = driver.arrive(klass=0)
     while not sends(actions):
         name, actions = driver.arrive(klass=0)
-    driver.balancer.shed = SHED_STEP * 3
+    driver.balancer.shed_low_value = SHED_STEP * 3
     assert not sends(driver.end(name, sends(actions)[0].server, Outcome.TIMEOUT))
 
 
@@ -735,7 +735,7 @@
     driver.now_us += 20_000
     driver.end(name, 0)
     balancer = driver.balancer
-    assert not balancer.requests and balancer.out == 0
+    assert not balancer.requests and balancer.in_flight == 0
     assert list(balancer.servers[0].breaker.ring) == [False]  # and it still tells of the server
 
 
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -14,8 +14,8 @@
 import pytest
 
 from caperdrift.interface import BodyEnded, Effect, Outcome, RequestClass, SettingsChanged
-from cloverkeel.config import REQUIRED, follow, parse
-from cloverkeel.entries import parse_list
+from cloverkeel.config import REQUIRED_KEYS, merge_reloaded, parse
+from cloverkeel.host_entries import parse_list
 from tests.helpers import KEYED, SAFE, SETTINGS, UNSAFE, Driver, finals, sends, trip
 from tests.sockets import (
     Running,
@@ -101,7 +101,7 @@
     "limits no object": setting("limits", [1]),
     "sockets without end": setting("limits.sockets", math.inf),
     "no address": setting("discovery", "nowhere"),
-    **{f"{place}: no {key}": without(place, key) for place, keys in REQUIRED.items() for key in keys},
+    **{f"{place}: no {key}": without(place, key) for place, keys in REQUIRED_KEYS.items() for key in keys},
     **{f"attempts {value}": setting("settings.caps.maxAttempts", value) for value in NO_NUMBERS},
     **{f"deadline {value}": setting("settings.lanes.1.giveUpUs", value) for value in NO_NUMBERS},
     **{f"aim {value}": setting("settings.lanes.2.aimUs", value) for value in NO_NUMBERS},
@@ -254,9 +254,9 @@
     config = configuration("127.0.0.1:1")
     before = parse(config)
     config["settings"] |= {"zones": ["a", "b", "c"], "shapes": ["m", "n"]}
-    after = follow(before, parse(config))
+    after = merge_reloaded(before, parse(config))
     host = endpoint("s-1", "127.0.0.1:2", zone="z", type="q")
-    entries = [parse_list(hosts_list(1, host), now.names)[2][0].listed for now in (before, after)]
+    entries = [parse_list(hosts_list(1, host), now.names)[2][0].listed_server for now in (before, after)]
     assert entries[0] == entries[1]
     assert min(entries[0].zone, entries[0].kind) > len(after.names.zones)
 
@@ -268,11 +268,11 @@
     driver = Driver()
     trip(driver.balancer.servers[0].breaker, driver.now_us)
     driver.balancer.servers[1].weight = 0.3
-    smoothed = list(driver.balancer.smoothed)
+    smoothed = list(driver.balancer.smoothed_us)
     driver.handle(SettingsChanged(replace(SETTINGS, classes=(*SETTINGS.classes, NEW), max_attempts=1)))
-    assert driver.balancer.skipped(driver.now_us) == 1
+    assert driver.balancer.count_skipped(driver.now_us) == 1
     assert driver.balancer.servers[1].weight == 0.3
-    assert driver.balancer.smoothed == [*smoothed, 25_000.0]
+    assert driver.balancer.smoothed_us == [*smoothed, 25_000.0]
     name, actions = driver.arrive(klass=3, patience_us=200_000)
     assert sends(actions)[0].server in (1, 2)
     assert not driver.end(name, sends(actions)[0].server)
@@ -308,7 +308,7 @@
     sent_us = driver.now_us
     driver.now_us += 60_000
     again = driver.end(name, sends(actions)[0].server, Outcome.ERROR)
-    assert sends(again)[0].latest_us == sent_us + KEYED.window_us - 1
+    assert sends(again)[0].write_deadline_us == sent_us + KEYED.window_us - 1
     assert sends(again)[0].server % 2 == sends(actions)[0].server % 2
     assert not sends(driver.end(name, sends(again)[0].server, Outcome.CONNECT_FAILED, attempt=1))
 
@@ -317,18 +317,18 @@
     driver = Driver(servers=3)
     balancer = driver.balancer
     open_, actions = driver.arrive(klass=2, patience_us=1_000_000)
-    balancer.smoothed[2] = 9e9
+    balancer.smoothed_us[2] = 9e9
     changed = replace(SETTINGS, classes=(SAFE, KEYED, replace(UNSAFE, dropped=True)))
     driver.handle(SettingsChanged(changed))
-    assert balancer.longest_us() == max(balancer.smoothed[:2])
+    assert balancer.longest_latency_us() == max(balancer.smoothed_us[:2])
     refused = driver.arrive(klass=2, patience_us=1_000_000)[1]
     assert len(finals(refused)) == 1 and not sends(refused)
-    shed = balancer.shed
+    shed = balancer.shed_low_value
     driver.end(
         open_, sends(actions)[0].server, latency_us=900_000
     )  # far too late, and yet no sign of a crowd
-    assert balancer.shed == shed
-    assert balancer.asked[2] == balancer.served[2] == 0.0
+    assert balancer.shed_low_value == shed
+    assert balancer.offered[2] == balancer.served[2] == 0.0
 
 
 @on_loop
@@ -361,7 +361,7 @@
             client.send(request("search") + request("hold"))
             await until(lambda: host.seen)
             (connection,) = gateway.server.connections
-            await until(lambda: connection.waiting and connection.waiting[0].whole)
+            await until(lambda: connection.queue and connection.queue[0].complete)
             changed = copied(config)
             changed["settings"]["lanes"] = [
                 each for each in changed["settings"]["lanes"] if each["name"] != "hold"
--- a/tests/test_rollout_shares.py
+++ b/tests/test_rollout_shares.py
@@ -5,12 +5,12 @@
 from collections import Counter
 
 from caperdrift.interface import ListedServer, ListKind, RequestArrived, Send, ServerList
-from caperdrift.plan import Hosts, Plan, Route, Target
+from caperdrift.plan import HostSelector, Plan, Route, Target
 from caperdrift.policy.balancer import Balancer
 from cloverkeel.fleet.routes.dividing import divided, meet
 from tests.helpers import SETTINGS
 
-NEW, OLD = Hosts(groups=frozenset({9})), Hosts(none_of=(Hosts(groups=frozenset({9})),))
+NEW, OLD = HostSelector(groups=frozenset({9})), HostSelector(none_of=(HostSelector(groups=frozenset({9})),))
 OVER = (Target(NEW, 0.25), Target(OLD, 0.75))
 SERVERS = tuple(
     ListedServer(number, group=9 if number > 8 else 1, zone=number % 2) for number in range(1, 13)
@@ -33,7 +33,7 @@
 
 
 def test_requests_without_a_route_and_those_of_one_are_divided_alike() -> None:
-    zone = Hosts(zones=frozenset({1}))
+    zone = HostSelector(zones=frozenset({1}))
     plan = Plan({0: Route(OVER), 4: divided(Route((Target(zone, 1.0),), max_attempts=2), OVER)})
     assert abs(share(sent(plan, 0)) - 0.25) < 0.03
     routed = sent(plan, 4)
@@ -41,17 +41,20 @@
 
 
 def test_a_route_keeps_its_caps_and_a_part_without_hosts_is_served_by_the_rest() -> None:
-    route = Route((Target(Hosts(groups=frozenset({1})), 1.0),), max_attempts=2, deadline_us=5, limit=7)
+    route = Route((Target(HostSelector(groups=frozenset({1})), 1.0),), max_attempts=2, deadline_us=5, limit=7)
     over = divided(route, OVER)
     assert (over.max_attempts, over.deadline_us, over.limit) == (2, 5, 7)
-    assert share(sent(Plan({1: divided(Route((Target(Hosts(groups=frozenset({1})), 1.0),)), OVER)}), 1)) == 0
+    assert (
+        share(sent(Plan({1: divided(Route((Target(HostSelector(groups=frozenset({1})), 1.0),)), OVER)}), 1))
+        == 0
+    )
     assert divided(route, ()) is route
     none = divided(route, (Target(NEW, 0.0), Target(OLD, 1.0)))
     assert [target.share for target in none.targets] == [1.0]
 
 
 def test_hosts_in_both_may_have_labels_of_both() -> None:
-    both = meet(Hosts(labels=frozenset({1})), Hosts(labels=frozenset({2})))
+    both = meet(HostSelector(labels=frozenset({1})), HostSelector(labels=frozenset({2})))
     servers = (ListedServer(1, labels=frozenset({1, 2})), ListedServer(2, labels=frozenset({1})))
     balancer = Balancer(SETTINGS, seed=3)
     balancer.handle(0, ServerList(ListKind.FULL, servers))
--- a/tests/test_routes_index.py
+++ b/tests/test_routes_index.py
@@ -13,9 +13,9 @@
 from hypothesis import strategies as st
 
 from caperdrift.interface import Event
-from caperdrift.plan import Hosts, Plan, Route, Target
+from caperdrift.plan import HostSelector, Plan, Route, Target
 from cloverkeel.config import Names, stable_id
-from cloverkeel.entries import number_of, parse_entry
+from cloverkeel.host_entries import name_id, parse_entry
 from cloverkeel.fleet.ledger.dots import Context
 from cloverkeel.fleet.routes.fields import canonical
 from cloverkeel.fleet.routes.index import Index, Matched, segments_of
@@ -135,22 +135,25 @@
         NAMES,
     )
     raw = {"name": "h", "address": "127.0.0.1:1", "status": "SERVING", "labels": ["new"], "type": "m9"}
-    listed = parse_entry({**raw, "group": 3}, NAMES).listed
-    by_text = parse_entry({**raw, "group": "3"}, NAMES).listed
-    canary = Hosts(kinds=frozenset({1, number_of("m9", NAMES.kinds)}), labels=listed.labels)
-    third = Hosts(groups=frozenset({3, stable_id("3", 4)}))
-    rest = Hosts(none_of=(third, canary))
+    listed = parse_entry({**raw, "group": 3}, NAMES).listed_server
+    by_text = parse_entry({**raw, "group": "3"}, NAMES).listed_server
+    canary = HostSelector(kinds=frozenset({1, name_id("m9", NAMES.kinds)}), labels=listed.labels)
+    third = HostSelector(groups=frozenset({3, stable_id("3", 4)}))
+    rest = HostSelector(none_of=(third, canary))
     shares = {target.hosts: target.share for target in compiled.targets}
     assert shares == {canary: 0.05, third: 0.6, rest: 0.35}
     assert listed.kind in canary.kinds and {listed.group, by_text.group} == third.groups
     assert (compiled.max_attempts, compiled.deadline_us, compiled.limit) == (2, 40_000, 7)
     none_there = compile_route(route("r", targets=[{"groups": ["3"], "share": 0}]), NAMES)
-    assert none_there == Route((Target(Hosts(none_of=(third,))),))
+    assert none_there == Route((Target(HostSelector(none_of=(third,))),))
 
 
 def test_labels_of_an_entry_are_texts() -> None:
     raw = {"name": "h", "address": "127.0.0.1:1", "status": "SERVING"}
-    assert parse_entry(raw, NAMES).listed.labels == parse_entry({**raw, "labels": []}, NAMES).listed.labels
+    assert (
+        parse_entry(raw, NAMES).listed_server.labels
+        == parse_entry({**raw, "labels": []}, NAMES).listed_server.labels
+    )
     for labels in ("new", [1], {"new": 1}):
         with pytest.raises(ValueError, match="labels"):
             parse_entry({**raw, "labels": labels}, NAMES)
--- a/tests/test_routes_module.py
+++ b/tests/test_routes_module.py
@@ -19,13 +19,16 @@
     ServerStatus,
     TimerFired,
 )
-from caperdrift.plan import Hosts, Plan, Route, Target
+from caperdrift.plan import HostSelector, Plan, Route, Target
 from caperdrift.policy.cold import fall_budget_us
-from caperdrift.policy.proxy import SUBSET
+from caperdrift.policy.proxy import MIN_SUBSET_SIZE
 from tests.helpers import SETTINGS, START_US, Driver, finals, sends
 
-ODD, EVEN = Hosts(groups=frozenset({1})), Hosts(groups=frozenset({0}))  # as the driver's servers are grouped
-REST = Hosts(none_of=(ODD,))
+ODD, EVEN = (
+    HostSelector(groups=frozenset({1})),
+    HostSelector(groups=frozenset({0})),
+)  # as the driver's servers are grouped
+REST = HostSelector(none_of=(ODD,))
 
 
 def driver_with(*routes: Route, servers: int = 12) -> Driver:
@@ -41,13 +44,16 @@
 @pytest.mark.parametrize(
     ("hosts", "named"),
     [
-        (Hosts(), {1, 2, 3, 4}),
-        (Hosts(kinds=frozenset({7})), {1, 2}),
-        (Hosts(zones=frozenset({0, 1}), labels=frozenset({5, 6})), {1}),
-        (Hosts(none_of=(Hosts(kinds=frozenset({7})), Hosts(labels=frozenset({6})))), {4}),
+        (HostSelector(), {1, 2, 3, 4}),
+        (HostSelector(kinds=frozenset({7})), {1, 2}),
+        (HostSelector(zones=frozenset({0, 1}), labels=frozenset({5, 6})), {1}),
+        (
+            HostSelector(none_of=(HostSelector(kinds=frozenset({7})), HostSelector(labels=frozenset({6})))),
+            {4},
+        ),
     ],
 )
-def test_hosts_are_named_by_what_the_list_says(hosts: Hosts, named: set[int]) -> None:
+def test_hosts_are_named_by_what_the_list_says(hosts: HostSelector, named: set[int]) -> None:
     driver = driver_with(Route((Target(hosts),)), servers=0)
     driver.list_servers(
         ListedServer(1, kind=7, zone=1, labels=frozenset({5})),
@@ -75,14 +81,14 @@
 
 
 def test_where_the_drawn_target_has_no_host_the_greatest_has_its_requests() -> None:
-    driver = driver_with(Route((Target(Hosts(groups=frozenset({9})), 0.4), Target(EVEN, 0.6))))
+    driver = driver_with(Route((Target(HostSelector(groups=frozenset({9})), 0.4), Target(EVEN, 0.6))))
     for _ in range(50):
         name, actions = driver.arrive(route=1)
         assert sent_to(actions) % 2 == 0
         driver.end(name, sent_to(actions))
-    driver = driver_with(Route((Target(Hosts(groups=frozenset({9}))),)))
+    driver = driver_with(Route((Target(HostSelector(groups=frozenset({9}))),)))
     name, actions = driver.arrive(route=1)
-    assert finals(actions) == [Refuse(name)] and not driver.balancer.routed[1]
+    assert finals(actions) == [Refuse(name)] and not driver.balancer.pending_by_route[1]
 
 
 def test_retries_and_second_copies_stay_inside_the_route() -> None:
@@ -105,7 +111,7 @@
     _, was = plain.arrive()
     assert sends(actions)[0].timeout_us == 100_000 and sends(was)[0].timeout_us == 400_000
     assert driver.balancer.requests[name].aim_us == START_US + 100_000
-    assert driver.balancer.patience == plain.balancer.patience
+    assert driver.balancer.client_timeouts == plain.balancer.client_timeouts
     again = driver.end(name, sent_to(actions), Outcome.CONNECT_FAILED)
     assert len(sends(again)) == 1
     assert finals(driver.end(name, sent_to(again), Outcome.CONNECT_FAILED, attempt=1)) == [Refuse(name)]
@@ -125,7 +131,7 @@
     assert len(sends(driver.arrive(route=1)[1])) == 1
     driver.handle(Plan({1: Route(limit=5)}))
     driver.end(held[0][0], sent_to(held[0][1]))
-    assert driver.balancer.routed[1] == 3 and finals(driver.arrive(route=1)[1])
+    assert driver.balancer.pending_by_route[1] == 3 and finals(driver.arrive(route=1)[1])
     driver.end(held[1][0], sent_to(held[1][1]))
     assert len(sends(driver.arrive(route=1)[1])) == 1
 
@@ -147,14 +153,16 @@
 def test_the_servers_of_a_target_are_worked_out_once_for_each_ranking() -> None:
     driver = driver_with(Route((Target(ODD),)), Route((Target(replace(ODD)),)))
     driver.arrive(route=1)
-    (ranked,) = driver.balancer.narrowed.values()
+    (ranked,) = driver.balancer.ranked_by_selector.values()
     driver.arrive(route=2)
-    assert [id(r) for r in driver.balancer.narrowed.values()] == [id(ranked)]  # equal hosts share one
+    assert [id(r) for r in driver.balancer.ranked_by_selector.values()] == [
+        id(ranked)
+    ]  # equal hosts share one
     driver.list_servers(ListedServer(50, group=1), kind=ListKind.DELTA)
     driver.arrive(route=1)
-    assert len(driver.balancer.narrowed[ODD]) == len(ranked) + 1
+    assert len(driver.balancer.ranked_by_selector[ODD]) == len(ranked) + 1
     driver.handle(Plan())
-    assert not driver.balancer.narrowed
+    assert not driver.balancer.ranked_by_selector
 
 
 def test_requests_without_a_route_go_as_if_there_were_no_plan() -> None:
@@ -175,7 +183,7 @@
     driver.list_servers(*(ListedServer(n, group=int(n < 3)) for n in range(60)))
     driver.handle(Plan({1: Route((Target(ODD),))}))
     of_all_us, of_few_us = fall_budget_us(driver.balancer), fall_budget_us(driver.balancer, 3)
-    assert of_all_us / of_few_us == pytest.approx(60 / SUBSET)
+    assert of_all_us / of_few_us == pytest.approx(60 / MIN_SUBSET_SIZE)
     (routed, _), (plain, _) = driver.arrive(route=1), driver.arrive()
     assert driver.balancer.requests[routed].pool_size == 3 and driver.balancer.requests[plain].pool_size == 60
 
@@ -183,4 +191,4 @@
 def test_a_class_that_is_not_there_fails_whatever_its_route() -> None:
     driver = driver_with(Route(limit=1))
     name, actions = driver.arrive(klass=9, route=1)
-    assert finals(actions) == [Fail(name)] and not driver.balancer.routed
+    assert finals(actions) == [Fail(name)] and not driver.balancer.pending_by_route
--- a/tests/test_routes_shell.py
+++ b/tests/test_routes_shell.py
@@ -305,7 +305,7 @@
     book = SimpleNamespace(wanted=lambda: wanted)
     transforms: Any = SimpleNamespace(activator=None)
     gateway: Any = SimpleNamespace(
-        names=config.names, listed={}, discovery=SimpleNamespace(index=1, epoch=None)
+        names=config.names, listed_hosts={}, discovery=SimpleNamespace(index=1, epoch=None)
     )
     worlds = Worlds(gateway, {}, transforms)
     first = await worlds.changed()
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -226,8 +226,8 @@
     for case in world.cases.values():
         assert case.done, "a request was left without its final answer"
     balancer = world.balancer
-    assert not balancer.requests and not balancer.timers and not balancer.lines
-    assert all(not s.out for s in balancer.servers.values())
+    assert not balancer.requests and not balancer.timers and not balancer.key_queues
+    assert all(not s.in_flight for s in balancer.servers.values())
 
 
 @pytest.mark.parametrize("seed", [1, 7])
--- a/tests/test_sharers.py
+++ b/tests/test_sharers.py
@@ -9,7 +9,7 @@
 
 from caperdrift import Fleet
 from caperdrift.policy.cold import fall_budget_us
-from caperdrift.policy.sharers import BELIEVED_US, sharers
+from caperdrift.policy.proxy_count import LOWER_COUNT_DELAY_US, proxy_count
 from tests.helpers import SETTINGS, Driver
 
 EIGHT = replace(SETTINGS, proxies=8)
@@ -17,7 +17,7 @@
 
 def seen(driver: Driver, *gateways: int) -> int:
     driver.handle(Fleet(gateways))
-    return sharers(driver.balancer)
+    return proxy_count(driver.balancer)
 
 
 def test_a_number_that_rises_counts_at_once_and_one_that_falls_after_a_while() -> None:
@@ -27,25 +27,29 @@
     assert fall_budget_us(driver.balancer) == part_us / 2
     driver.now_us += 1
     assert seen(driver, 1, 0) == 16  # cut off from the rest, or the rest has ended: not known yet
-    driver.now_us += BELIEVED_US
+    driver.now_us += LOWER_COUNT_DELAY_US
     assert seen(driver, 1, 0) == 1
 
 
 def test_a_start_goes_by_the_settings_number_until_the_fleet_has_been_seen_for_a_while() -> None:
     driver = Driver(EIGHT)
     assert seen(driver, 1) == 8
-    driver.now_us += BELIEVED_US
+    driver.now_us += LOWER_COUNT_DELAY_US
     assert seen(driver, 2) == 2
 
 
 def test_without_membership_the_settings_number_holds() -> None:
     driver = Driver(EIGHT)
-    assert sharers(driver.balancer) == 8
+    assert proxy_count(driver.balancer) == 8
     seen(driver, 20)
     assert seen(driver) == 8
 
 
-@given(st.lists(st.tuples(st.integers(0, 2 * BELIEVED_US), st.integers(1, 300)), min_size=1, max_size=30))
+@given(
+    st.lists(
+        st.tuples(st.integers(0, 2 * LOWER_COUNT_DELAY_US), st.integers(1, 300)), min_size=1, max_size=30
+    )
+)
 def test_it_is_the_most_that_was_seen_of_late(steps: list[tuple[int, int]]) -> None:
     driver = Driver(EIGHT)
     history = [(driver.now_us + steps[0][0], EIGHT.proxies)]
@@ -54,5 +58,5 @@
         history.append((driver.now_us, live))
         ends = [at_us for at_us, _ in history[1:]] + [driver.now_us + 1]  # each was seen until the next
         expected = max(n for (_, n), end_us in zip(history, ends, strict=True)
-                       if driver.now_us - end_us < BELIEVED_US)  # fmt: skip
+                       if driver.now_us - end_us < LOWER_COUNT_DELAY_US)  # fmt: skip
         assert seen(driver, live) == expected
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -4,7 +4,7 @@
 
 import pytest
 from caperdrift.interface import Refuse, Send
-from caperdrift.policy.shedding import SHED_LONGEST_US, SHED_MOST
+from caperdrift.policy.shedding import MAX_SHED_INTERVAL_US, MAX_SHED
 
 from tests.helpers import Driver
 
@@ -12,15 +12,15 @@
 def crowded() -> Driver:
     """A balancer whose last answers all spoke of a crowd, with nothing out."""
     driver = Driver(servers=12)
-    driver.balancer.shed = driver.balancer.shed_dear = SHED_MOST
-    driver.balancer.shed_at_us = driver.now_us
+    driver.balancer.shed_low_value = driver.balancer.shed_high_value = MAX_SHED
+    driver.balancer.shed_updated_us = driver.now_us
     return driver
 
 
 @pytest.mark.parametrize("klass", [0, 1, 2])
 def test_when_no_answer_tells_of_a_crowd_any_more_requests_try_one_at_a_time(klass: int) -> None:
     driver = crowded()
-    driver.now_us += SHED_LONGEST_US
+    driver.now_us += MAX_SHED_INTERVAL_US
     name, actions = driver.arrive(klass)
     sent = [action for action in actions if isinstance(action, Send)]
     assert len(sent) == 1
@@ -30,12 +30,12 @@
     assert refused >= 80
     driver.now_us += 20_000
     driver.end(name, sent[0].server)
-    assert driver.balancer.shed < SHED_MOST and driver.balancer.shed_dear < SHED_MOST
+    assert driver.balancer.shed_low_value < MAX_SHED and driver.balancer.shed_high_value < MAX_SHED
 
 
 def test_an_answer_that_told_of_a_crowd_is_believed_until_it_is_old() -> None:
     driver = crowded()
-    driver.now_us += SHED_LONGEST_US - 1
+    driver.now_us += MAX_SHED_INTERVAL_US - 1
     refused = sum(isinstance(driver.arrive(0)[1][0], Refuse) for _ in range(100))
     assert refused >= 80
 
@@ -64,4 +64,4 @@
         assert isinstance(sent, Send)
         driver.now_us += latency_us
         driver.end(name, sent.server, latency_us=latency_us)
-    assert driver.balancer.shed_dear > 0.0
+    assert driver.balancer.shed_high_value > 0.0
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -9,10 +9,10 @@
 from hypothesis import strategies as st
 
 from tests.helpers import Driver, sends, trip
-from caperdrift.interface import Learned, LearnedBreaker, LearnedServer, ListedServer, Outcome, Restore
+from caperdrift.interface import LearnedState, LearnedBreaker, LearnedServer, ListedServer, Outcome, Restore
 from caperdrift.policy.breaker import COOLDOWN_US, State
 from cloverkeel.fleet import state
-from cloverkeel.fleet.state import Figures, Snapshot, Store, codec
+from cloverkeel.fleet.state import StoreCounters, Snapshot, Store, codec
 
 
 def learned_driver() -> Driver:
@@ -26,17 +26,17 @@
 
 def test_a_new_balancer_takes_up_what_an_old_one_learned() -> None:
     old = learned_driver()
-    learned = old.balancer.learned()
+    learned = old.balancer.learned_state()
     new = Driver(servers=3)
     new.now_us = old.now_us + 200_000
     new.handle(Restore(learned, age_us=200_000))
     breaker = new.balancer.servers[1].breaker
     assert breaker.state is State.OPEN
     assert breaker.open_until_us == old.balancer.servers[1].breaker.open_until_us == 50_000_000 + COOLDOWN_US
-    assert new.balancer.smoothed == old.balancer.smoothed
-    again = new.balancer.learned().servers
-    assert [(s.weight, s.breaker.ring, s.parts[:1]) for s in again] == [
-        (s.weight, s.breaker.ring, s.parts[:1]) for s in learned.servers
+    assert new.balancer.smoothed_us == old.balancer.smoothed_us
+    again = new.balancer.learned_state().servers
+    assert [(s.weight, s.breaker.ring, s.by_class[:1]) for s in again] == [
+        (s.weight, s.breaker.ring, s.by_class[:1]) for s in learned.servers
     ]
 
 
@@ -44,7 +44,7 @@
     old = learned_driver()
     new = Driver(servers=0)
     new.list_servers(ListedServer(0), ListedServer(1, started_us=5))  # 1 started again; 2 is gone
-    actions = new.handle(Restore(old.balancer.learned()))
+    actions = new.handle(Restore(old.balancer.learned_state()))
     assert new.balancer.servers[1].breaker.state is State.CLOSED
     assert [a.line for a in actions if hasattr(a, "line")] == ["restored 1 of 3 servers learned before"]
 
@@ -67,11 +67,11 @@
     learned: list[LearnedServer], smoothed: list[float], unhindered: list[float]
 ) -> None:
     driver = Driver(servers=5)
-    driver.handle(Restore(Learned(tuple(learned), tuple(smoothed), tuple(unhindered))))
+    driver.handle(Restore(LearnedState(tuple(learned), tuple(smoothed), tuple(unhindered))))
     for server in driver.balancer.servers.values():
         assert 0.0 < server.weight <= 1.0 and 0.0 <= server.idle <= 1.0
         assert server.breaker.open_until_us <= driver.now_us + 8_000_000
-    assert all(0 < latency < float("inf") for latency in driver.balancer.smoothed)
+    assert all(0 < latency < float("inf") for latency in driver.balancer.smoothed_us)
     driver.now_us += 10_000_000
     name, actions = driver.arrive()
     assert sends(actions), "a restored balancer sends once cooldowns are over"
@@ -79,8 +79,8 @@
 
 
 def test_a_snapshot_survives_the_file_and_a_damaged_row_falls_back(tmp_path: Path) -> None:
-    learned = learned_driver().balancer.learned()
-    figures = Figures()
+    learned = learned_driver().balancer.learned_state()
+    figures = StoreCounters()
     fd = Store.take_lock(str(tmp_path))
     assert fd is not None and Store.take_lock(str(tmp_path)) is None
     store, found = Store.open(str(tmp_path), fd, figures, 0.0)
@@ -102,7 +102,7 @@
 
 def test_a_file_that_is_no_database_is_moved_aside(tmp_path: Path) -> None:
     (tmp_path / state.FILE).write_bytes(b"not a database at all" * 50)
-    figures = Figures()
+    figures = StoreCounters()
     keeper, snapshot = state.start(str(tmp_path), 5.0, 60.0, False, figures)
     assert keeper is not None and snapshot is None and figures.corrupt == 1
     assert any(name.startswith(state.FILE + ".corrupt-") for name in os.listdir(tmp_path))
@@ -112,7 +112,7 @@
 
 
 def test_old_snapshots_are_judged_stale() -> None:
-    snapshot = Snapshot(100.0, Learned((), (), ()))
+    snapshot = Snapshot(100.0, LearnedState((), (), ()))
     assert state.judge(snapshot, 150.0, 60.0) is None
     assert "over the bound" in str(state.judge(snapshot, 161.0, 60.0))
     assert "from now" in str(state.judge(snapshot, 98.0, 60.0))
@@ -121,7 +121,7 @@
 def test_what_was_learned_of_a_class_goes_by_its_name() -> None:
     """A process that was reconfigured numbers its classes otherwise than the next one, which starts anew."""
     breaker = LearnedBreaker((True,), "open", 500_000, COOLDOWN_US)
-    learned = Learned(
+    learned = LearnedState(
         (LearnedServer(0, 0, 0.5, 1.0, breaker, tuple((k, 0.1 * (k + 1), breaker) for k in range(3))),),
         (11_000.0, 12_000.0, 13_000.0),
         (1_000.0, 2_000.0, 3_000.0),
@@ -130,10 +130,10 @@
     kept = codec.decode(codec.encode(Snapshot(1.0, learned, {}, then)))
     taken = kept.learned_for((b"view", b"new", b"swap"))
     assert taken.smoothed_us == (13_000.0, 0.0, 12_000.0) and taken.unhindered_us == (3_000.0, 0.0, 2_000.0)
-    assert [(k, round(w, 1)) for k, w, _ in taken.servers[0].parts] == [(2, 0.2), (0, 0.3)]
+    assert [(k, round(w, 1)) for k, w, _ in taken.servers[0].by_class] == [(2, 0.2), (0, 0.3)]
     driver = Driver(servers=3)
     driver.handle(Restore(taken))
-    assert driver.balancer.smoothed == [13_000.0, 50_000.0, 12_000.0]
-    assert {k: p.breaker.state for k, p in driver.balancer.servers[0].parts.items()} == {
+    assert driver.balancer.smoothed_us == [13_000.0, 50_000.0, 12_000.0]
+    assert {k: p.breaker.state for k, p in driver.balancer.servers[0].by_class.items()} == {
         0: State.OPEN, 2: State.OPEN,
     }  # fmt: skip
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -7,13 +7,13 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from cloverkeel.fleet.invariants import BrokenError
-from cloverkeel.fleet.lists.order import ListVersion
+from cloverkeel.fleet.invariants import InvariantError
+from cloverkeel.fleet.lists.versioned_list import ListVersion
 from cloverkeel.fleet.membership.checked import CheckedMember
 from cloverkeel.fleet.membership.member import Member
-from cloverkeel.fleet.membership.messages import Action, Changed, Message, Timing
+from cloverkeel.fleet.membership.messages import Action, MemberChanged, Message, Timing
 from cloverkeel.fleet.membership.roster import Roster
-from cloverkeel.fleet.membership.rumours import Rumour, Status
+from cloverkeel.fleet.membership.updates import MemberUpdate, Status
 from faultlab.__main__ import main
 from faultlab.storm.cluster import activation_truth, budget, ledger_truth, lists
 from faultlab.storm.cluster.faults import Fault, History, Kind, draw
@@ -113,7 +113,7 @@
 
 
 def test_lists_that_do_not_see_a_restarted_service_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(lists, "judge", lambda asked, index, epoch: ListVersion(epoch or 0, index))
+    monkeypatch.setattr(lists, "answer_version", lambda asked, index, epoch: ListVersion(epoch or 0, index))
     broken = [play(replace(draw(seed), lists=True)).violation for seed in range(4, 8)]
     assert any(what is not None and "lists do not agree" in what for what in broken)
 
@@ -130,7 +130,7 @@
     assert "--replay needs --part module or cluster or ledger or activation" in capsys.readouterr().err
 
 
-ME, OTHER = Rumour("a", "10.0.0.1:7", 5, Status.ALIVE), Rumour("b", "10.0.0.2:7", 3, Status.ALIVE)
+ME, OTHER = MemberUpdate("a", "10.0.0.1:7", 5, Status.ALIVE), MemberUpdate("b", "10.0.0.2:7", 3, Status.ALIVE)
 
 
 class Wrong(Member):
@@ -161,20 +161,23 @@
 
 
 def _goes_back(core: Member, now_s: float) -> list[Action]:
-    return [Changed(OTHER, None, ""), Changed(replace(OTHER, incarnation=2), OTHER, "")]
+    return [MemberChanged(OTHER, None, ""), MemberChanged(replace(OTHER, incarnation=2), OTHER, "")]
 
 
 def _refutes_twice(core: Member, now_s: float) -> list[Action]:
-    return [Changed(ME, ME, ""), Changed(ME, ME, "")]
+    return [MemberChanged(ME, ME, ""), MemberChanged(ME, ME, "")]
 
 
 def _speaks_refused(core: Member, now_s: float) -> list[Action]:
     core.refused = True
-    return [Changed(OTHER, None, "")] if now_s > 1.0 else []
+    return [MemberChanged(OTHER, None, "")] if now_s > 1.0 else []
 
 
 def _kills_unsuspected(core: Member, now_s: float) -> list[Action]:
-    return [Changed(OTHER, None, ""), Changed(replace(OTHER, status=Status.DEAD), OTHER, "heard from a")]
+    return [
+        MemberChanged(OTHER, None, ""),
+        MemberChanged(replace(OTHER, status=Status.DEAD), OTHER, "heard from a"),
+    ]
 
 
 def _hides_a_change(core: Member, now_s: float) -> list[Action]:
@@ -196,6 +199,6 @@
 )
 def test_a_checked_member_tells_what_a_core_did_wrong(wrong: object, what: str) -> None:
     core = checked(wrong)
-    with pytest.raises(BrokenError, match=what):
+    with pytest.raises(InvariantError, match=what):
         for now in range(1, 200):
             core.receive(None, float(now))  # type: ignore[arg-type]
--- a/tests/test_streamed_answers.py
+++ b/tests/test_streamed_answers.py
@@ -10,7 +10,7 @@
 from cloverkeel.http1 import BODY_LIMIT
 from tests.sockets import configuration, on_loop, reply, request, running, until
 from tests.test_telemetry import handled, read
-from tests.streaming import BODY, answering, chunked, raw_host, read_chunked, read_head, whole
+from tests.streaming import BODY, single_response, chunked, raw_host, read_chunked, read_head, whole
 
 
 @pytest.mark.parametrize(
@@ -32,7 +32,7 @@
 @on_loop
 async def test_a_long_answer_passes_unchanged_in_whatever_form(head: str, data: bytes, old: bool) -> None:
     cuts = [data[at : at + 30_011] for at in range(0, len(data), 30_011)]
-    async with raw_host(answering(head, *cuts)) as host, running(configuration(host)) as gateway:
+    async with raw_host(single_response(head, *cuts)) as host, running(configuration(host)) as gateway:
         client = await gateway.connect()
         asked = request("search")
         client.send(asked.replace(b"HTTP/1.1", b"HTTP/1.0") if old else asked)
@@ -48,7 +48,7 @@
         now = read(gateway)
         assert handled(now, "search") == [1, 0, 0]
         assert (now["lb_in_progress"], now["lb_upstream_tries"]) == (0, 1)
-        assert gateway.gateway.buffer.long == 0
+        assert gateway.gateway.buffer.streamed_bodies == 0
         client.close()
 
 
@@ -56,7 +56,7 @@
 @on_loop
 async def test_an_old_client_hears_one_word_about_its_connection(head: str) -> None:
     data = BODY if "Length" in head else chunked(BODY)
-    async with raw_host(answering(head, data)) as host, running(configuration(host)) as gateway:
+    async with raw_host(single_response(head, data)) as host, running(configuration(host)) as gateway:
         client = await gateway.connect()
         client.send(request("search", connection="keep-alive").replace(b"HTTP/1.1", b"HTTP/1.0"))
         said = (await client.reader.readuntil(b"\r\n\r\n")).lower()
@@ -68,7 +68,7 @@
 @pytest.mark.parametrize("size", [10, BODY_LIMIT])
 @on_loop
 async def test_a_short_answer_may_end_with_its_connection_too(size: int) -> None:
-    serve = answering("HTTP/1.1 200 OK\n", BODY[:size])
+    serve = single_response("HTTP/1.1 200 OK\n", BODY[:size])
     async with raw_host(serve) as host, running(configuration(host)) as gateway:
         answer = await gateway.ask(request("search"))
         assert (answer.status, answer.body) == (200, BODY[:size])
@@ -90,7 +90,10 @@
 async def test_an_answer_that_breaks_ends_so_that_it_shows(
     head: str, data: bytes, reset: bool, old: bool
 ) -> None:
-    async with raw_host(answering(head, data, reset=reset)) as host, running(configuration(host)) as gateway:
+    async with (
+        raw_host(single_response(head, data, reset=reset)) as host,
+        running(configuration(host)) as gateway,
+    ):
         client = await gateway.connect()
         asked = request("transfer")
         client.send(asked.replace(b"HTTP/1.1", b"HTTP/1.0") if old else asked)
@@ -104,7 +107,7 @@
             else:
                 await read_chunked(client.reader)
         assert handled(read(gateway), "transfer") == [0, 0, 1]
-        assert not gateway.gateway.pending and gateway.gateway.buffer.long == 0
+        assert not gateway.gateway.pending and gateway.gateway.buffer.streamed_bodies == 0
         client.close()
 
 
@@ -125,7 +128,7 @@
 )
 @on_loop
 async def test_what_is_no_answer_is_a_failed_attempt(head: str, data: bytes) -> None:
-    async with raw_host(answering(head, data)) as host, running(configuration(host)) as gateway:
+    async with raw_host(single_response(head, data)) as host, running(configuration(host)) as gateway:
         assert (await gateway.ask(request("transfer"))).status == 502
 
 
@@ -153,7 +156,7 @@
             loop = asyncio.get_running_loop()
             await loop.sock_connect(slow, ("127.0.0.1", gateway.port))
             await loop.sock_sendall(slow, request("search"))
-            await until(lambda: any(c.unread_since_s < 1e300 for c in gateway.server.connections))
+            await until(lambda: any(c.write_blocked_since_s < 1e300 for c in gateway.server.connections))
             while True:  # until nothing moves any more
                 before = written
                 await asyncio.sleep(0.1)
@@ -186,7 +189,7 @@
         client.close()
         await ended.wait()
         await until(lambda: not gateway.gateway.pending)
-        assert gateway.gateway.buffer.long == 0
+        assert gateway.gateway.buffer.streamed_bodies == 0
 
 
 @on_loop
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from cloverkeel.front import reading as front
+from cloverkeel.front import request_reader as front
 from cloverkeel.http1 import BODY_LIMIT
-from cloverkeel.streams import LEAST_RATE
+from cloverkeel.streams import MIN_BYTES_PER_S
 from tests.sockets import configuration, on_loop, peer, reply, request, running, silent, until
 from tests.test_telemetry import read
 from tests.streaming import BODY, chunked, in_chunks, raw_host, read_chunked
@@ -49,7 +49,7 @@
 async def test_a_long_body_passes_unchanged_and_the_connection_goes_on(
     form: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("cloverkeel.hosts.idle.REST_US", 0)
+    monkeypatch.setattr("cloverkeel.hosts.idle.REUSE_DELAY_US", 0)
     sink = Sink()
     async with raw_host(sink) as host, running(configuration(host)) as gateway:
         client = await gateway.connect()
@@ -65,7 +65,7 @@
             assert (answer.status, answer.body) == (200, digest(body))
         assert [len(body) for body in sink.bodies] == [BODY_LIMIT, BODY_LIMIT + 1, 100_000, len(BODY)]
         assert read(gateway)["lb_upstream_tries"] == 4
-        assert gateway.gateway.buffer.long == 0 and gateway.gateway.pools.open == 1
+        assert gateway.gateway.buffer.streamed_bodies == 0 and gateway.gateway.pools.open_connections == 1
         client.close()
 
 
@@ -128,12 +128,12 @@
         assert read(gateway)["lb_in_progress"] == 0  # not yet taken
         client.close()
         await until(lambda: sink.broken)
-        assert not sink.bodies and not gateway.gateway.pending and gateway.gateway.buffer.long == 0
+        assert not sink.bodies and not gateway.gateway.pending and gateway.gateway.buffer.streamed_bodies == 0
 
 
 @on_loop
 async def test_a_body_beyond_the_limit_is_cut_where_it_passes_it(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "BODY_MOST", 200_000)
+    monkeypatch.setattr(front, "MAX_BODY_BYTES", 200_000)
     sink = Sink()
     async with raw_host(sink) as host, running(configuration(host)) as gateway:
         assert (await gateway.ask(in_chunks(chunked(BODY)))).status == 413
@@ -172,7 +172,7 @@
         for _ in range(2):
             assert (await client.ask(request("transfer"))).status == 503
         connection = next(iter(gateway.server.connections))
-        assert not connection.is_late(1e9) and connection.is_idle()
+        assert not connection.is_overdue(1e9) and connection.is_idle()
         client.close()
 
 
@@ -213,11 +213,11 @@
     async with raw_host(serve, receive_buffer=8_192) as host, running(configuration(host)) as gateway:
         client = await gateway.connect()
         client.send(request("transfer", bytes(16_000_000)))
-        await until(lambda: any(c.held_at_s < 1e300 for c in gateway.server.connections))
+        await until(lambda: any(c.paused_since_s < 1e300 for c in gateway.server.connections))
         connection = next(iter(gateway.server.connections))
-        await until(lambda: connection.body_size > 200_000 and connection.held_at_s < 1e300)
+        await until(lambda: connection.body_size > 200_000 and connection.paused_since_s < 1e300)
         assert connection.body_size < 16_000_000
-        assert not connection.is_late(1e9)  # the client is not to blame
+        assert not connection.is_overdue(1e9)  # the client is not to blame
         going.set()
         assert (await client.answer()).body == b"all"
         client.close()
@@ -233,24 +233,24 @@
         await until(lambda: gateway.server.connections)
         connection = next(iter(gateway.server.connections))
         began = connection.opened_s
-        assert not connection.is_late(began + front.HEAD_S - 0.01)
-        assert connection.is_late(began + front.HEAD_S + 0.01)
+        assert not connection.is_overdue(began + front.HEAD_TIMEOUT_S - 0.01)
+        assert connection.is_overdue(began + front.HEAD_TIMEOUT_S + 0.01)
         client.send(request("transfer", BODY[:60_000])[:-1])
         await until(lambda: connection.body_size == 59_999)
-        due = connection.body_due_s + 59_999 / LEAST_RATE
-        assert due > began + front.HEAD_S
-        assert not connection.is_late(due - 0.01) and connection.is_late(due + 0.01)
+        due = connection.body_due_s + 59_999 / MIN_BYTES_PER_S
+        assert due > began + front.HEAD_TIMEOUT_S
+        assert not connection.is_overdue(due - 0.01) and connection.is_overdue(due + 0.01)
         client.send(BODY[59_999:60_000])
         assert (await client.answer()).status == 200
-        assert not connection.is_late(1e9)
+        assert not connection.is_overdue(1e9)
         client.close()
 
 
 @on_loop
 async def test_a_body_below_the_least_rate_is_answered_408(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "HEAD_S", 0.1)
-    monkeypatch.setattr(front, "BODY_SLACK_S", 0.1)
-    monkeypatch.setattr(front, "LEAST_RATE", 10_000_000)
+    monkeypatch.setattr(front, "HEAD_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(front, "BODY_GRACE_S", 0.1)
+    monkeypatch.setattr(front, "MIN_BYTES_PER_S", 10_000_000)
     sink = Sink()
     async with raw_host(sink) as host, running(configuration(host)) as gateway:
         answer = await gateway.ask(request("transfer", BODY)[:100_000])
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -8,9 +8,9 @@
 import pytest
 
 from caperdrift.interface import BodyEnded, BodyPassing, Outcome, SettingsChanged, StreamStarted, TimerFired
-from caperdrift.policy.choice import is_silent
+from caperdrift.policy.choice import is_unresponsive
 from cloverkeel.http1 import ReplyError, ReplyReader
-from cloverkeel.streams import LEAST_PIECE, PIECE, Buffer
+from cloverkeel.streams import MIN_PIECE_BYTES, PIECE_BYTES, ReadBuffer
 from tests.helpers import SETTINGS, Driver, finals, sends
 from tests.sockets import Client, configuration, on_loop, peer, request, running, silent, until
 from tests.test_gateway_process import program
@@ -56,8 +56,8 @@
         for at in range(0, len(data), size):
             assert ended is None
             ended = reader.feed(data[at : at + size])
-            if reader.begun is not None:
-                got += reader.take()
+            if reader.streamed_head is not None:
+                got += reader.take_body()
         assert ended is not None and ended.keep_alive and ended.body == b""
         assert got == body
         assert ended.headers == [(b"Transfer-Encoding", b"chunked"), (b"A", b"b")]
@@ -67,7 +67,7 @@
     reader = ReplyReader(10, wants_long=True)
     ended = reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n" + b"x" * 20 + b"HTTP/1.1 200 OK\r\n")
     assert ended is not None and not ended.keep_alive
-    assert reader.take() == b"x" * 20
+    assert reader.take_body() == b"x" * 20
 
 
 def test_an_answer_of_nothing_but_framing_is_none() -> None:
@@ -82,12 +82,12 @@
 
 
 def test_pieces_are_smaller_the_more_bodies_pass() -> None:
-    buffer = Buffer(memory_mb=64)
-    assert len(buffer.for_long()) == PIECE
-    buffer.long = 512
-    assert len(buffer.for_long()) == 64 * 1024 * 1024 // 8 // 512
-    buffer.long = 1_000_000
-    assert len(buffer.for_long()) == LEAST_PIECE
+    buffer = ReadBuffer(memory_mb=64)
+    assert len(buffer.streamed_view()) == PIECE_BYTES
+    buffer.streamed_bodies = 512
+    assert len(buffer.streamed_view()) == 64 * 1024 * 1024 // 8 // 512
+    buffer.streamed_bodies = 1_000_000
+    assert len(buffer.streamed_view()) == MIN_PIECE_BYTES
 
 
 def memory_kb(pid: int) -> int:
@@ -161,12 +161,12 @@
     request_ = driver.balancer.requests[name]
     deadline_us, aim_us = request_.deadline_us, request_.aim_us
     driver.now_us += 10_000_000  # a slow body
-    assert not is_silent(driver.balancer, server) and not server.out
+    assert not is_unresponsive(driver.balancer, server) and not server.in_flight
     driver.handle(BodyEnded(name))
     assert (request_.deadline_us, request_.aim_us) == (deadline_us + 10_000_000, aim_us + 10_000_000)
-    assert list(server.out.values()) == [driver.now_us]
+    assert list(server.in_flight.values()) == [driver.now_us]
     driver.end(name, 0)
-    assert driver.balancer.out == 0 and not server.out
+    assert driver.balancer.in_flight == 0 and not server.in_flight
 
 
 def test_an_answer_that_begins_before_the_body_ends_is_no_work_in_hand_again() -> None:
@@ -175,9 +175,9 @@
     name, _ = driver.arrive(open=True)
     driver.handle(StreamStarted(name, 0))
     driver.handle(BodyEnded(name))
-    assert driver.balancer.out == 0 and not driver.balancer.servers[0].out
+    assert driver.balancer.in_flight == 0 and not driver.balancer.servers[0].in_flight
     driver.end(name, 0)
-    assert driver.balancer.out == 0 and not driver.balancer.requests
+    assert driver.balancer.in_flight == 0 and not driver.balancer.requests
 
 
 def test_a_begun_answer_is_judged_by_its_first_bytes_and_not_by_its_reader() -> None:
@@ -188,10 +188,10 @@
     driver.handle(StreamStarted(name, 0))
     assert list(server.breaker.ring) == [False] and driver.balancer.served[0] == 1
     driver.now_us += 60_000_000
-    assert not is_silent(driver.balancer, server)
+    assert not is_unresponsive(driver.balancer, server)
     driver.end(name, 0, latency_us=60_020_000)
     assert list(server.breaker.ring) == [False] and driver.balancer.served[0] == 1
-    assert driver.balancer.out == 0 and not driver.balancer.requests
+    assert driver.balancer.in_flight == 0 and not driver.balancer.requests
 
 
 def test_a_begun_answer_that_breaks_counts_against_its_server() -> None:
@@ -208,7 +208,7 @@
     driver.handle(SettingsChanged(SETTINGS))
     driver.handle(BodyEnded(name))
     driver.end(name, 0)
-    assert driver.balancer.out == 0 and not driver.balancer.requests
+    assert driver.balancer.in_flight == 0 and not driver.balancer.requests
 
 
 @on_loop
@@ -217,7 +217,7 @@
     async with peer(silent) as host, running(configuration(host)) as gateway:
         client = await gateway.connect()
         client.send(request("transfer", BODY, content_length="1000000"))
-        await until(lambda: gateway.gateway.buffer.long == 1)
+        await until(lambda: gateway.gateway.buffer.streamed_bodies == 1)
         held = next(iter(gateway.gateway.pending.values()))
         attempt = held.attempts[0]
         assert attempt is not None and held.call.body == b"" and BODY[:100] not in attempt.payload()
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -33,7 +33,7 @@
 
 
 def read(gateway: Running) -> dict[str, int]:
-    return figures(gateway.gateway.figures())
+    return figures(gateway.gateway.render_metrics())
 
 
 @on_loop
@@ -107,19 +107,19 @@
 def test_skipped_servers_are_those_that_the_pick_passes_over_and_asking_changes_nothing() -> None:
     driver = Driver(servers=3)
     balancer = driver.balancer
-    assert balancer.skipped(driver.now_us) == 0
+    assert balancer.count_skipped(driver.now_us) == 0
     broken = balancer.servers[0].breaker
     trip(broken, driver.now_us)
-    assert balancer.skipped(driver.now_us) == 1
+    assert balancer.count_skipped(driver.now_us) == 1
     for _ in range(30):
         name, actions = driver.arrive()
         assert sends(actions)[0].server != 0
         driver.end(name, sends(actions)[0].server)
     state = broken.state
     driver.now_us = broken.open_until_us
-    assert balancer.skipped(driver.now_us) == 0 and broken.state is state
+    assert balancer.count_skipped(driver.now_us) == 0 and broken.state is state
     driver.list_servers(ListedServer(1, ServerStatus.DRAINING), kind=ListKind.DELTA)
-    assert balancer.skipped(driver.now_us) == 1
+    assert balancer.count_skipped(driver.now_us) == 1
 
 
 def test_a_server_that_is_closed_to_one_class_alone_is_not_skipped() -> None:
@@ -128,13 +128,13 @@
         name, actions = driver.arrive(klass=2, patience_us=1_000_000)
         driver.end(name, sends(actions)[0].server, Outcome.ERROR)
     assert not sends(driver.arrive(klass=2, patience_us=1_000_000)[1])
-    assert driver.balancer.skipped(driver.now_us) == 0
+    assert driver.balancer.count_skipped(driver.now_us) == 0
 
 
 def test_labels_are_escaped() -> None:
     telemetry = Telemetry()
     name = b'a"b\\c\nd'
-    telemetry.know(name)
+    telemetry.add_class(name)
     telemetry.count(name, Result.PASSED)
     lines = telemetry.render({}).decode().splitlines()
     assert 'lb_handled{category="a\\"b\\\\c\\nd",outcome="passed"} 1' in lines
--- a/tests/test_warm_median.py
+++ b/tests/test_warm_median.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from caperdrift.interface import Learned, LearnedBreaker, LearnedServer, ListedServer, Restore
+from caperdrift.interface import LearnedState, LearnedBreaker, LearnedServer, ListedServer, Restore
 from caperdrift.policy.breaker import State
-from cloverkeel.fleet.warm.median import checked, combine
+from cloverkeel.fleet.warm.median import validate, combine
 from tests.helpers import Driver
 
 OPEN = LearnedBreaker((True,) * 20, "open", 3_000_000, 4_000_000)
@@ -32,25 +32,25 @@
 servers = st.builds(LearnedServer, st.integers(0, HOSTS), st.just(0), weights, weights, breakers, parts)
 figures = st.lists(st.floats(0.0, 1e9), max_size=3).map(tuple)
 learned = st.builds(
-    Learned, st.lists(servers, max_size=6, unique_by=lambda s: s.server).map(tuple), figures, figures
+    LearnedState, st.lists(servers, max_size=6, unique_by=lambda s: s.server).map(tuple), figures, figures
 )
 
 
-def honest(weight: float, *open_hosts: int) -> Learned:
+def honest(weight: float, *open_hosts: int) -> LearnedState:
     told = (
         LearnedServer(n, 0, weight, 1.0, OPEN if n in open_hosts else FINE, ((0, weight, FINE),))
         for n in range(HOSTS)
     )
-    return Learned(tuple(told), (20_000.0,), (10_000.0,))
+    return LearnedState(tuple(told), (20_000.0,), (10_000.0,))
 
 
 @settings(max_examples=60, deadline=None)
 @given(learned, st.floats(0.3, 0.6), st.floats(0.6, 1.0), st.integers(0, 2))
 def test_one_liar_of_three_opens_nothing_and_pulls_no_weight(
-    lie: Learned, low: float, high: float, place: int
+    lie: LearnedState, low: float, high: float, place: int
 ) -> None:
     answers = [honest(low), honest(high)]
-    answers.insert(place, checked(lie))
+    answers.insert(place, validate(lie))
     combined = combine(answers)
     assert combined is not None
     driver = Driver(servers=0)
@@ -59,7 +59,7 @@
     for number in range(HOSTS):
         server = driver.balancer.servers[number]
         assert low <= server.weight <= high
-        for breaker in (server.breaker, *(part.breaker for part in server.parts.values())):
+        for breaker in (server.breaker, *(part.breaker for part in server.by_class.values())):
             assert breaker.state is State.CLOSED and not any(breaker.ring)
     # A host that the liar alone knows is as if nothing had been said.
     only = driver.balancer.servers[HOSTS]
@@ -68,17 +68,20 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(learned, min_size=1, max_size=3))
-def test_whatever_is_said_weights_stay_in_bounds_and_one_answer_opens_nothing(answers: list[Learned]) -> None:
-    combined = combine([checked(answer) for answer in answers])
+def test_whatever_is_said_weights_stay_in_bounds_and_one_answer_opens_nothing(
+    answers: list[LearnedState],
+) -> None:
+    combined = combine([validate(answer) for answer in answers])
     assert combined is not None
     for server in combined.servers:
-        assert all(0.05 <= w <= 1.0 for w in (server.weight, *(w for _, w, _ in server.parts)))
+        assert all(0.05 <= w <= 1.0 for w in (server.weight, *(w for _, w, _ in server.by_class)))
         told = [s for a in answers for s in a.servers if s.server == server.server]
         if server.breaker.state == "open":
             assert sum(s.breaker.state != "closed" for s in told) * 2 > len(told) > 1
         if len(answers) == 1:
             assert all(
-                not b.ring and b.state == "closed" for b in (server.breaker, *(b for *_, b in server.parts))
+                not b.ring and b.state == "closed"
+                for b in (server.breaker, *(b for *_, b in server.by_class))
             )
 
 
@@ -97,17 +100,17 @@
 @pytest.mark.parametrize(
     "bad",
     [
-        Learned((replace(SERVER, weight=math.nan),), (), ()),
-        Learned((replace(SERVER, idle=math.inf),), (), ()),
-        Learned((replace(SERVER, weight=-1.0),), (), ()),
-        Learned((SERVER, SERVER), (), ()),
-        Learned((replace(SERVER, parts=SERVER.parts * 2),), (), ()),
-        Learned((replace(SERVER, breaker=replace(FINE, open_left_us=-1)),), (), ()),
-        Learned((replace(SERVER, breaker=replace(FINE, ring=(True,) * 2000)),), (), ()),
-        Learned((), (math.nan,), ()),
-        Learned(tuple(replace(SERVER, server=n) for n in range(10_001)), (), ()),
+        LearnedState((replace(SERVER, weight=math.nan),), (), ()),
+        LearnedState((replace(SERVER, idle=math.inf),), (), ()),
+        LearnedState((replace(SERVER, weight=-1.0),), (), ()),
+        LearnedState((SERVER, SERVER), (), ()),
+        LearnedState((replace(SERVER, by_class=SERVER.by_class * 2),), (), ()),
+        LearnedState((replace(SERVER, breaker=replace(FINE, open_left_us=-1)),), (), ()),
+        LearnedState((replace(SERVER, breaker=replace(FINE, ring=(True,) * 2000)),), (), ()),
+        LearnedState((), (math.nan,), ()),
+        LearnedState(tuple(replace(SERVER, server=n) for n in range(10_001)), (), ()),
     ],
 )
-def test_what_no_module_could_have_learned_is_refused(bad: Learned) -> None:
+def test_what_no_module_could_have_learned_is_refused(bad: LearnedState) -> None:
     with pytest.raises(ValueError):
-        checked(bad)
+        validate(bad)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -49,7 +49,7 @@
     parse_settings,
     split_line,
 )
-from caperdrift.simhost import Host
+from caperdrift.simhost import SimHost
 
 LANES = [
     {"aimUs": 100_000, "giveUpUs": 400_000, "effect": "free", "value": 3.0},
@@ -78,7 +78,7 @@
 
 def run(*lines: str) -> tuple[list[str], str]:
     sink, errors = io.StringIO(), io.StringIO()
-    Host(io.StringIO("\n".join(lines) + "\n"), sink, errors).run()
+    SimHost(io.StringIO("\n".join(lines) + "\n"), sink, errors).run()
     return sink.getvalue().splitlines(), errors.getvalue()
 
 
