--- a/cloverkeel/front/connection.py
+++ b/cloverkeel/front/connection.py
@@ -113,14 +113,14 @@
             and not (transport.is_closing() or transport.get_write_buffer_size())
         )
 
-    def read(self, data: bytes) -> None:
-        super().read(data)
+    def feed(self, data: bytes) -> None:
+        super().feed(data)
         if self.write_shut:  # by an answer to a part of this piece: what followed in it has been read in vain
             self.discard_input()
 
-    def ask_for_body(self) -> None:
+    def maybe_send_continue(self) -> None:
         if not self.write_shut:
-            super().ask_for_body()
+            super().maybe_send_continue()
 
     # Answering
 
@@ -289,7 +289,7 @@
                 self.resume_input()
             if self.queue:
                 asyncio.get_running_loop().call_soon(self.start_next)
-            self.ask_for_body()
+            self.maybe_send_continue()
             return
         request.answered = True  # what still comes of its body goes nowhere
         self.close(UPLOAD_LINGER_S if request.upload is not None and not request.complete else LINGER_S)
--- a/cloverkeel/front/request_reader.py
+++ b/cloverkeel/front/request_reader.py
@@ -80,7 +80,7 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         if not self.ignores_input:  # else it follows a request that can't be read, until the connection ends
-            self.read(bytes(self.server.gateway.buffer.view[:nbytes]))
+            self.feed(bytes(self.server.gateway.buffer.view[:nbytes]))
 
     def eof_received(self) -> None:
         """The client has closed. Told here, as `connection_lost` comes only once all output is taken."""
@@ -141,7 +141,7 @@
             due_s = max(due_s, self.body_due_s + self.body_size / MIN_BYTES_PER_S)
         return due_s < now_s
 
-    def read(self, data: bytes) -> None:
+    def feed(self, data: bytes) -> None:
         fault: RequestError | None = None
         self.message_ended = False
         body_size = self.body_size
@@ -254,9 +254,9 @@
         expected = header(headers, b"expect")
         if expected is not None and expected.lower() == b"100-continue":
             self.incoming.awaits_continue_since_s = asyncio.get_running_loop().time()
-        self.ask_for_body()
+        self.maybe_send_continue()
 
-    def ask_for_body(self) -> None:
+    def maybe_send_continue(self) -> None:
         """Tell a client that waits for it to send its body: once all before is answered."""
         request = self.incoming
         if (
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -171,7 +171,7 @@
             with raw_client(run.port, receive_buffer=4096) as client:
                 connection = await connected(run)
                 client.send(request("transfer"))
-                await until(partial(getattr, connection, "served"))
+                await until(partial(getattr, connection, "has_responded"))
                 connection.close(0.01)
                 await until(lambda: not run.server.lingering)
 
