--- a/cloverkeel/front/__init__.py
+++ b/cloverkeel/front/__init__.py
@@ -1,1 +1,1 @@
-"""The side of the gateway that clients see."""
+"""Clients' connections: parsing requests, writing responses, time-outs, draining."""
--- a/cloverkeel/front/connection.py
+++ b/cloverkeel/front/connection.py
@@ -1,4 +1,4 @@
-"""One connection of a client: its requests taken, its answers written."""
+"""A client's connection: hands its requests to the gateway, in order, and writes the responses."""
 
 from __future__ import annotations
 
@@ -27,22 +27,22 @@
     from cloverkeel.front.server import Server
 
 READY_PATH = b"/health/ready"
-FIRST_REQUEST_GRACE_S = 0.5  # for the first request on a new connection to come, on the way out
-UPLOAD_LINGER_S = 10.0  # for a client to end a body whose answer it has
+FIRST_REQUEST_GRACE_S = 0.5  # after its opening, a connection awaits a first request and is not idle
+UPLOAD_LINGER_S = 10.0  # for a client to finish sending a body that has already been answered
 
 
 class ClientConnection(RequestReader):
-    """One connection of a client; its requests are answered one after the other."""
+    """A client's connection; its requests are answered one at a time, in the order received."""
 
     def __init__(self, server: Server) -> None:
         super().__init__(server)
-        self.body_source: HostConnection | None = None  # of the long answer that is being written
-        self.is_chunked = self.closes_after = False  # that answer
-        self.write_blocked_since_s = math.inf  # since when the client takes nothing of it
+        self.body_source: HostConnection | None = None  # of the streamed response being written
+        self.is_chunked = self.closes_after = False  # that response's coding; it is the last one
+        self.write_blocked_since_s = math.inf  # loop time since which the client reads no output; inf: none
         self.opened_s = 0.0
-        self.idle_since_s = 0.0  # the last answer, or the connection's beginning
-        self.has_responded = False  # has had an answer
-        self.write_shut = False  # writing is shut down: what is read is discarded
+        self.idle_since_s = 0.0  # loop time of the last response, or of the opening of the connection
+        self.has_responded = False
+        self.write_shut = False  # lingering close has begun: input is discarded
 
     # Connection
 
@@ -53,7 +53,7 @@
         if self.server.admit_connection():
             self.restart_idle_time()
         else:
-            self.abort()  # unread: its client goes elsewhere
+            self.abort()  # nothing was read, so the client can safely try another gateway
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.server.connections.pop(self, None)
@@ -61,27 +61,29 @@
         self.on_disconnect()
 
     def restart_idle_time(self) -> None:
+        """Restarts the idle time, which moves the connection to the end of the server's idle order."""
         self.idle_since_s = asyncio.get_running_loop().time()
         self.server.connections.pop(self, None)
         self.server.connections[self] = None
 
-    def is_idle(self, first_s: float = FIRST_REQUEST_GRACE_S) -> bool:
-        """Whether it may be closed: nothing is owed, nothing has begun, nothing waits to be read.
+    def is_idle(self, grace_s: float = FIRST_REQUEST_GRACE_S) -> bool:
+        """Returns whether the connection may be closed: no request is pending, begun or unread in the kernel.
 
-        Guards against losing a request that has reached this machine and not yet this program, and, with
-        `first_s` for the first one to come, one that a client sends for the second time, on a new connection,
-        since it crossed the end of its old one.
+        Asking the kernel avoids losing a request that has reached this machine but not this process.
+        `grace_s` protects a first request that is on its way: it may be the client's retry of a
+        request that crossed the close of its previous connection.
         """
         if self.current is not None or self.queue or self.incoming is not None or self.ignores_input:
             return False
-        if not self.has_responded and asyncio.get_running_loop().time() - self.opened_s < first_s:
+        if not self.has_responded and asyncio.get_running_loop().time() - self.opened_s < grace_s:
             return False
         return not self.poll.poll(0)
 
     def close(self, linger_s: float = LINGER_S) -> None:
-        """End the connection once all that was written has gone out; nothing that is read later is a request.
+        """Starts a lingering close; input that arrives from here on is discarded.
 
-        A client that had sent one into this moment sees the end before any answer, and sends it once more.
+        A client whose request crosses the close sees the end of the stream before any response, and sends the
+        request again.
         """
         if self.write_shut or self.transport is None or self.transport.is_closing():
             self.ignores_input = True
@@ -93,19 +95,20 @@
         lingering_close(self.transport, linger_s)
 
     def discard_input(self) -> None:
-        """Drop what was read and not taken, and go on reading, so that the client's end is seen."""
+        """Drops queued requests, and resumes reading so that the client's close is noticed."""
         self.queue.clear()
         self.awaiting_since_s = math.inf
         self.resume_input()
 
     def abort(self) -> None:
+        """Closes the connection at once and drops unsent output."""
         self.ignores_input = True
         if self.transport is not None:
             self.transport.abort()
 
     @property
     def output_complete(self) -> bool:
-        """Whether it is shut down and all that was written is with the kernel."""
+        """Whether writing is shut down and the kernel has all output."""
         transport = self.transport
         return (
             self.write_shut
@@ -115,7 +118,7 @@
 
     def feed(self, data: bytes) -> None:
         super().feed(data)
-        if self.write_shut:  # by an answer to a part of this piece: what followed in it has been read in vain
+        if self.write_shut:  # by a response to an earlier request in `data`: what follows it is discarded
             self.discard_input()
 
     def maybe_send_continue(self) -> None:
@@ -125,10 +128,10 @@
     # Answering
 
     def start_next(self) -> None:
-        """Take the next request that was read, once the one before is answered."""
+        """Dispatches queued requests until one waits for its response."""
         while self.current is None and self.queue and not self.write_shut:
             if self.write_blocked_since_s < math.inf:
-                return  # it takes no answers: what it asks for must not fill the memory
+                return  # the client reads no responses; more of them would fill the memory
             request = self.current = self.queue.popleft()
             self.current_id = ""
             if not self.queue and request.upload is None:
@@ -139,6 +142,10 @@
                 self.respond(error.status, error.headers, f"{error}\n".encode())
 
     def dispatch(self, request: Request) -> None:
+        """Answers a readiness check, or passes the request to the gateway.
+
+        Raises RequestError if the request is to be answered with an error.
+        """
         if request.error is not None:
             raise request.error
         path = request.target.partition(b"?")[0]
@@ -150,7 +157,7 @@
         gateway, config = self.server.gateway, request.arrival_config or self.server.config
         call = build_call(config, request, path, self, gateway.transforms, gateway.routes)
         if config is not self.server.config:
-            # SIGHUP came while it waited: its class may be gone by now, or have other rules.
+            # The configuration was reloaded while the request was queued: its class may be gone or changed.
             call.class_settings = config.settings.classes[call.klass]
         self.current_id = call.id
         if not gateway.accept(call):
@@ -158,6 +165,7 @@
             raise RequestError(400, "this X-Call-Id is in use")
 
     def on_served(self, request: Request, reply: Reply) -> None:
+        """Writes a host's complete response."""
         if self.current is not request:
             return
         if request.report_outcome is not None:
@@ -169,7 +177,7 @@
             self.respond(200, headers, reply.body)
 
     def on_begun(self, request: Request, reply: Reply, source: HostConnection) -> None:
-        """A long answer begins: its head goes out, and its body passes as fast as the client reads."""
+        """Writes the head of a streamed response; its body follows as fast as the client reads."""
         transport = self.transport
         if self.current is not request or transport is None or transport.is_closing():
             return
@@ -177,7 +185,7 @@
             request.report_outcome(False)
         headers = response_headers(request, reply)
         if headers is None:
-            self.server.gateway.client_gone(self.current_id)  # nobody reads the rest of it
+            self.server.gateway.client_gone(self.current_id)  # ends the attempt: its body is not needed
             self.respond(502, [], b"")
             return
         self.body_source = source
@@ -187,7 +195,7 @@
         elif not request.is_http10:
             headers.append((b"Transfer-Encoding", b"chunked"))
         self.is_chunked = length is None and not request.is_http10
-        # Without a length, what an old client gets ends with the connection.
+        # For HTTP/1.0, a response without a length ends with the connection.
         self.closes_after = self.must_close_after(request) or (length is None and request.is_http10)
         transport.set_write_buffer_limits(high=0)
         transport.write(
@@ -195,10 +203,12 @@
         )
 
     def on_piece(self, request: Request, data: bytes) -> None:
+        """Writes a piece of a streamed response's body."""
         if self.current is request and self.transport is not None and not self.transport.is_closing():
             self.transport.write(encode_chunk(data) if self.is_chunked else data)
 
     def on_ended(self, request: Request) -> None:
+        """Completes a streamed response."""
         if self.current is not request or self.transport is None:
             return
         if self.is_chunked and not self.transport.is_closing():
@@ -207,15 +217,16 @@
         self.on_response_written(self.closes_after)
 
     def on_broken(self, request: Request) -> None:
-        """The client must be able to tell: neither an end nor all of the length ever comes."""
+        """Resets the connection, so that the client can tell that a streamed response is truncated."""
         if self.current is request and self.transport is not None and not self.transport.is_closing():
             self.body_source = None
-            # An orderly close would be the end of an answer that ends with its connection.
+            # An orderly close would look like the end of a response that has no length.
             reset = struct.pack("ii", 1, 0)
             self.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, reset)
             self.abort()
 
     def pause_writing(self) -> None:
+        """Stops reading from the host while the client does not read (backpressure)."""
         self.write_blocked_since_s = asyncio.get_running_loop().time()
         if self.body_source is not None:
             self.body_source.pause_reading()
@@ -228,18 +239,20 @@
             asyncio.get_running_loop().call_soon(self.start_next)
 
     def on_refused(self, request: Request, retry_after_us: int) -> None:
+        """Writes a 503 for a request that was shed."""
         if self.current is request:
             after = [(b"Retry-After", b"%.3f" % (retry_after_us / 1e6))] if retry_after_us > 0 else []
             self.respond(503, after, b"")
 
     def on_failed(self, request: Request, timed_out: bool) -> None:
+        """Writes a 504 or 502 for a request that the hosts failed."""
         if self.current is request:
             if request.report_outcome is not None:
                 request.report_outcome(True)
             self.respond(504 if timed_out else 502, [], b"")
 
     def fail_pending(self) -> None:
-        """Answer in order, as failed, what is owed here, and end the connection."""
+        """Answers all pending requests with 504, in order, and closes the connection."""
         while self.current is not None or self.queue:
             if self.current is None:
                 self.current, self.current_id = self.queue.popleft(), ""
@@ -250,40 +263,41 @@
         self.close()
 
     def respond(self, status: int, headers: list[Header], body: bytes) -> None:
-        """Write the whole answer at once, and go on with the next request."""
+        """Writes a complete response and goes on with the next request."""
         request, transport = self.current, self.transport
         assert request is not None and transport is not None
-        last = self.must_close_after(request)
+        closes = self.must_close_after(request)
         if not transport.is_closing():
-            headers = with_keep_alive(request, headers, last)
-            write_response(transport, status, headers, body, last, request.method == b"HEAD")
-        self.on_response_written(last)
+            headers = with_keep_alive(request, headers, closes)
+            write_response(transport, status, headers, body, closes, request.method == b"HEAD")
+        self.on_response_written(closes)
 
     def must_close_after(self, request: Request) -> bool:
-        """Whether the connection ends with this request's answer."""
+        """Returns whether the connection closes after the response to this request."""
         server = self.server
         if not request.keep_alive or (self.ignores_input and not self.queue):
             return True
         if server.deadline_passed:
             return not self.queue
-        # What was read is answered, on the way out too; the rest of this one's body is not waited for then.
+        # Requests that were read are answered even while draining, but not the rest of this request's body.
         if self.queue or (self.incoming is not None and self.incoming is not request):
             return False
-        # Guards against a rush of new connections: all too fresh to close, they left none for the hosts.
+        # Low on descriptors, connections close after a response: a burst of new connections, all too recent
+        # to be closed as idle, would leave no descriptors for the hosts.
         if not server.draining and not server.low_on_descriptors:
             return False
-        # A request sent behind this one may have reached this machine and not yet this program.
+        # A pipelined request may have reached this machine but not this process.
         return not (request.complete and self.poll.poll(0))
 
-    def on_response_written(self, last: bool) -> None:
-        """The answer is written: go on with the next request, or end."""
+    def on_response_written(self, closes: bool) -> None:
+        """Goes on with the next request, or closes the connection."""
         request, transport = self.current, self.transport
         assert request is not None and transport is not None
         self.current, self.current_id = None, ""
         self.has_responded = True
         if not transport.is_closing():
             self.restart_idle_time()
-        if not last:
+        if not closes:
             if not request.complete and request.error is None:
                 request.answered = True
                 self.resume_input()
@@ -291,5 +305,5 @@
                 asyncio.get_running_loop().call_soon(self.start_next)
             self.maybe_send_continue()
             return
-        request.answered = True  # what still comes of its body goes nowhere
+        request.answered = True  # the rest of its body is discarded
         self.close(UPLOAD_LINGER_S if request.upload is not None and not request.complete else LINGER_S)
--- a/cloverkeel/front/request_reader.py
+++ b/cloverkeel/front/request_reader.py
@@ -1,4 +1,4 @@
-"""Requests read from a client's connection, within bounds of size and time."""
+"""Parses the requests of a client's connection within limits on size, time and pipelining depth."""
 
 from __future__ import annotations
 
@@ -26,71 +26,70 @@
 if TYPE_CHECKING:
     from cloverkeel.front.server import Server
 
-HEAD_TIMEOUT_S = (
-    2.5  # for a head, and for a short body with it, from the connection's beginning or from its own
-)
-BODY_GRACE_S = 1.0
+# Time for a request's head, and for a short body with it: from the opening of the connection for the first
+# request, from the request's first byte for later ones.
+HEAD_TIMEOUT_S = 2.5
+BODY_GRACE_S = 1.0  # after the head, before the minimum rate applies to the body
 MAX_BODY_BYTES = 32 * 1024 * 1024
-MAX_PIPELINED = 16  # requests read ahead on one connection
-DISCONNECT_EVENTS = (
-    select.POLLRDHUP | select.POLLHUP | select.POLLERR
-)  # what a client's close or reset shows as
+MAX_PIPELINED = 16  # parsed requests that may wait on one connection before reading pauses
+DISCONNECT_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # poll flags of a close or reset
 
 
 class RequestReader(asyncio.BufferedProtocol):
-    """What is read from one connection, as requests in order; who inherits from it answers them."""
+    """Turns the bytes of one connection into a queue of requests, in order; a subclass answers them."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
         self.transport: asyncio.Transport | None = None
         self.parser = httptools.HttpRequestParser(self)
-        self.incoming: Request | None = None  # begun, not yet whole
-        self.head_size = 0
-        self.body_size = 0
+        self.incoming: Request | None = None  # being received
+        self.head_size = 0  # bytes read of the current head
+        self.body_size = 0  # bytes read of the current body, without its framing
         self.in_head = True
-        self.framing_bytes = 0  # bytes of a body's framing since the last of the body itself
-        self.message_ended = False  # a request has ended in the piece that was read last
-        self.body_due_s = 0.0  # when the body's first byte is late; the rate gives the rest more
-        self.paused_since_s = math.inf  # since when nothing is read, as nothing can pass on
-        self.awaiting_since_s = math.inf  # when the request that is awaited began, or the connection's first
-        self.timeout_deferred = False  # it was found late once, and what had come by then has been read since
-        self.queue: deque[Request] = deque()
-        self.current: Request | None = None  # read and not yet answered
-        self.current_id = ""
-        self.ignores_input = False  # nothing more is read as a request
-        self.client_gone = False  # the client has closed, cancelled, or lost its connection
+        self.framing_bytes = 0  # bytes of chunk framing and trailers since the last byte of the body itself
+        self.message_ended = False  # the last read contained the end of a request
+        self.body_due_s = 0.0  # loop time by which the body must begin; the minimum rate extends it
+        self.paused_since_s = math.inf  # loop time at which reading was paused; inf: it is not paused
+        # Loop time from which the request being received, or the connection's first one, is timed; inf: none.
+        self.awaiting_since_s = math.inf
+        self.timeout_deferred = False  # a time-out was put off once, to read bytes that had already arrived
+        self.queue: deque[Request] = deque()  # parsed, waiting for the current request's response
+        self.current: Request | None = None  # being answered
+        self.current_id = ""  # its call id at the gateway; empty: the gateway does not know it
+        self.ignores_input = False  # further input is not parsed
+        self.client_gone = False  # the client has closed, or the connection is lost
         self.poll = select.poll()
 
     def start_next(self) -> None:
-        """Take the next request that was read, once the one before is answered."""
+        """Starts the next queued request once the current one is answered."""
         raise NotImplementedError
 
     def respond(self, status: int, headers: list[Header], body: bytes) -> None:
-        """Answer the current request."""
+        """Writes the response to the current request."""
         raise NotImplementedError
 
     def close(self) -> None:
-        """End the connection once all that was written has gone out."""
+        """Ends the connection after all output is sent."""
         raise NotImplementedError
 
     def get_buffer(self, sizehint: int) -> memoryview:
         buffer = self.server.gateway.buffer
-        is_long = self.incoming is not None and self.incoming.upload is not None
-        return buffer.streamed_view() if is_long else buffer.view
+        is_streamed = self.incoming is not None and self.incoming.upload is not None
+        return buffer.streamed_view() if is_streamed else buffer.view
 
     def buffer_updated(self, nbytes: int) -> None:
-        if not self.ignores_input:  # else it follows a request that can't be read, until the connection ends
+        if not self.ignores_input:  # set, for example, after a request that could not be parsed
             self.feed(bytes(self.server.gateway.buffer.view[:nbytes]))
 
     def eof_received(self) -> None:
-        """The client has closed. Told here, as `connection_lost` comes only once all output is taken."""
+        """Handles the client's close at once: `connection_lost` is called only after all output is sent."""
         self.on_disconnect()
 
     def check_gone(self) -> bool:
-        """Whether the client has gone; if so, nothing is held for it any more.
+        """Returns whether the client has disconnected; if so, its pending requests are dropped.
 
-        The kernel is asked: while reading is paused the loop sees no end of it, and an end may come in the
-        same round of the loop as what begins an attempt.
+        Asks the kernel: while reading is paused the event loop does not notice a disconnect, and one may
+        arrive in the same loop iteration as the event that starts an attempt.
         """
         if not self.client_gone and self.transport is not None:
             ended = any(flags & DISCONNECT_EVENTS for _, flags in self.poll.poll(0))
@@ -99,7 +98,7 @@
         return self.client_gone
 
     def on_disconnect(self) -> None:
-        """The client has gone: nothing more is begun for it, and its connection ends."""
+        """Drops the client's pending requests and closes the connection."""
         if self.client_gone:
             return
         self.client_gone = self.ignores_input = True
@@ -109,16 +108,17 @@
         if self.transport is not None and not self.transport.is_closing():
             self.transport.close()
             if self.transport.get_write_buffer_size():
-                # It ended its sending alone, maybe, and reads on, or does not.
+                # The client may have shut down only its sending side, and may or may not still read.
                 asyncio.get_running_loop().call_later(WRITE_STALL_S, self.transport.abort)
 
     def pause_input(self) -> None:
-        """Read no more for now."""
+        """Pauses reading from the client."""
         if self.paused_since_s == math.inf and self.transport is not None and not self.transport.is_closing():
             self.paused_since_s = asyncio.get_running_loop().time()
             self.transport.pause_reading()
 
     def resume_input(self) -> None:
+        """Resumes reading; the pause does not count against the client's deadlines."""
         if self.paused_since_s != math.inf:
             self.extend_deadlines(asyncio.get_running_loop().time() - self.paused_since_s)
             self.paused_since_s = math.inf
@@ -126,22 +126,23 @@
                 self.transport.resume_reading()
 
     def extend_deadlines(self, waited_s: float) -> None:
-        """Time in which the client was kept waiting is not its own."""
+        """Extends the deadlines of the incoming request by time during which the gateway kept it waiting."""
         self.awaiting_since_s += waited_s
         self.body_due_s += waited_s
 
     def is_overdue(self, now_s: float) -> bool:
-        """Whether the request that is awaited should be here, or more of its body."""
+        """Returns whether the incoming request has exceeded its time, or its body the minimum rate."""
         if self.paused_since_s != math.inf or self.awaiting_since_s == math.inf:
             return False
         if self.incoming is not None and self.incoming.awaits_continue_since_s:
-            return False  # its client waits for word, and that for what is before it
+            return False  # the client waits for "100 Continue", which waits for earlier responses
         due_s = self.awaiting_since_s + HEAD_TIMEOUT_S
         if self.incoming is not None and not self.in_head:
             due_s = max(due_s, self.body_due_s + self.body_size / MIN_BYTES_PER_S)
         return due_s < now_s
 
     def feed(self, data: bytes) -> None:
+        """Parses received bytes and starts the next request if none is being answered."""
         fault: RequestError | None = None
         self.message_ended = False
         body_size = self.body_size
@@ -151,14 +152,14 @@
         except httptools.HttpParserUpgrade:
             self.decline_upgrade()
         except httptools.HttpParserError as error:
-            cause = error.__context__
+            cause = error.__context__  # an exception raised in one of the callbacks below
             fault = cause if isinstance(cause, RequestError) else RequestError(400, "malformed")
-        # Guards against a head without end: the parser hands a header over only once it is whole.
-        # Of a piece that also ends another request, the part that is head is not known, and not counted.
+        # Limits the head here because the parser reports a header only once it is complete. If the same read
+        # also ended another request, how much of it belongs to the head is unknown, and it is not counted.
         self.head_size = self.head_size + len(data) if self.in_head and not self.message_ended else 0
         if fault is None and self.head_size > HEAD_LIMIT:
             fault = RequestError(431, "the head is too long")
-        # Guards against a chunk's extension or a trailer without end.
+        # Limits chunk extensions and trailers, which the parser accepts at any length.
         self.framing_bytes = (
             self.framing_bytes + len(data) if self.incoming and self.body_size == body_size else 0
         )
@@ -175,33 +176,33 @@
         self.start_next()
 
     def decline_upgrade(self) -> None:
-        """Answer a request for another protocol in this one, and as the last: the parser reads no further."""
+        """Answers an upgrade request as plain HTTP and closes afterwards: the parser stops at an upgrade."""
         request = self.queue[-1] if self.queue else self.incoming
         if request is not None:
             request.keep_alive = False
         self.ignores_input = True
 
     def begin_upload(self, request: Request) -> None:
-        """A body that has outgrown what is held whole: the request is taken, and the rest passes on."""
+        """Queues a request whose body exceeds BODY_LIMIT; the rest of the body is streamed to the host."""
         if request.upload is None and self.body_size > BODY_LIMIT and not self.in_head:
             request.upload = Upload(bool(transfer_coding(request.headers)), self.resume_input)
             self.queue.append(request)
-            self.pause_input()  # until a host has what is here
+            self.pause_input()  # until a host has been sent the part read so far
 
     def reject(self, fault: RequestError) -> None:
-        """Answer for what is wrong, after what came before it, and read no further."""
+        """Queues an error response behind the earlier requests and parses no further input."""
         if self.incoming is not None and self.incoming.answered:
-            self.close()  # it has its answer
+            self.close()  # the request already has its response
             return
         self.ignores_input = True
         self.awaiting_since_s = math.inf
-        upload = self.incoming if self.incoming is not None and self.incoming.upload is not None else None
-        if upload is not None and upload in self.queue:
-            self.queue.remove(upload)
-        elif upload is not None and upload is self.current:
-            # Its host has part of it, and must not get an end that nobody has sent.
+        streamed = self.incoming if self.incoming is not None and self.incoming.upload is not None else None
+        if streamed is not None and streamed in self.queue:
+            self.queue.remove(streamed)
+        elif streamed is not None and streamed is self.current:
+            # The host has received part of the body and must not take it for a complete one.
             self.server.gateway.client_gone(self.current_id)
-            upload.keep_alive = False
+            streamed.keep_alive = False
             self.respond(fault.status, fault.headers, f"{fault}\n".encode())
             return
         request = Request()
@@ -209,14 +210,14 @@
         self.queue.append(request)
 
     def on_request_timeout(self) -> None:
-        """The request that was awaited has not come whole in time."""
+        """Rejects the request that did not arrive in time; closes if not a byte of it has arrived."""
         if not self.timeout_deferred and self.poll.poll(0):
-            # More of it is here, not yet read, as where this program stood still. Once: a peer that sends
-            # byte by byte has always more to come.
+            # More input has arrived but is unread, for example because the process was suspended. Only once
+            # per request, because a peer that sends byte by byte always has more input waiting.
             self.timeout_deferred = True
             return
         if self.incoming is None and not self.head_size:
-            self.close()  # unanswered: a request that crosses it is sent once more
+            self.close()  # without a response: a client whose request crosses the close sends it again
             return
         self.reject(RequestError(408, "the request did not come in time"))
         self.start_next()
@@ -233,7 +234,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         assert self.incoming is not None
-        if self.in_head:  # else a trailer: nothing here reads it
+        if self.in_head:  # otherwise a trailer field, which is dropped
             self.incoming.headers.append((name, value.strip(OPTIONAL_WHITESPACE)))
 
     def on_headers_complete(self) -> None:
@@ -250,14 +251,14 @@
         if transfer_coding(headers) not in (b"", b"chunked"):
             raise RequestError(501, "the transfer coding is unknown")
         if self.parser.should_upgrade() and (transfer_coding(headers) or (length or b"0") != b"0"):
-            raise RequestError(400, "no other protocol is spoken here")  # the parser would leave the body out
-        expected = header(headers, b"expect")
-        if expected is not None and expected.lower() == b"100-continue":
+            raise RequestError(400, "no other protocol is spoken here")  # the parser would drop the body
+        expect = header(headers, b"expect")
+        if expect is not None and expect.lower() == b"100-continue":
             self.incoming.awaits_continue_since_s = asyncio.get_running_loop().time()
         self.maybe_send_continue()
 
     def maybe_send_continue(self) -> None:
-        """Tell a client that waits for it to send its body: once all before is answered."""
+        """Sends "100 Continue" if the client waits for it and all earlier requests are answered."""
         request = self.incoming
         if (
             request is not None
--- a/cloverkeel/front/requests.py
+++ b/cloverkeel/front/requests.py
@@ -1,4 +1,4 @@
-"""A client's request as it was read, and in the gateway's terms."""
+"""A client's HTTP request, and its conversion to the `Call` that the gateway handles."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
     from cloverkeel.fleet.routes.serving import Serving
     from cloverkeel.transforms.active import ActiveSet, Refused
 
-NO_TENANT = -1  # a caller that the settings do not name: the first tenant must not answer for it
+NO_TENANT = -1  # for a caller that the settings do not name; 0 would charge its requests to the first tenant
 UNFORWARDED_REQUEST_HEADERS = frozenset({b"x-budget-ms"})
 UNFORWARDED_RESPONSE_HEADERS = frozenset({b"x-load-report", b"x-rejected"})
 
 
 class RequestError(ValueError):
-    """A request that is answered here, with this status."""
+    """A request that the gateway itself answers with an error status, without contacting a host."""
 
-    def __init__(self, status: int, why: str, *headers: Header) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str, *headers: Header) -> None:
+        super().__init__(reason)
         self.status = status
         self.headers = list(headers)
 
 
 class Request:
-    """One request as it was read; `fault` tells what is wrong with it."""
+    """One HTTP request as read from a client's connection; `error` is set if it could not be parsed."""
 
     __slots__ = (
         "answered",
@@ -60,26 +60,22 @@
         self.headers: list[Header] = []
         self.body: list[bytes] = []
         self.keep_alive = False
-        self.is_http10 = False  # HTTP/1.0
-        self.awaits_continue_since_s = (
-            0.0  # since when its client waits for word to send its body; 0: it does not
-        )
-        self.complete = False
-        self.queued_since_us = (
-            0  # since when, whole, for others on its connection to be answered; 0: for none
-        )
-        self.arrival_config: Config | None = None  # in force when it began to wait; None: it did not
-        self.answered = False  # before its body had come: the rest is read and dropped
-        self.upload: Upload | None = None  # the rest of a body too long to be held
+        self.is_http10 = False
+        # Loop time since which the client waits for "100 Continue" before it sends the body; 0: no wait.
+        self.awaits_continue_since_s = 0.0
+        self.complete = False  # the last byte of the body has been read
+        # Clock time since which the complete request waits behind others of its connection; 0: no wait.
+        self.queued_since_us = 0
+        self.arrival_config: Config | None = None  # in force when it was queued; None: it was not queued
+        self.answered = False  # answered before the end of its body; the rest of the body is discarded
+        self.upload: Upload | None = None  # the part of a streamed body that is not held in `body`
         self.error: RequestError | None = None
-        self.transform_response: Callable[[list[Header]], list[Header] | Refused] | None = (
-            None  # of its answer
-        )
-        self.report_outcome: Callable[[bool], None] | None = None  # to be told whether hosts failed it
+        self.transform_response: Callable[[list[Header]], list[Header] | Refused] | None = None
+        self.report_outcome: Callable[[bool], None] | None = None  # called with whether the hosts failed it
 
 
 class ResponseWriter(Protocol):
-    """Who writes a request's answer."""
+    """Receives what becomes of a request and writes the response to the client."""
 
     def on_served(self, request: Request, reply: Reply) -> None: ...
     def on_begun(self, request: Request, reply: Reply, source: HostConnection) -> None: ...
@@ -95,22 +91,25 @@
     config: Config,
     request: Request,
     path: bytes,
-    answers: ResponseWriter,
-    active: ActiveSet | None = None,
+    writer: ResponseWriter,
+    active_set: ActiveSet | None = None,
     routes: Serving | None = None,
 ) -> Call:
-    """The request in the gateway's terms; RequestError where it is none that can be passed on."""
+    """Converts a request to a `Call`.
+
+    Raises RequestError if the request is invalid or a transform refuses it.
+    """
     headers = {n.lower(): v for n, v in request.headers}
     names = config.names
-    parts = [part for part in path.split(b"/") if part]
-    named = headers.get(b"x-call-class")
-    if named is not None and named not in names.classes:
+    segments = [segment for segment in path.split(b"/") if segment]
+    class_header = headers.get(b"x-call-class")
+    if class_header is not None and class_header not in names.classes:
         raise RequestError(400, "unknown class")
-    if not parts or parts[0] not in names.classes:
+    if not segments or segments[0] not in names.classes:
         raise RequestError(404, "unknown path")
-    if named is not None and named != parts[0]:
+    if class_header is not None and class_header != segments[0]:
         raise RequestError(400, "the class is not that of the path")
-    klass = names.classes[parts[0]]
+    klass = names.classes[segments[0]]
     settings = config.settings.classes[klass]
     method = b"GET" if settings.effect is Effect.SAFE else b"POST"
     if request.method != method:
@@ -121,74 +120,77 @@
     if not id_:
         raise RequestError(400, "no X-Call-Id")
     budget_ms = _parse_integer(headers.get(b"x-budget-ms"), "X-Budget-Ms")
-    passing = end_to_end_headers(request.headers, UNFORWARDED_REQUEST_HEADERS)
+    forwarded = end_to_end_headers(request.headers, UNFORWARDED_REQUEST_HEADERS)
     route = None
     if routes is not None:
-        route = routes.find(parts[0], headers.get(b"x-caller", b""), path)
-        if active is not None and route is not None and route.chain is not None:
-            active = active.chained(route.chain)
-    if active is not None:
-        passing = transform_request(request, active, passing, headers, parts[0], path)
-    patience_us = settings.give_up_us if budget_ms is None else budget_ms * 1000
-    if request.queued_since_us:  # its time began when it came
-        patience_us = max(0, patience_us - (now_us() - request.queued_since_us))
+        route = routes.find(segments[0], headers.get(b"x-caller", b""), path)
+        if active_set is not None and route is not None and route.chain is not None:
+            active_set = active_set.chained(route.chain)
+    if active_set is not None:
+        forwarded = transform_request(request, active_set, forwarded, headers, segments[0], path)
+    timeout_us = settings.give_up_us if budget_ms is None else budget_ms * 1000
+    if request.queued_since_us:  # the client's time-out runs from arrival
+        timeout_us = max(0, timeout_us - (now_us() - request.queued_since_us))
     body = b"".join(request.body)
     request.body.clear()
     return Call(
         id=id_.decode("latin-1"),
         klass=klass,
-        client_timeout_us=patience_us,
-        key=stable_id(parts[-1], 8) if len(parts) > 1 else None,
+        client_timeout_us=timeout_us,
+        key=stable_id(segments[-1], 8) if len(segments) > 1 else None,
         work_us=_parse_integer(headers.get(b"x-call-cost"), "X-Call-Cost"),
         is_retry=headers.get(b"x-again") == b"1",
         tenant=names.tenants.get(headers.get(b"x-caller", b""), NO_TENANT),
-        head=_build_head(request, passing, body),
+        head=_build_head(request, forwarded, body),
         body=body if request.upload is None else request.upload.frame(body),
         upload=request.upload,
-        on_served=partial(answers.on_served, request),
-        on_begun=partial(answers.on_begun, request),
-        on_piece=partial(answers.on_piece, request),
-        on_ended=partial(answers.on_ended, request),
-        on_broken=partial(answers.on_broken, request),
-        on_refused=partial(answers.on_refused, request),
-        on_failed=partial(answers.on_failed, request),
-        is_client_gone=answers.check_gone,
+        on_served=partial(writer.on_served, request),
+        on_begun=partial(writer.on_begun, request),
+        on_piece=partial(writer.on_piece, request),
+        on_ended=partial(writer.on_ended, request),
+        on_broken=partial(writer.on_broken, request),
+        on_refused=partial(writer.on_refused, request),
+        on_failed=partial(writer.on_failed, request),
+        is_client_gone=writer.check_gone,
         route=route.number if route is not None else 0,
     )
 
 
 def transform_request(
     request: Request,
-    active: ActiveSet,
-    passing: list[Header],
+    active_set: ActiveSet,
+    forwarded: list[Header],
     headers: dict[bytes, bytes],
     klass: bytes,
     path: bytes,
 ) -> list[Header]:
-    """The headers to pass on; the answer's are changed by the same set, whichever is active then."""
+    """Returns the headers to forward, changed by the request transforms of the active set.
+
+    The response goes through the same set, even if another one has become active by then.
+    """
     caller, id_ = headers.get(b"x-caller", b""), headers[b"x-call-id"].decode("latin-1")
-    changed = active.request(klass, caller, path, passing, id_)
-    if not isinstance(changed, list):
-        raise RequestError(502, f"transform {changed.name} failed")
-    if active.has_response:
-        request.transform_response = partial(active.response, klass, caller, path, call_id=id_)
-    if active.compares:
-        request.report_outcome = partial(active.answered, klass, caller, path, id_)
-    return changed
+    transformed = active_set.request(klass, caller, path, forwarded, id_)
+    if not isinstance(transformed, list):
+        raise RequestError(502, f"transform {transformed.name} failed")
+    if active_set.has_response:
+        request.transform_response = partial(active_set.response, klass, caller, path, call_id=id_)
+    if active_set.compares:
+        request.report_outcome = partial(active_set.answered, klass, caller, path, id_)
+    return transformed
 
 
 def response_headers(request: Request, reply: Reply) -> list[Header] | None:
-    """An answer's headers as the client gets them; None: a transform that must not be left out failed."""
+    """Returns the response headers for the client; None if a transform with `on_error refuse` failed."""
     headers = end_to_end_headers(reply.headers, UNFORWARDED_RESPONSE_HEADERS)
     if request.transform_response is None:
         return headers
-    changed = request.transform_response(headers)
-    return changed if isinstance(changed, list) else None
+    transformed = request.transform_response(headers)
+    return transformed if isinstance(transformed, list) else None
 
 
-def with_keep_alive(request: Request, headers: list[Header], last: bool) -> list[Header]:
-    """An old client is told that its connection stays open."""
-    return headers if last or not request.is_http10 else [*headers, (b"Connection", b"keep-alive")]
+def with_keep_alive(request: Request, headers: list[Header], closes: bool) -> list[Header]:
+    """Adds `Connection: keep-alive` for an HTTP/1.0 client, unless the connection closes afterwards."""
+    return headers if closes or not request.is_http10 else [*headers, (b"Connection", b"keep-alive")]
 
 
 def _parse_integer(text: bytes | None, name: str) -> int | None:
@@ -200,7 +202,7 @@
 
 
 def _build_head(request: Request, headers: list[Header], body: bytes) -> bytes:
-    """What goes on to a host, all but the budget and the empty line."""
+    """Returns the request line and headers for a host, without X-Budget-Ms and the final empty line."""
     lines = [b"%s %s HTTP/1.1" % (request.method, request.target)]
     lines += [b"%s: %s" % pair for pair in headers]
     if request.upload is not None and request.upload.is_chunked:
