--- a/cloverkeel/hosts/__init__.py
+++ b/cloverkeel/hosts/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to hosts: one pool for each host, attempts over them and how these end."""
+"""Hosts, the connection pool for each of them, and attempts: sending requests and classifying outcomes."""
--- a/cloverkeel/hosts/attempt.py
+++ b/cloverkeel/hosts/attempt.py
@@ -1,4 +1,4 @@
-"""One request on its way to one host, and what its end is."""
+"""An attempt to have a host answer a request, and the classification of the host's response."""
 
 from __future__ import annotations
 
@@ -20,33 +20,34 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One request on its way to one host, until its outcome."""
+    """One sending of a request to a host, from its start to its outcome."""
 
     host: Host
-    payload: Callable[[], bytes]  # as it is when it is written: a connection may come up long after the start
+    payload: Callable[[], bytes]  # called at the write, which may come long after the start of the attempt
     on_end: Callable[[Attempt, Outcome, Reply | None], None]
     is_probe: bool = False
-    # A long answer begins: returns what takes its pieces, or None if nobody does.
+    # A streamed response begins: returns the consumer of its pieces, or None if there is none.
     on_response_begin: Callable[[Attempt, Reply], Callable[[bytes], None] | None] = (
         lambda attempt, reply: None
     )
-    remaining_us: Callable[[], int] = lambda: 0  # of its client's time
-    upload: Upload | None = None  # the rest of a long body
-    on_upload_started: Callable[[], None] = lambda: None  # what was held of it has gone on
-    is_wanted: Callable[[], bool] = lambda: True  # asked right before it is written; may call it off
-    write_deadline_us: int = 0  # its last byte may be written up to then; 0: any time
+    remaining_us: Callable[[], int] = lambda: 0  # time left until the client's deadline
+    upload: Upload | None = None  # the rest of a streamed request body
+    on_upload_started: Callable[[], None] = lambda: None  # the held part of the request body has been written
+    is_wanted: Callable[[], bool] = lambda: True  # called just before the write; may cancel the attempt
+    write_deadline_us: int = 0  # the last byte must be written by then; 0: no deadline
     timeout_us: int = 0
-    sent_us: int = 0  # with a long body: its last byte
+    sent_us: int = 0  # start of the attempt; for a streamed body, when its last byte was sent
     latency_us: int = 0
-    response_begun_us: int = 0  # when its long answer did
+    response_begun_us: int = 0  # when a streamed response began
     connection: HostConnection | None = None
     connect_task: asyncio.Task[object] | None = None
-    timers: list[asyncio.TimerHandle] = field(default_factory=list)
-    defer_timer: asyncio.TimerHandle | None = None  # one of them
+    timers: list[asyncio.TimerHandle] = field(default_factory=list)  # cancelled at the end of the attempt
+    defer_timer: asyncio.TimerHandle | None = None  # one of `timers`: set while streaming is deferred
     ended: bool = False
 
 
 def outcome_of(reply: Reply) -> Outcome:
+    """Classifies a host's response."""
     if reply.status == 200:
         return Outcome.OK
     if reply.status in (503, 504) and header(reply.headers, b"x-rejected") == b"1":
@@ -55,12 +56,12 @@
 
 
 def parse_load_report(reply: Reply | None) -> LoadReport | None:
-    """The load report that came with an answer; what cannot be read is as good as none."""
-    text = header(reply.headers, b"x-load-report") if reply is not None else None
-    if text is None:
+    """Returns the load report in a response, or None if there is none or it is malformed."""
+    value = header(reply.headers, b"x-load-report") if reply is not None else None
+    if value is None:
         return None
-    form, _, values = text.decode("latin-1").partition(" ")
+    encoding, _, values = value.decode("latin-1").partition(" ")
     try:
-        return parse_load(values.replace(" ", "").replace("=", ":")) if form == "TEXT" else None
+        return parse_load(values.replace(" ", "").replace("=", ":")) if encoding == "TEXT" else None
     except ValueError:
         return None
--- a/cloverkeel/hosts/connection.py
+++ b/cloverkeel/hosts/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a host: bytes in, bytes out."""
+"""The transport level of a connection to a host."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class HostConnection(asyncio.BufferedProtocol):
-    """One connection to a host; it carries one attempt at a time."""
+    """A connection to a host; it carries one attempt at a time."""
 
     __slots__ = (
         "address",
@@ -41,32 +41,32 @@
         self.address = host.address
         self.transport: asyncio.Transport | None = None
         self.replies = ReplyReader(BODY_LIMIT, wants_long=True)
-        self.on_piece: Callable[[bytes], None] | None = None  # of the long answer that passes
-        self.upload: Upload | None = None  # the long body that passes
-        self.last_progress_us = 0  # when a long body last did
-        self.flushed = True  # what was written is with the kernel
+        self.on_piece: Callable[[bytes], None] | None = None  # consumer of the streamed response
+        self.upload: Upload | None = None  # the streamed request body
+        self.last_progress_us = 0  # when a piece of a streamed body was last written or read
+        self.flushed = True  # the kernel has all that was written
         self.idle_since_us = 0
-        self.closed = False  # its descriptor is given back
+        self.closed = False  # it is no longer counted as open
         self.poll = select.poll()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
-        # With no room in the buffer, pause_writing tells at once that the last byte is not yet written.
+        # With a limit of 0, pause_writing is called as soon as the kernel does not take all of a write.
         self.transport.set_write_buffer_limits(high=0)
         self.poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN | select.POLLRDHUP)
         self.pools.on_connected(self)
 
     def is_quiet(self) -> bool:
-        """False once the host has closed it, or said something unasked, seen by the loop or not yet.
+        """Returns whether the connection is open and has no unread input, according to the kernel.
 
-        Guards against writing a request to a connection that the host has closed: it would end as a reset,
-        and nobody could tell whether it has run.
+        A request must not be written to a connection that the host has closed: it would end in a reset, which
+        does not tell whether the host has processed the request.
         """
         transport = self.transport
         return transport is not None and not transport.is_closing() and not self.poll.poll(0)
 
     def write(self, data: bytes) -> bool:
-        """False if the connection turned out broken before the last byte was written."""
+        """Writes a request; returns False if the connection broke before the last byte was written."""
         assert self.transport is not None
         self.transport.write(data)
         if self.transport.is_closing():
@@ -77,11 +77,11 @@
 
     @property
     def is_written(self) -> bool:
-        """Whether the last byte of the request is with the kernel."""
+        """Whether the kernel has the last byte of the request."""
         return self.flushed and (self.upload is None or self.upload.ended)
 
     def write_body(self, data: bytes, ended: bool) -> None:
-        """A further piece of a long body; broken connections are found out by reading."""
+        """Writes a piece of a streamed request body; a broken connection is detected by reading."""
         self.last_progress_us = now_us()
         if data and self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
@@ -89,7 +89,7 @@
             self.pools.bodies.on_request_body_end(self)
 
     def pause_reading(self) -> None:
-        """Read no more for now: the answer's reader is slower."""
+        """Pauses reading while the client takes the response more slowly (backpressure)."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
--- a/cloverkeel/hosts/pool.py
+++ b/cloverkeel/hosts/pool.py
@@ -1,4 +1,4 @@
-"""Connections opened to hosts, and the attempts that go over them."""
+"""The connection pool: opens connections to hosts and carries out attempts over them."""
 
 from __future__ import annotations
 
@@ -17,50 +17,51 @@
 from cloverkeel.telemetry import Telemetry
 
 SWEEP_INTERVAL_S = 1.0
-MIN_TIMER_DELAY_S = 0.001  # the shortest time that the loop does not make "at once" of
-STALL_TIMEOUT_US = 30_000_000  # a long body of which nothing moves for so long, though it is read, has ended
+MIN_TIMER_DELAY_S = 0.001  # the loop runs a timer with a shorter delay at once
+STALL_TIMEOUT_US = 30_000_000  # without progress of a streamed body that is not paused
 
 
 class Pools(IdleConnections):
-    """Carries attempts to hosts. Every attempt that is sent ends once, by its `on_end`."""
+    """Sends attempts to hosts over pooled connections; every attempt ends once, by a call of its `on_end`."""
 
     def __init__(
         self,
         settings: Settings,
         telemetry: Telemetry,
         buffer: ReadBuffer,
-        room: Callable[[], None] = lambda: None,
+        before_open: Callable[[], None] = lambda: None,
     ) -> None:
         super().__init__(settings)
         self.telemetry, self.buffer = telemetry, buffer
         self.bodies = StreamedBodies(self)
         self.loop = asyncio.get_running_loop()
-        self.before_open = room  # called before a descriptor is taken
+        self.before_open = before_open  # called before a connection is opened, to free a descriptor
         self.open_connections = 0
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
 
     # Attempts
 
     def send(self, attempt: Attempt, timeout_us: int) -> None:
-        """Begin an attempt on a kept connection, or on a new one where none is free."""
+        """Starts an attempt on an idle connection, or on a new one if there is none."""
         attempt.sent_us, attempt.timeout_us = now_us(), timeout_us
         later = self.loop.call_later
         if attempt.upload is None:
             attempt.timers.append(later(timeout_us / 1e6, self.on_timeout, attempt))
-        if (barred := self.blocked_outcome(attempt)) is not None:
-            self.end(attempt, barred)
+        if (blocked := self.blocked_outcome(attempt)) is not None:
+            self.end(attempt, blocked)
             return
         while (connection := self.take_idle(attempt.host)) is not None:
             if self.write_attempt(connection, attempt):
                 self.counts.reused += 1
                 return
-            # The write itself failed: nothing has reached the host, so the same attempt may begin anew.
+            # The write itself failed: nothing has reached the host, so the attempt may use another connection.
             self.counts.stale += 1
         connect_us = self.settings.connect_timeout_us
         attempt.timers.append(later(connect_us / 1e6, self.on_connect_timeout, attempt))
         self.open_connection(attempt)
 
     def open_connection(self, attempt: Attempt) -> None:
+        """Opens a new connection for an attempt."""
         self.before_open()
         host = attempt.host
         connection = HostConnection(self, host, attempt)
@@ -68,58 +69,58 @@
         host.open_connections += 1
         self.open_connections += 1
         self.counts.opened += 1
-        opening: asyncio.Task[object] = self.loop.create_task(
+        connecting: asyncio.Task[object] = self.loop.create_task(
             self.loop.create_connection(lambda: connection, *host.address)
         )
-        attempt.connect_task = opening
-        opening.add_done_callback(lambda task: self.on_connect_done(task, connection))
+        attempt.connect_task = connecting
+        connecting.add_done_callback(lambda task: self.on_connect_done(task, connection))
 
-    def set_write_deadline(self, attempt: Attempt, latest_us: int) -> None:
-        """Let an attempt be written up to then and no later.
+    def set_write_deadline(self, attempt: Attempt, deadline_us: int) -> None:
+        """Sets the time after which an attempt must not be written any more.
 
-        Guards against a repeat that runs: a keyed request's repeats are dropped for a while only, and a
-        connection may come up, or take the last byte, after that. A long body goes on once, by one attempt.
+        Hosts drop duplicates of a keyed request only within the deduplication window, and a connection may be
+        established, or take the last byte, after it. A streamed body needs no deadline: it is sent only once.
         """
         if attempt.ended or attempt.upload is not None:
             return
-        attempt.write_deadline_us = latest_us
+        attempt.write_deadline_us = deadline_us
         self.schedule_write_deadline(attempt)
 
     def schedule_write_deadline(self, attempt: Attempt) -> None:
-        left_s = max(0, attempt.write_deadline_us - now_us()) / 1e6 + MIN_TIMER_DELAY_S
-        attempt.timers.append(self.loop.call_later(left_s, self.on_write_deadline, attempt))
+        delay_s = max(0, attempt.write_deadline_us - now_us()) / 1e6 + MIN_TIMER_DELAY_S
+        attempt.timers.append(self.loop.call_later(delay_s, self.on_write_deadline, attempt))
 
     def on_write_deadline(self, attempt: Attempt) -> None:
         if now_us() <= attempt.write_deadline_us:
-            # The loop counts in whole milliseconds from the start of its turn, so a timer may fire some
-            # hundred microseconds early by the clock. Without another one the limit would be lost.
+            # The loop counts in whole milliseconds from the start of its iteration, so a timer may fire some
+            # hundred microseconds early. Without another timer the deadline would not be enforced.
             self.schedule_write_deadline(attempt)
             return
-        barred = self.blocked_outcome(attempt)
-        if barred is not None and not self.is_written(attempt):
-            self.cancel(attempt, barred)
+        blocked = self.blocked_outcome(attempt)
+        if blocked is not None and not self.is_written(attempt):
+            self.cancel(attempt, blocked)
 
     def blocked_outcome(self, attempt: Attempt) -> Outcome | None:
-        """The end of an attempt that may not be written any more, however long its connection took.
+        """Returns the outcome of an attempt that must not be written any more, or None if it may be written.
 
-        Guards the drain rule, and the last moment that an attempt has.
+        Enforces the drain rule and the attempt's write deadline, however long connecting took.
         """
-        now, drained_us = now_us(), attempt.host.draining_since_us
+        now, draining_us = now_us(), attempt.host.draining_since_us
         if attempt.write_deadline_us and now > attempt.write_deadline_us:
-            return Outcome.NOT_SENT  # its host is not to blame
-        is_over = drained_us is not None and now - drained_us > self.settings.stop_sending_within_us
-        return Outcome.CONNECT_FAILED if is_over else None
+            return Outcome.NOT_SENT  # not a failure of the host
+        drain_elapsed = draining_us is not None and now - draining_us > self.settings.stop_sending_within_us
+        return Outcome.CONNECT_FAILED if drain_elapsed else None
 
     def write_attempt(self, connection: HostConnection, attempt: Attempt) -> bool:
-        """Write it, or end it where nobody wants it any more; False if the connection is of no use."""
-        connection.attempt = attempt.connection = None  # until it is written
+        """Writes an attempt, or ends it if it is not wanted any more; False if the connection is unusable."""
+        connection.attempt = attempt.connection = None  # set again at the write
         if not attempt.is_wanted():
             self.keep_idle(connection)
             self.end(attempt, Outcome.NOT_SENT)
             return True
         if attempt.upload is not None and attempt.upload.sink is not None:
             connection.close()
-            return False  # its body goes on with another attempt
+            return False  # another attempt is sending the body
         connection.attempt, attempt.connection = attempt, connection
         connection.upload = attempt.upload
         if connection.write(attempt.payload()):
@@ -134,20 +135,21 @@
         return False
 
     def cancel(self, attempt: Attempt, outcome: Outcome = Outcome.CANCELLED) -> None:
-        """Stop waiting: the connection is closed, so that the host can tell, and its place is free."""
+        """Ends an attempt and closes its connection, which tells the host and frees the descriptor."""
         if attempt.ended:
             return
-        connection, opening = attempt.connection, attempt.connect_task
+        connection, connecting = attempt.connection, attempt.connect_task
         self.end(attempt, outcome)
         if connection is None:
             return
         connection.attempt = None
         self.counts.called_off += 1
-        if opening is not None and connection.transport is None:
-            opening.cancel()
+        if connecting is not None and connection.transport is None:
+            connecting.cancel()
         connection.close()
 
     def end(self, attempt: Attempt, outcome: Outcome, reply: Reply | None = None) -> None:
+        """Ends an attempt and reports its outcome."""
         if attempt.ended:
             return
         attempt.ended = True
@@ -160,6 +162,7 @@
         attempt.on_end(attempt, outcome, reply)
 
     def on_timeout(self, attempt: Attempt) -> None:
+        """Times out an attempt, after any input that has arrived on its connection is processed."""
         connection = attempt.connection
         if connection is not None and connection.transport is not None and not connection.is_quiet():
             self.call_after_reads(attempt, self.time_out)
@@ -167,7 +170,7 @@
             self.time_out(attempt)
 
     def time_out(self, attempt: Attempt) -> None:
-        # What was never written cannot have run, also when the time ended while connecting.
+        # A request that was not fully written cannot have been processed, nor can one still connecting.
         self.cancel(attempt, Outcome.TIMEOUT if self.is_written(attempt) else Outcome.CONNECT_FAILED)
 
     def on_connect_timeout(self, attempt: Attempt) -> None:
@@ -178,50 +181,52 @@
         if attempt.connection is not None and attempt.connection.transport is None:
             self.cancel(attempt, Outcome.CONNECT_FAILED)
 
-    def call_after_reads(self, attempt: Attempt, then: Callable[[Attempt], None]) -> None:
-        """First take up what has arrived here by now, and then do something if the attempt has not ended.
+    def call_after_reads(self, attempt: Attempt, callback: Callable[[Attempt], None]) -> None:
+        """Calls `callback` after input that has already arrived is processed, unless that ends the attempt.
 
-        Guards against throwing away what came in time: after a busy moment the loop fires what is due before
-        it reads. One turn of it reads, and a second one does what that has queued.
+        After a busy period the loop runs due timers before it reads, and a response that came in time would
+        be lost. One iteration of the loop reads, and a second one runs what the read has scheduled.
         """
 
-        def turn() -> None:
-            attempt.timers.append(self.loop.call_later(MIN_TIMER_DELAY_S, then, attempt))
+        def next_iteration() -> None:
+            attempt.timers.append(self.loop.call_later(MIN_TIMER_DELAY_S, callback, attempt))
 
-        attempt.timers.append(self.loop.call_later(MIN_TIMER_DELAY_S, turn))
+        attempt.timers.append(self.loop.call_later(MIN_TIMER_DELAY_S, next_iteration))
 
     def is_written(self, attempt: Attempt) -> bool:
+        """Whether the kernel has the last byte of the request."""
         connection = attempt.connection
         return connection is not None and connection.transport is not None and connection.is_written
 
     # Connections
 
     def on_connected(self, connection: HostConnection) -> None:
+        """Writes the attempt to a new connection, unless it has ended, is blocked or its host has moved."""
         attempt = connection.attempt
         if attempt is None or attempt.ended:
-            # Called off in the moment it came up: its opening is cancelled, and the loop ends it unasked.
+            # Cancelled just as the connection was established: with the connect task, the loop closes it too.
             connection.attempt = None
             connection.close()
         elif (
-            barred := self.blocked_outcome(attempt)
+            blocked := self.blocked_outcome(attempt)
         ) is None and connection.address != connection.host.address:
-            # The host has moved meanwhile; another may stand where it was.
+            # The host has moved meanwhile, and its old address may belong to another host.
             connection.attempt = None
             connection.close()
             self.open_connection(attempt)
-        elif barred is not None or not self.write_attempt(connection, attempt):
+        elif blocked is not None or not self.write_attempt(connection, attempt):
             connection.attempt = None
             connection.close()
-            self.end(attempt, barred or Outcome.CONNECT_FAILED)
+            self.end(attempt, blocked or Outcome.CONNECT_FAILED)
 
     def on_written(self, connection: HostConnection) -> None:
-        """The last byte of what was sent is with the kernel."""
+        """Counts an attempt once the kernel has the last byte of its request."""
         if connection.attempt is not None and not connection.attempt.is_probe:
             self.telemetry.upstream_tries += 1
 
-    def on_connect_done(self, opening: asyncio.Task[object], connection: HostConnection) -> None:
-        """Account for a connection that did not come up."""
-        if not opening.cancelled() and opening.exception() is None:
+    def on_connect_done(self, connecting: asyncio.Task[object], connection: HostConnection) -> None:
+        """Ends the attempt of a connection that could not be established."""
+        if not connecting.cancelled() and connecting.exception() is None:
             return
         self.count_closed(connection)
         if connection.attempt is not None:
@@ -229,32 +234,35 @@
             self.end(connection.attempt, Outcome.RESET if written else Outcome.CONNECT_FAILED)
 
     def on_reply(self, connection: HostConnection, reply: Reply) -> None:
+        """Ends the attempt with a complete response, and keeps the connection if it can be reused."""
         attempt, connection.attempt = connection.attempt, None
         if attempt is None:
             connection.close()
             return
-        keep = reply.keep_alive and connection.is_written
+        reusable = reply.keep_alive and connection.is_written
         self.stop_streaming(connection)
-        if keep:
+        if reusable:
             self.keep_idle(connection)
         else:
             connection.close()
         self.end(attempt, outcome_of(reply), reply)
 
     def stop_streaming(self, connection: HostConnection) -> None:
-        """No long body passes over it any more."""
+        """Ends the streaming of bodies over a connection."""
         if connection.on_piece is not None or connection.upload is not None:
             connection.on_piece = connection.upload = None
             self.bodies.set_streaming(connection, False)
             connection.resume_reading()
 
     def on_malformed_reply(self, connection: HostConnection) -> None:
+        """Closes a connection whose input is not a valid response."""
         attempt, connection.attempt = connection.attempt, None
         connection.close()
         if attempt is not None:
             self.end(attempt, Outcome.ERROR)
 
     def on_connection_lost(self, connection: HostConnection) -> None:
+        """Removes a closed connection and ends its attempt."""
         self.count_closed(connection)
         attempt, connection.attempt = connection.attempt, None
         if connection in connection.host.idle:
@@ -265,6 +273,7 @@
             self.end(attempt, Outcome.RESET if connection.is_written else Outcome.CONNECT_FAILED)
 
     def count_closed(self, connection: HostConnection) -> None:
+        """Takes a closed connection out of the counts of open ones, once."""
         if connection.closed:
             return
         self.bodies.set_streaming(connection, False)
@@ -273,7 +282,7 @@
         self.open_connections -= 1
 
     def sweep(self) -> None:
-        """Close what has stood still, or been idle, for too long."""
+        """Closes connections whose streamed body has stalled, and those that have been idle too long."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self.sweep)
         now = now_us()
         for connection in [c for c in self.bodies.streaming if now - c.last_progress_us > STALL_TIMEOUT_US]:
@@ -282,6 +291,7 @@
         self.close_expired(now)
 
     def close(self) -> None:
+        """Stops the sweep and closes all idle connections."""
         self.sweep_timer.cancel()
         for host in self.hosts.values():
             self.close_idle(host.id)
--- a/cloverkeel/hosts/streamed_bodies.py
+++ b/cloverkeel/hosts/streamed_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies that pass on in pieces, as they go over connections to hosts."""
+"""Streamed request and response bodies on connections to hosts."""
 
 from __future__ import annotations
 
@@ -15,25 +15,28 @@
     from cloverkeel.hosts.connection import HostConnection
     from cloverkeel.hosts.pool import Pools
 
-UNSIZED_WAIT_S = 0.05  # for a body of unknown length to come whole; else it passes on as a long one
-RATE_GRACE_S = 0.25  # for pieces far apart; with the look after it, within half a second of the client's time
-RATE_CHECK_INTERVAL_S = 0.1  # between two looks at how much of an answer has come
+UNSIZED_WAIT_S = 0.05  # for the end of a response of unknown length, before it is streamed
+# Allows for pauses between pieces; with the time to the next check, a response that trickles ends within half
+# a second of its client's deadline.
+RATE_GRACE_S = 0.25
+RATE_CHECK_INTERVAL_S = 0.1
 
 
 class StreamedBodies:
-    """Which connections long bodies pass over, and when these begin and end."""
+    """Tracks the connections that carry streamed bodies, and starts and ends the streaming."""
 
     def __init__(self, pools: Pools) -> None:
         self.pools = pools
         self.streaming: set[HostConnection] = set()
 
-    def set_streaming(self, connection: HostConnection, passes: bool) -> None:
+    def set_streaming(self, connection: HostConnection, streams: bool) -> None:
+        """Records whether a connection carries a streamed body."""
         connection.last_progress_us = now_us()
-        (self.streaming.add if passes else self.streaming.discard)(connection)
+        (self.streaming.add if streams else self.streaming.discard)(connection)
         self.pools.buffer.streamed_bodies = len(self.streaming)
 
     def on_request_body_end(self, connection: HostConnection) -> None:
-        """The last byte of a long body was written, or waits to be: the request's time begins."""
+        """Starts the request's time-out once the last byte of a streamed body is written or buffered."""
         attempt = connection.attempt
         if attempt is None or attempt.ended:
             return
@@ -46,9 +49,9 @@
             self.pools.on_written(connection)
 
     def defer_streaming(self, connection: HostConnection) -> None:
-        """Wait a while for the end of an answer that may be short, so that it could still be tried again.
+        """Waits UNSIZED_WAIT_S for the end of a response of unknown length, as a short one can be retried.
 
-        Guards against holding a long one that comes slowly until its time is out.
+        The limit keeps a long response that comes slowly from being held until the client's deadline.
         """
         attempt = connection.attempt
         assert attempt is not None
@@ -65,7 +68,7 @@
             self.forward_response(connection, replies.streamed_head)
 
     def forward_response(self, connection: HostConnection, head: Reply) -> bool:
-        """Hand on what has come of a long answer; False if it is of no use."""
+        """Passes received data of a streamed response to its consumer; False if the attempt has ended."""
         attempt = connection.attempt
         assert attempt is not None
         if connection.on_piece is None:
@@ -77,7 +80,7 @@
             if connection.on_piece is None:
                 connection.attempt = None
                 connection.close()
-                # A probe's answer is not long; a request's that nobody takes is called off.
+                # No consumer: a probe, which has no use for a long response, or a request that is finished.
                 self.pools.end(attempt, Outcome.CANCELLED if outcome is Outcome.OK else outcome, head)
                 return False
             self.set_streaming(connection, True)
@@ -96,10 +99,10 @@
         ]
 
     def on_rate_check(self, connection: HostConnection, attempt: Attempt) -> None:
-        """End an answer that passes on, is not long so far, and trickles when its client's time is out.
+        """Ends a streamed response below BODY_LIMIT that is slower than the minimum rate at the deadline.
 
-        Guards against one that never ends: its client waited for an end until it left. What comes faster may
-        be a long one, of which the first bytes are timed, and goes on.
+        Without this check a response that never ends would keep its client waiting. One that comes faster may
+        become a long response, whose first bytes alone count for its latency, and goes on.
         """
         if (
             connection.attempt is not attempt
@@ -107,10 +110,10 @@
             or connection.transport is None
         ):
             return
-        least = MIN_BYTES_PER_S * ((now_us() - attempt.response_begun_us) / 1e6 - RATE_GRACE_S)
-        passes = attempt.upload is not None and not attempt.upload.ended
-        if passes or not connection.transport.is_reading() or connection.replies.size >= least:
+        min_bytes = MIN_BYTES_PER_S * ((now_us() - attempt.response_begun_us) / 1e6 - RATE_GRACE_S)
+        uploading = attempt.upload is not None and not attempt.upload.ended
+        if uploading or not connection.transport.is_reading() or connection.replies.size >= min_bytes:
             self.schedule_rate_check(connection, attempt, RATE_CHECK_INTERVAL_S)
         else:
-            # Like one that breaks off: its host failed it, but a time-out would tell of a crowd there.
+            # Ends as if the host had broken it off: a TIMEOUT would indicate that the host is overloaded.
             self.pools.cancel(attempt, Outcome.RESET)
