--- a/cloverkeel/hosts/pool.py
+++ b/cloverkeel/hosts/pool.py
@@ -54,7 +54,7 @@
             if self.write_attempt(connection, attempt):
                 self.counts.reused += 1
                 return
-            # The write itself failed: nothing has reached the host, so the attempt may use another connection.
+            # The write itself failed: nothing has reached the host, so another connection can be used.
             self.counts.stale += 1
         connect_us = self.settings.connect_timeout_us
         attempt.timers.append(later(connect_us / 1e6, self.on_connect_timeout, attempt))
--- a/tests/raw_host.py
+++ b/tests/raw_host.py
@@ -1,4 +1,4 @@
-"""A host whose every step a test makes itself."""
+"""A host that a test controls step by step, and the pool that connects to it."""
 
 from __future__ import annotations
 
@@ -27,10 +27,10 @@
 
 
 def descriptors_to(ports: set[int]) -> int:
-    """This process's own sockets that are connected to one of these ports."""
+    """Counts this process's sockets that are connected to one of these ports."""
     found = 0
     for name in os.listdir("/proc/self/fd"):
-        with suppress(OSError, IndexError, TypeError):  # no socket, or connected to nobody
+        with suppress(OSError, IndexError, TypeError):  # not a socket, or not connected
             copy = os.dup(int(name))
             try:
                 one = socket.socket(fileno=copy)
@@ -48,13 +48,13 @@
 
 
 def wait_until_readable(connection: HostConnection) -> None:
-    """Wait, without a turn of the loop, until what its host has done has arrived at this side."""
+    """Blocks, without running the loop, until the host's last action has arrived at this side."""
     assert connection.poll.poll(5_000)
 
 
 @dataclass
 class RawHost:
-    """A host whose every step the test makes itself, and the pool that reaches it."""
+    """A listening socket whose connections the test handles itself, and the pool that connects to it."""
 
     listener: socket.socket
     pools: Pools
@@ -62,7 +62,7 @@
     accepted: list[socket.socket] = field(default_factory=list)
     ended: list[Outcome] = field(default_factory=list)
     replies: list[Reply | None] = field(default_factory=list)
-    pieces: list[bytes] = field(default_factory=list)  # of long answers
+    pieces: list[bytes] = field(default_factory=list)  # of streamed responses
 
     def send(self, data: bytes = REQUEST, timeout_us: int = TIMEOUT_US) -> Attempt:
         attempt = Attempt(
@@ -82,21 +82,21 @@
         return taken
 
     async def read(self, taken: socket.socket, size: int = len(REQUEST)) -> int:
-        """Bytes that came, up to a size or the end."""
+        """Returns the number of bytes that came, up to a size or the end of the stream."""
         got = 0
         while got < size and (data := await asyncio.get_running_loop().sock_recv(taken, 1 << 20)):
             got += len(data)
         return got
 
     async def exchange(self, *answer: bytes) -> socket.socket:
-        """One request on a new connection, answered: the connection is idle then, if it may be."""
+        """Has one request answered on a new connection, which is idle afterwards if it can be kept."""
         self.send()
         taken = await self.accept()
         await self.read(taken)
         taken.sendall(b"".join(answer) or reply())
         await until(lambda: self.ended)
         for connection in self.known.idle:
-            connection.idle_since_us -= REUSE_DELAY_US  # as if it had rested
+            connection.idle_since_us -= REUSE_DELAY_US  # as if the reuse delay were over
         self.ended.clear()
         self.replies.clear()
         return taken
--- a/tests/streaming.py
+++ b/tests/streaming.py
@@ -1,4 +1,4 @@
-"""Hosts and clients that write and read long bodies as they like."""
+"""Hosts and clients that write and read streamed bodies byte by byte, as a test needs it."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @asynccontextmanager
 async def raw_host(serve: Serve, receive_buffer: int = 0) -> AsyncIterator[str]:
-    """A host that does with each connection what it likes."""
+    """A host that runs `serve` for each connection."""
     tasks: set[asyncio.Task[None]] = set()
 
     async def run(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -48,7 +48,7 @@
 
 
 def single_response(head: str, *pieces: bytes, reset: bool = False) -> Serve:
-    """A host that answers the first request of a connection with this, and ends it."""
+    """A host that answers the first request of a connection with this head and body, and then closes it."""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,4 +1,4 @@
-"""Clients that have gone: what has not begun for them never begins, and nothing is held for them."""
+"""Disconnected clients: no attempt starts for them, and their requests are dropped."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class RawClient:
-    """A client on a socket of its own, which closes while the loop stands still."""
+    """A client on a plain socket, which can disconnect without an iteration of the event loop."""
 
     def __init__(self, run: Running, receive_buffer: int = 0) -> None:
         self.socket = socket.socket()
@@ -46,7 +46,7 @@
     def disconnect(self, how: str = "close") -> None:
         if how == "reset":
             self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        if how == "end":  # of its sending alone: it reads on, or does not
+        if how == "end":  # shuts down its sending side; it may still read
             self.socket.shutdown(socket.SHUT_WR)
         else:
             self.socket.close()
@@ -54,7 +54,7 @@
 
 @contextmanager
 def full_listener() -> Iterator[socket.socket]:
-    """A host whose connections stay away for now: its backlog is taken."""
+    """A host to which no connection is established: its backlog is full."""
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
@@ -69,7 +69,7 @@
 
 PARTIAL_LONG_REQUEST = request("transfer", bytes(200_000))[
     :100_000
-]  # of a long body: it waits for a host to take it
+]  # of a streamed body: it waits for a host
 
 
 @on_loop
@@ -84,7 +84,7 @@
             ends.append(outcome)
 
         known = pools.hosts[host_id(0)]
-        for _ in range(2):  # on a new connection, and on a kept one
+        for _ in range(2):  # on a new connection, and on an idle one
             pools.send(Attempt(known, request, on_end, is_wanted=lambda: False), 20_000_000)
             await until(lambda: known.idle)
         assert ends == [Outcome.NOT_SENT, Outcome.NOT_SENT]
@@ -123,7 +123,7 @@
         told, client = outcomes(run), RawClient(run)
 
         def leave_first(connection: HostConnection, transport: asyncio.BaseTransport) -> None:
-            client.disconnect(how)  # and the loop has had no turn since
+            client.disconnect(how)  # the event loop has not run since
             made(connection, transport)
 
         monkeypatch.setattr(HostConnection, "connection_made", leave_first)
@@ -139,7 +139,7 @@
 @on_loop
 async def test_no_further_attempt_begins_for_a_client_that_leaves_as_the_first_fails(first: bytes) -> None:
     def script(exchange: Exchange) -> None:
-        client.disconnect()  # both are ready in the loop's next poll
+        client.disconnect()  # both events are ready in the loop's next poll
         if first:
             exchange.answer(first)
         else:
@@ -156,7 +156,7 @@
 
 @on_loop
 async def test_a_second_copy_that_comes_up_after_the_answer_is_not_sent() -> None:
-    """Where the settings allow no cancelling nothing called it off."""
+    """Without `mayCancel` in the settings, nothing cancelled the hedged request."""
     with full_listener() as listener:
         async with peer() as host, running(configuration(host, mayCancel=False)) as run:
             told, gateway = outcomes(run), run.gateway
@@ -173,7 +173,7 @@
             assert attempt is not None and attempt.connection is not None and not attempt.ended
             connection = attempt.connection
             attempt.payload = lambda: pytest.fail("it is written")
-            gateway.pools.write_attempt(connection, attempt)  # as if it had come up
+            gateway.pools.write_attempt(connection, attempt)  # as if it had been established
             assert attempt.ended
             await until(lambda: len(told) == 2)
             assert told[1].outcome is Outcome.MOOT and not gateway.pending
@@ -189,7 +189,7 @@
     async with peer(silent) as host, running(configuration(host)) as run:
         if not swept:
             monkeypatch.setattr(run.server, "sweep", lambda: None)
-            await asyncio.sleep(0.25)  # the one that was due
+            await asyncio.sleep(0.25)  # for the sweep that is already scheduled
         client = RawClient(run)
         client.send(b"".join(request("transfer") for _ in range(40)))
         await until(lambda: host.seen)
@@ -200,7 +200,7 @@
             host.seen[0].answer(reply())
         await until(lambda: not run.server.connections)
         if swept:
-            host.seen[0].answer(reply())  # to one that was out before
+            host.seen[0].answer(reply())  # to an attempt that was in flight before
         await until(lambda: not run.gateway.pending)
         assert len(host.seen) == 1 and not connection.queue
 
@@ -223,7 +223,7 @@
         client.send(b"".join(request("transfer") for _ in range(3)))
         await until(lambda: len(connection.queue) == 3)
         client.disconnect("end")
-        await until(lambda: not run.gateway.pending)  # its output still waits, or has been given up
+        await until(lambda: not run.gateway.pending)  # its output is still unsent, or was dropped
         await until(lambda: not run.server.connections)
         assert len(host.seen) == 1 and not connection.queue
         client.disconnect()
@@ -241,7 +241,7 @@
                 await until(lambda n=count: len(run.gateway.pending) == n)  # type: ignore[misc]
             await until(lambda: host.seen)
             second.disconnect()
-            host.seen[0].answer(reply())  # both are ready in the loop's next poll
+            host.seen[0].answer(reply())  # both events are ready in the loop's next poll
             await until(lambda: len(host.seen) == 2)
             host.seen[1].answer(reply())
             await until(lambda: not run.gateway.pending)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""The gateway's end of clients' connections: what crosses it neither resets them nor is sent on."""
+"""Lingering close of clients' connections: input that crosses it causes no reset and is not forwarded."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     until,
 )
 
-LARGE = b"x" * 60_000  # more than the small buffers of both sides
+LARGE = b"x" * 60_000  # exceeds the small socket buffers of both sides
 
 
 @contextmanager
 def raw_client(port: int, receive_buffer: int = 0) -> Iterator[socket.socket]:
-    """A client whose calls take effect at once, between two lines of the gateway's."""
+    """A client on a plain socket, whose calls take effect at once, between two statements of the gateway."""
     with socket.socket() as client:
         if receive_buffer:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
@@ -42,7 +42,7 @@
 
 
 async def read_all(client: socket.socket) -> bytes:
-    """All up to the end of stream; a reset raises ConnectionResetError."""
+    """Reads up to the end of the stream; raises ConnectionResetError at a reset."""
     data, loop = b"", asyncio.get_running_loop()
     while piece := await loop.sock_recv(client, 65536):
         data += piece
@@ -77,7 +77,7 @@
             connection.idle_since_s -= 60
 
             def crossing(linger_s: float = http1.LINGER_S) -> None:
-                client.send(request("transfer"))  # after the last look for one, and before the end
+                client.send(request("transfer"))  # after the check for unread input, and before the close
                 monkeypatch.undo()
                 connection.close(linger_s)
 
@@ -88,8 +88,8 @@
             assert not run.server.connections
             assert await read_all(client) == b""
             assert not host.seen
-            assert list(run.server.lingering) == [connection]  # the client has not ended yet
-        await until(lambda: not run.server.lingering)  # it has, and needs no time to run out
+            assert list(run.server.lingering) == [connection]  # the client has not closed yet
+        await until(lambda: not run.server.lingering)  # it has, which ends the lingering before its time-out
 
 
 @pytest.mark.parametrize("reset", [False, True])
@@ -119,7 +119,7 @@
 async def test_bytes_that_come_behind_the_last_answer_take_none_of_it_along(
     keep: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Closed with the answer half out, the connection was reset over them."""
+    """Closing while part of the response was unsent reset the connection, because of unread input."""
     small_send_buffers(monkeypatch, ClientConnection)
     async with peer(answers(reply(200, LARGE))) as host, running(configuration(host)) as run:
         run.server.draining = not keep
@@ -155,7 +155,7 @@
         await until(lambda: len(rounds) > 2)
         client.send(b"what nobody reads")
         assert (await read_all(client)).endswith(LARGE)
-        await until(lambda: not calls.connections)  # in time, though the client does not end
+        await until(lambda: not calls.connections)  # closed by the time-out, though the client does not close
     calls.close()
 
 
@@ -194,7 +194,7 @@
 async def test_what_follows_in_the_piece_that_brings_the_last_answer_is_not_sent_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The end of a long body may have its request answered at once, in the middle of what is read."""
+    """The end of a streamed body may have its request answered at once, in the middle of a read."""
     async with peer(silent) as host, running(configuration(host)) as run:
         with raw_client(run.port) as client:
             long = request("transfer", b"y" * 150_000)
@@ -242,7 +242,7 @@
 
 @on_loop
 async def test_small_writes_are_not_held_back() -> None:
-    """What the system holds back for more to come goes with a reset: uvloop sets this on each connection."""
+    """A reset discards output that Nagle's algorithm delays; uvloop sets TCP_NODELAY on each connection."""
     async with peer() as host, running(configuration(host)) as run:
         with raw_client(run.port):
             transport = (await connected(run)).transport
@@ -253,7 +253,7 @@
 
 @on_loop
 async def test_a_long_body_with_a_wish_for_another_protocol_ends_its_connection() -> None:
-    """Nothing behind it is read, so its connection must not be kept."""
+    """The parser reads nothing after an upgrade request, so the connection must not be kept."""
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(
--- a/tests/test_deduplication_window.py
+++ b/tests/test_deduplication_window.py
@@ -1,4 +1,4 @@
-"""A keyed request's repeats are dropped for a while: none is written later, however late its connection."""
+"""No retry of a keyed request is written after the deduplication window, however late its connection."""
 
 from __future__ import annotations
 
@@ -32,12 +32,12 @@
     until,
 )
 
-WINDOW_US = 8_000_000  # no test takes so long: the clock is set on
+WINDOW_US = 8_000_000  # longer than a test takes: the clock is advanced
 ConnectHook = Callable[[asyncio.BaseTransport, Callable[[], None]], None]
 
 
 class PoolClock:
-    """The pools' clock, which a test sets on."""
+    """The pools' clock, which a test can advance."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.ahead_us = 0
@@ -51,7 +51,7 @@
 
 
 def when_connected(monkeypatch: pytest.MonkeyPatch, hook: ConnectHook) -> None:
-    """Call `hook` in place of a connection to a host coming up, with what lets it come up."""
+    """Calls `hook` when a connection to a host is established, with a function that tells the pool."""
 
     class Hooked(HostConnection):
         def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -65,7 +65,7 @@
 async def test_a_repeat_is_written_within_the_window_and_not_after_it(
     late_us: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its connection comes up that long after the window's end."""
+    """The connection of the retry is established `late_us` after the end of the window."""
     clock, came = PoolClock(monkeypatch), 0
 
     def hook(_: asyncio.BaseTransport, come_up: Callable[[], None]) -> None:
@@ -80,9 +80,9 @@
         answer = await run.ask(request("hold"))
         assert came == 2
         assert len(one.seen) + len(two.seen) == (1 if late_us > 0 else 2)
-        assert answer.status == 503  # its scope is all hosts: a client's repeat does no harm
+        assert answer.status == 503  # duplicates are dropped across all hosts: a client retry is safe
         rings = sorted(len(s.breaker.ring) for s in run.gateway.balancer.servers.values())
-        assert rings == ([0, 1] if late_us > 0 else [1, 1])  # the host is not to blame
+        assert rings == ([0, 1] if late_us > 0 else [1, 1])  # an unsent retry is no failure of the host
 
 
 @pytest.mark.parametrize("early_us", [0, 50_000])
@@ -90,11 +90,11 @@
 async def test_a_repeat_whose_last_byte_is_not_written_in_the_window_is_called_off(
     early_us: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The second host takes a few kilobytes and no more; the window ends a second later.
+    """The second host accepts a few kilobytes and no more; the window ends a second later.
 
-    Flaky, 1 of 100 and more beside load: the repeat ended as could not connect at its request's end, and not
-    as not sent at the window's. The one timer of the window fired 47 to 278 us before the window's end by
-    the clock, found it not over, and nothing looked again. `early_us` has the timer fire that early.
+    The pool's one timer for the window could fire 47 to 278 us before its end by the clock, and no further
+    one was set: in 1 of 100 runs, and more often under load, the retry ended as CONNECT_FAILED at its
+    request's deadline, not as NOT_SENT at the end of the window. `early_us` makes the timer fire that early.
     """
     clock, partly, ended = PoolClock(monkeypatch), [], []
     body = b"x" * 60_000
@@ -148,7 +148,7 @@
 async def test_a_first_attempt_that_connects_late_is_no_repeat_after_the_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A second copy has gone out while the first connection came up: the first attempt is the repeat now."""
+    """A hedged request was sent while the first attempt was connecting: the first one is the retry now."""
     clock, held = PoolClock(monkeypatch), []
 
     def hook(_: asyncio.BaseTransport, come_up: Callable[[], None]) -> None:
@@ -158,14 +158,14 @@
 
     when_connected(monkeypatch, hook)
     async with peer(silent) as one, peer(silent) as two:
-        config = keyed(one, two, second_copies=True, aimUs=40_000)  # so that the first is soon overdue
+        config = keyed(one, two, second_copies=True, aimUs=40_000)  # so that a hedged request is soon sent
         async with running(config) as run:
             client = await run.connect()
             client.send(request("hold"))
             await until(lambda: one.seen or two.seen)
             clock.ahead_us = WINDOW_US + 1_000
             held[0]()
-            await until(lambda: one.ended + two.ended == 1)  # the late connection, unused
+            await until(lambda: one.ended + two.ended == 1)  # the late connection, closed unused
             (exchange,) = one.seen + two.seen
             exchange.answer(reply(200, b"once"))
             assert (await client.answer()).body == b"once"
@@ -180,7 +180,7 @@
 def test_a_further_attempt_has_a_last_moment_after_one_that_may_have_run(
     klass: RequestClass, outcome: Outcome, bound: bool
 ) -> None:
-    """By the class as it was when the request came: the window is shorter by the end of the first attempt."""
+    """The window starts at the first attempt and is that of the class when the request arrived."""
     driver = Driver(replace(SETTINGS, classes=(klass,)), servers=4)
     sent_us = driver.now_us
     name, actions = driver.arrive(patience_us=klass.give_up_us)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients that take all descriptors: hosts, discovery and other clients are still served."""
+"""With more idle clients than descriptors, hosts, discovery and other clients still get connections."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from tests.test_closing import raw_client
 from tests.test_gateway_process import READY, ROOT, ask
 
-LIMIT = 200  # of the process, in RLIMIT_NOFILE
+LIMIT = 200  # RLIMIT_NOFILE of the process
 
 
 @contextmanager
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("told", [LIMIT, 1024])
 @on_loop
 async def test_idle_clients_take_no_descriptor_that_others_need(tmp_path: Path, told: int) -> None:
-    """Where the process is told of its limit; where not, `accept` meets it, and the listener outlives it."""
+    """With the limit configured, and without: then `accept` fails at it, which the listener must survive."""
     discovery = f"127.0.0.1:{free_port()}"
     async with peer() as host, peer(answers(reply(200, b"new"))) as new:
         config = configuration(host, discovery=discovery) | {"listen": f"127.0.0.1:{free_port()}"}
@@ -93,7 +93,7 @@
             object.__setattr__(run.server.config, "sockets", 30)
             with raw_client(run.port) as later:
                 later.send(request("transfer"))
-                with pytest.raises(ConnectionResetError):  # what it has sent is unread
+                with pytest.raises(ConnectionResetError):  # its request was not read
                     await loop.sock_recv(later, 1)
             busy.send(data[-2:])
             answer = await loop.sock_recv(busy, 65536)
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""From SIGTERM to the end: what was taken is answered, and who was let in is served."""
+"""Graceful shutdown: accepted requests are answered, and connections in the backlog are served."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 async def test_who_waits_to_be_accepted_is_served_before_the_listener_closes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The system has let them in, and would reset them with what they have sent."""
+    """The kernel has established these connections and resets them if the listener closes."""
     monkeypatch.setattr(server, "ACCEPT_AFTER_TERM_S", 0.0)
     async with peer() as host, running(configuration(host)) as run:
         clients = [socket.create_connection(("127.0.0.1", run.port)) for _ in range(20)]
         for client in clients:
-            client.sendall(request("transfer"))  # and the loop has had no turn since
+            client.sendall(request("transfer"))  # the event loop has not run since
             client.setblocking(False)
         draining = asyncio.create_task(run.server.drain())
         for client in clients:
@@ -76,7 +76,7 @@
 
 @on_loop
 async def test_a_request_that_has_come_behind_the_current_one_is_answered_on_the_way_out() -> None:
-    """It has reached the machine, while the answer of the one before it is written."""
+    """The request has reached the kernel while the response to the previous one is written."""
     async with peer(silent) as host, running(configuration(host)) as run:
         with raw_client(run.port) as client:
             client.send(request("transfer"))
@@ -95,7 +95,7 @@
 async def test_when_time_is_out_all_is_answered_in_turn_and_slow_readers_get_all_of_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The process ended 0.02 s later, with what they had not yet taken."""
+    """The process exited 0.02 s later, and slow readers lost the rest of their responses."""
     small_send_buffers(monkeypatch, ClientConnection)
     monkeypatch.setattr(server, "FAIL_MARGIN_S", 20.0)
     async with peer(answers(reply(200, LARGE))) as host, running(configuration(host)) as run:
@@ -112,7 +112,7 @@
             run.server.draining = True
             failing = asyncio.create_task(run.server.fail_pending())
             await until(lambda: len(run.server.lingering) == 2)
-            slow.send(request("transfer"))  # clients go on sending
+            slow.send(request("transfer"))  # clients keep sending
             got = await read_all(held)
             assert got.count(b"HTTP/1.1 504 ") == 2 and got.count(b"Connection: close") == 1
             held.close()
@@ -183,7 +183,7 @@
 
 @on_loop
 async def test_a_changed_file_and_a_signal_during_the_start_are_not_missed(tmp_path: Path) -> None:
-    """The file had been read, and the signal was ignored until all was set up."""
+    """SIGHUP was ignored until the start was complete, though the file had been read before."""
     async with peer() as host, peer() as moved:
         moved.script = answers(list_reply(8))
         file = tmp_path / "config.json"
@@ -228,14 +228,14 @@
             seen.append(await ask(port, READY))
             await asyncio.sleep(0.002)
         assert await ended == 0
-        told = [status for status in seen if status]  # 0: no answer
-        # The loop may meet the signal and the first question in one round.
+        told = [status for status in seen if status]  # 0: no response
+        # The loop may handle the signal and the first check in the same iteration.
         assert 503 in told and 200 not in told[1:]
 
 
 @on_loop
 async def test_a_dropped_class_s_deadline_is_not_waited_for() -> None:
-    """Else what is left would be answered as failed only when the kill has come."""
+    """Otherwise pending requests would be failed only after the platform has killed the process."""
     async with peer() as host, running(configuration(host)) as run:
         settings = run.server.config.settings
         first, *others = settings.classes
--- a/tests/test_host_answers.py
+++ b/tests/test_host_answers.py
@@ -1,4 +1,4 @@
-"""What a host is told of the time, and answers that never end or come after another."""
+"""The time budget that a host receives, and responses that never end or follow another one."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 async def test_what_a_host_is_told_of_the_time_is_what_is_left_when_it_is_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Where a connection came up late, its host was told of time that had gone meanwhile."""
+    """If connecting took long, the host was told a budget that included the time spent on it."""
     async with peer() as host, running(configuration(host)) as run:
         pools = run.gateway.pools
         on_connected = pools.on_connected
@@ -40,7 +40,7 @@
 async def test_a_blank_line_ahead_of_an_answer_does_not_bring_back_the_one_before(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The head of a long answer went out a second time, to the next request on its connection."""
+    """The head of a streamed response was sent again, to the next request on its connection."""
     reads = 0
     buffer_updated = HostConnection.buffer_updated
 
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("form", TRICKLES)
 @on_loop
 async def test_an_answer_that_never_ends_is_over_with_its_client_s_time(form: str) -> None:
-    """One of unknown length passed on for as long as its client stayed: timers end where it begins."""
+    """A response of unknown length was streamed until its client left: timers end where streaming starts."""
     head, piece, ends = TRICKLES[form]
 
     async def script(exchange: Exchange) -> None:
@@ -101,7 +101,7 @@
                 with pytest.raises(ConnectionResetError):
                     await client.reader.read()
             await until(lambda: run.gateway.pools.open_connections == 0 and not run.gateway.pending)
-        # One that has begun and is cut off tells of its host, and of no crowd there: that is for time-outs.
+        # A streamed response that is cut off is a failure of the host; only a time-out indicates overload.
         assert [event.outcome for event in told] == [Outcome.RESET if ends == "broken" else Outcome.TIMEOUT]
         client.close()
 
@@ -110,20 +110,20 @@
 async def test_a_slow_long_answer_goes_on_when_its_client_s_time_is_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Over 64 KiB the first bytes are timed, also of an answer that is not yet long when the time is out."""
-    looks = 0
+    """A response beyond 64 KiB is judged by its first bytes, even if it is still below at the deadline."""
+    checks = 0
     on_rate = StreamedBodies.on_rate_check
 
     def counted(bodies: StreamedBodies, connection: HostConnection, attempt: Attempt) -> None:
-        nonlocal looks
-        looks += 1
+        nonlocal checks
+        checks += 1
         on_rate(bodies, connection, attempt)
 
     async def script(exchange: Exchange) -> None:
         exchange.answer(
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2710\r\n%s\r\n" % bytes(10_000)
         )
-        await until(lambda: looks >= 3)
+        await until(lambda: checks >= 3)
         exchange.answer(b"15f90\r\n%s\r\n0\r\n\r\n" % bytes(90_000))
 
     monkeypatch.setattr(StreamedBodies, "on_rate_check", counted)
@@ -134,5 +134,5 @@
         data = b""
         while not data.endswith(b"\r\n0\r\n\r\n"):
             data += await client.reader.readexactly(1)
-        assert data.count(b"\0") == 100_000 and looks >= 3
+        assert data.count(b"\0") == 100_000 and checks >= 3
         client.close()
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -1,4 +1,4 @@
-"""What crosses on a connection to a host: bytes, an end or a reset between two steps of this side."""
+"""Races on a connection to a host: input, a close or a reset between two steps of the gateway."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from tests.raw_host import REQUEST, TIMEOUT_US, descriptors_to, raw_host, reset, wait_until_readable
 from tests.sockets import on_loop, peer, reply, request, until
 
-SMALL = 65_536  # a socket's buffer: far less than what is written
+SMALL = 65_536  # socket buffer, far smaller than the data written
 
 
 def run_before_write(monkeypatch: pytest.MonkeyPatch, does: Callable[[HostConnection], None]) -> None:
-    """Have something happen between `take`, which found a connection fresh, and the write to it."""
+    """Runs `does` between `take_idle`, which found a connection quiet, and the write to it."""
     is_fresh = HostConnection.is_quiet
 
     def crossed(connection: HostConnection) -> bool:
@@ -37,7 +37,7 @@
 async def test_a_reset_that_crosses_the_write_leaves_the_request_to_another_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The write itself fails: not a byte of it can have arrived."""
+    """The write itself fails, so not a byte of it can have arrived."""
     async with raw_host() as host:
         first = await host.exchange()
         run_before_write(monkeypatch, lambda connection: reset(first))
@@ -136,7 +136,7 @@
 async def test_a_host_that_moves_while_a_connection_comes_up_gets_the_request_at_its_new_address(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Another host may stand at the old one by now."""
+    """Its old address may belong to another host by now."""
     async with raw_host() as host, peer() as moved:
         on_connected = host.pools.on_connected
 
@@ -158,7 +158,7 @@
 @pytest.mark.parametrize("end", ["orderly", "reset"])
 @on_loop
 async def test_a_reset_is_no_end_of_an_answer_without_a_length(end: str, passing: bool, size: int) -> None:
-    """Its last bytes and what ends it are there in one poll."""
+    """The last bytes and the close or reset are seen in one poll."""
     async with raw_host() as host:
         host.send()
         taken = await host.accept()
@@ -186,7 +186,7 @@
         host.pools.update_host(1, "h", address, True)
         again = host.pools.hosts[1]
         late = await host.accept()
-        assert await host.read(late) == len(REQUEST)  # within the grace
+        assert await host.read(late) == len(REQUEST)  # within stop_sending_within_us
         taken.sendall(reply())
         late.sendall(reply())
         await until(lambda: len(host.ended) == 2)
@@ -197,7 +197,7 @@
 @pytest.mark.parametrize("rested", [False, True])
 @on_loop
 async def test_a_second_answer_that_is_late_is_not_the_next_request_s(rested: bool) -> None:
-    """After that one's last byte nobody could tell: its connection is not used again before."""
+    """Once the next request is written it would pass for its response: connections are not reused at once."""
     async with raw_host() as host:
         first = await host.exchange()
         if not rested:
@@ -219,7 +219,7 @@
 
 @on_loop
 async def test_an_answer_that_came_in_time_is_taken_though_the_time_out_is_due_too() -> None:
-    """A busy loop has both at once, and fires what is due before it reads."""
+    """After a busy period both are due at once, and the loop runs timers before it reads."""
     async with raw_host() as host:
         host.send(timeout_us=100_000)
         taken = await host.accept()
@@ -228,7 +228,7 @@
         here, there = socket.socketpair()
 
         def busy() -> None:
-            """While it reads from another socket: what comes meanwhile is read in the next turn only."""
+            """Blocks the loop in a read callback: what arrives meanwhile is read in the next iteration."""
             loop.remove_reader(here)
             taken.sendall(reply(200, b"mine"))
             time.sleep(0.15)
--- a/tests/test_host_descriptors.py
+++ b/tests/test_host_descriptors.py
@@ -1,4 +1,4 @@
-"""Connections to hosts are counted once while they are there, whatever ends them."""
+"""The count of open connections to hosts stays exact, whatever ends a connection."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def serving(rng: random.Random) -> Callable[[Exchange], None]:
-    """A host that does anything with a request."""
+    """A host that handles each request in one of many ways, chosen at random."""
 
     def closing(exchange: Exchange, data: bytes) -> None:
         exchange.answer(data)
@@ -61,7 +61,7 @@
         full.bind(("127.0.0.1", 0))
         full.listen(0)
         fill = [socket.socket() for _ in range(4)]
-        for one in fill:  # a backlog that is full lets nothing more come up
+        for one in fill:  # with a full backlog no further connection is established
             one.setblocking(False)
             one.connect_ex(full.getsockname())
         async with peer(serving(rng)) as first, peer(serving(rng)) as second:
@@ -104,7 +104,7 @@
                     await until(lambda: pools.open_connections == descriptors_to(ports))
                     assert pools.open_connections == sum(host.open_connections for host in hosts)
             await until(lambda: len(ended) == len(out))
-            assert len({id(attempt) for attempt in ended}) == len(out)  # each ended once
+            assert len({id(attempt) for attempt in ended}) == len(out)  # each ended exactly once
             pools.close()
             await until(lambda: pools.open_connections == descriptors_to(ports) == 0)
             assert (
--- a/tests/test_streamed_answers.py
+++ b/tests/test_streamed_answers.py
@@ -1,4 +1,4 @@
-"""Long and slow answers: framing, back-pressure, ends and breaks."""
+"""Streamed and slow responses: framing, backpressure, early ends and aborts."""
 
 from __future__ import annotations
 
@@ -157,7 +157,7 @@
             await loop.sock_connect(slow, ("127.0.0.1", gateway.port))
             await loop.sock_sendall(slow, request("search"))
             await until(lambda: any(c.write_blocked_since_s < 1e300 for c in gateway.server.connections))
-            while True:  # until nothing moves any more
+            while True:  # until backpressure has stopped the host
                 before = written
                 await asyncio.sleep(0.1)
                 if written == before:
@@ -208,7 +208,7 @@
 
 @on_loop
 async def test_an_answer_of_unknown_length_that_comes_slowly_passes_before_it_is_long() -> None:
-    """Held until 64 KiB were there, it ran out of time."""
+    """Held back until 64 KiB had arrived, the response exceeded its deadline."""
     rest = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -232,7 +232,7 @@
 
 @on_loop
 async def test_a_head_alone_is_not_passed_on() -> None:
-    """The host may have died behind it, and the request may still go elsewhere."""
+    """The host may have failed after the head, and the request can still be retried at another host."""
     heads = 0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -1,4 +1,4 @@
-"""Long and slow bodies of requests: framing, back-pressure, ends, breaks and rates."""
+"""Streamed and slow request bodies: framing, backpressure, early ends, aborts and minimum rates."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Sink:
-    """A host that takes bodies of any form and answers with what it took."""
+    """A host that accepts bodies in any framing and answers with their SHA-256."""
 
     def __init__(self) -> None:
         self.heads: list[dict[str, str]] = []
@@ -125,7 +125,7 @@
         client = await gateway.connect()
         client.send(request("transfer", BODY)[:200_000])
         await until(lambda: sink.heads)
-        assert read(gateway)["lb_in_progress"] == 0  # not yet taken
+        assert read(gateway)["lb_in_progress"] == 0  # its body is incomplete
         client.close()
         await until(lambda: sink.broken)
         assert not sink.bodies and not gateway.gateway.pending and gateway.gateway.buffer.streamed_bodies == 0
@@ -153,15 +153,15 @@
 
     async with raw_host(serve) as one, raw_host(serve) as two, running(configuration(one, two)) as gateway:
         client = await gateway.connect()
-        client.send(request("transfer", BODY, content_length="1000000"))  # the rest is still to come
-        assert (await client.answer()).status == 503  # never whole: it has not run
+        client.send(request("transfer", BODY, content_length="1000000"))  # the rest is still unsent
+        assert (await client.answer()).status == 503  # never complete, so it has not been processed
         assert heads == 1
         client.close()
 
 
 @on_loop
 async def test_a_body_that_is_answered_early_is_read_to_its_end_and_the_connection_goes_on() -> None:
-    """Its connection was ended under the client, which was still sending."""
+    """The connection was closed while the client was still sending."""
     async with running(configuration("127.0.0.1:1")) as gateway:
         client = await gateway.connect()
         data = request("transfer", BODY)
@@ -217,7 +217,7 @@
         connection = next(iter(gateway.server.connections))
         await until(lambda: connection.body_size > 200_000 and connection.paused_since_s < 1e300)
         assert connection.body_size < 16_000_000
-        assert not connection.is_overdue(1e9)  # the client is not to blame
+        assert not connection.is_overdue(1e9)  # time in which reading is paused does not count
         going.set()
         assert (await client.answer()).body == b"all"
         client.close()
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -1,4 +1,4 @@
-"""Long bodies both ways: cut anywhere, the memory they take, and what the module makes of them."""
+"""Streamed bodies in both directions: splits at any byte, memory use, and the balancer's bookkeeping."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from tests.test_gateway_process import program
 from tests.streaming import BODY, chunked, in_chunks, raw_host
 
-# Every cut
+# Splits at any byte
 
 
 @on_loop
@@ -38,7 +38,7 @@
 
 @on_loop
 async def test_blanks_behind_a_header_s_value_are_no_part_of_it() -> None:
-    """They made the class unknown and the budget no number."""
+    """Trailing whitespace made the class unknown and the budget invalid."""
     async with peer() as host, running(configuration(host)) as gateway:
         data = request("search", x_call_class="search \t", x_budget_ms="20000  ", x_call_cost="5 ")
         assert (await gateway.ask(data)).status == 200
@@ -51,7 +51,7 @@
     data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nA: b \r\n\r\n" + chunked(
         body, 777, b";e", b"T: v\r\n"
     )
-    for _ in range(2):  # on one connection
+    for _ in range(2):  # two responses on one connection
         got, ended = b"", None
         for at in range(0, len(data), size):
             assert ended is None
@@ -97,7 +97,7 @@
 
 @on_loop
 async def test_memory_stays_small_while_long_bodies_stand_still(tmp_path: Path) -> None:
-    """Forty of 32 MB: together forty times what the process may take."""
+    """40 bodies of 32 MB: together 40 times the memory limit of the process."""
     begun = 0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -140,7 +140,7 @@
                 client.close()
 
 
-# The module
+# The balancer
 
 
 def test_no_copy_goes_out_of_a_body_that_has_gone_on() -> None:
@@ -170,7 +170,7 @@
 
 
 def test_an_answer_that_begins_before_the_body_ends_is_no_work_in_hand_again() -> None:
-    """With the body's end its server counted as silent until the answer had ended."""
+    """At the end of the body, its server counted as silent until the response had ended."""
     driver = Driver(servers=1)
     name, _ = driver.arrive(open=True)
     driver.handle(StreamStarted(name, 0))
@@ -213,7 +213,7 @@
 
 @on_loop
 async def test_what_has_gone_on_is_no_longer_held() -> None:
-    """Each long body was held three times over until its request ended."""
+    """Each streamed body was held in memory three times until its request ended."""
     async with peer(silent) as host, running(configuration(host)) as gateway:
         client = await gateway.connect()
         client.send(request("transfer", BODY, content_length="1000000"))
