--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -155,7 +155,7 @@
 
 
 @on_loop
-async def test_a_second_copy_that_comes_up_after_the_answer_is_not_sent() -> None:
+async def test_a_hedged_request_that_connects_after_the_response_is_not_sent() -> None:
     """Without `mayCancel` in the settings, nothing cancelled the hedged request."""
     with full_listener() as listener:
         async with peer() as host, running(configuration(host, mayCancel=False)) as run:
@@ -183,7 +183,7 @@
 @pytest.mark.parametrize("swept", [False, True])
 @pytest.mark.parametrize("how", ["close", "reset"])
 @on_loop
-async def test_none_of_many_requests_begins_once_their_client_has_gone_though_reading_is_paused(
+async def test_no_pipelined_request_begins_once_its_client_has_gone_though_reading_is_paused(
     how: str, swept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
@@ -230,7 +230,7 @@
 
 
 @on_loop
-async def test_a_client_that_leaves_a_key_s_line_costs_the_next_one_no_turn() -> None:
+async def test_a_client_that_leaves_a_key_queue_does_not_hold_up_the_next_one() -> None:
     async with peer(silent) as host:
         config = configuration(host, mayCancel=False)
         config["settings"]["lanes"][2]["sequential"] = True
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -252,7 +252,7 @@
 
 
 @on_loop
-async def test_a_long_body_with_a_wish_for_another_protocol_ends_its_connection() -> None:
+async def test_a_streamed_body_with_an_upgrade_request_closes_its_connection() -> None:
     """The parser reads nothing after an upgrade request, so the connection must not be kept."""
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
--- a/tests/test_deduplication_window.py
+++ b/tests/test_deduplication_window.py
@@ -62,7 +62,7 @@
 
 @on_loop
 @pytest.mark.parametrize("late_us", [-1_000_000, 1_000])
-async def test_a_repeat_is_written_within_the_window_and_not_after_it(
+async def test_a_retry_is_written_within_the_window_and_not_after_it(
     late_us: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The connection of the retry is established `late_us` after the end of the window."""
@@ -87,7 +87,7 @@
 
 @pytest.mark.parametrize("early_us", [0, 50_000])
 @on_loop
-async def test_a_repeat_whose_last_byte_is_not_written_in_the_window_is_called_off(
+async def test_a_retry_whose_last_byte_is_not_written_in_the_window_is_cancelled(
     early_us: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The second host accepts a few kilobytes and no more; the window ends a second later.
@@ -145,7 +145,7 @@
 
 
 @on_loop
-async def test_a_first_attempt_that_connects_late_is_no_repeat_after_the_window(
+async def test_a_first_attempt_that_connects_late_is_not_written_after_the_window(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A hedged request was sent while the first attempt was connecting: the first one is the retry now."""
@@ -177,7 +177,7 @@
     ("klass", "outcome", "bound"),
     [(KEYED, Outcome.ERROR, True), (KEYED, Outcome.CONNECT_FAILED, False), (SAFE, Outcome.ERROR, False)],
 )
-def test_a_further_attempt_has_a_last_moment_after_one_that_may_have_run(
+def test_a_retry_has_a_write_deadline_after_an_attempt_that_may_have_run(
     klass: RequestClass, outcome: Outcome, bound: bool
 ) -> None:
     """The window starts at the first attempt and is that of the class when the request arrived."""
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -33,7 +33,7 @@
 
 
 @on_loop
-async def test_who_waits_to_be_accepted_is_served_before_the_listener_closes(
+async def test_connections_in_the_backlog_are_served_before_the_listener_closes(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The kernel has established these connections and resets them if the listener closes."""
@@ -75,7 +75,7 @@
 
 
 @on_loop
-async def test_a_request_that_has_come_behind_the_current_one_is_answered_on_the_way_out() -> None:
+async def test_a_request_pipelined_behind_the_current_one_is_answered_while_draining() -> None:
     """The request has reached the kernel while the response to the previous one is written."""
     async with peer(silent) as host, running(configuration(host)) as run:
         with raw_client(run.port) as client:
@@ -92,7 +92,7 @@
 
 
 @on_loop
-async def test_when_time_is_out_all_is_answered_in_turn_and_slow_readers_get_all_of_it(
+async def test_after_the_drain_timeout_all_is_answered_in_order_and_slow_readers_get_all_of_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The process exited 0.02 s later, and slow readers lost the rest of their responses."""
@@ -126,7 +126,7 @@
 
 
 @on_loop
-async def test_it_does_not_wait_for_those_who_do_not_end(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_shutdown_does_not_wait_for_clients_that_do_not_close(monkeypatch: pytest.MonkeyPatch) -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         monkeypatch.setattr(server, "FAIL_MARGIN_S", server.EXIT_MARGIN_S)
         with raw_client(run.port) as client:
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("bytes_", [b"H", b"HTTP/1.", b"HTTP/1.1 200 OK\r\nContent-Le", b"\0", b"0\r\n\r\n"])
 @on_loop
-async def test_half_a_line_that_crosses_the_write_spoils_the_answer(
+async def test_partial_input_that_crosses_the_write_fails_the_attempt(
     bytes_: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with raw_host() as host:
--- a/tests/test_streamed_answers.py
+++ b/tests/test_streamed_answers.py
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("head", [whole(BODY), "HTTP/1.1 200 OK\nTransfer-Encoding: chunked\n"])
 @on_loop
-async def test_an_old_client_hears_one_word_about_its_connection(head: str) -> None:
+async def test_an_http10_client_gets_one_connection_header(head: str) -> None:
     data = BODY if "Length" in head else chunked(BODY)
     async with raw_host(single_response(head, data)) as host, running(configuration(host)) as gateway:
         client = await gateway.connect()
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -83,7 +83,7 @@
 
 
 @on_loop
-async def test_a_client_that_waits_for_word_is_told_to_go_on_in_its_turn() -> None:
+async def test_100_continue_is_sent_once_earlier_requests_are_answered() -> None:
     async with peer(silent) as host, running(configuration(host)) as gateway:
         client = await gateway.connect()
         body = BODY[:5]
@@ -188,7 +188,7 @@
 
 
 @on_loop
-async def test_a_long_body_goes_elsewhere_while_none_of_it_has_gone_on() -> None:
+async def test_a_streamed_body_is_retried_while_none_of_it_was_sent() -> None:
     sink = Sink()
     async with raw_host(sink) as good, running(configuration("127.0.0.1:1", good)) as gateway:
         for _ in range(6):
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -143,7 +143,7 @@
 # The balancer
 
 
-def test_no_copy_goes_out_of_a_body_that_has_gone_on() -> None:
+def test_a_request_whose_body_is_being_streamed_is_not_hedged() -> None:
     driver = Driver()
     name, actions = driver.arrive(open=True)
     driver.handle(BodyPassing(name, 0))
@@ -169,7 +169,7 @@
     assert driver.balancer.in_flight == 0 and not server.in_flight
 
 
-def test_an_answer_that_begins_before_the_body_ends_is_no_work_in_hand_again() -> None:
+def test_a_response_that_begins_before_the_body_ends_is_not_counted_in_flight_again() -> None:
     """At the end of the body, its server counted as silent until the response had ended."""
     driver = Driver(servers=1)
     name, _ = driver.arrive(open=True)
@@ -212,7 +212,7 @@
 
 
 @on_loop
-async def test_what_has_gone_on_is_no_longer_held() -> None:
+async def test_the_part_of_a_body_that_was_sent_is_no_longer_held() -> None:
     """Each streamed body was held in memory three times until its request ended."""
     async with peer(silent) as host, running(configuration(host)) as gateway:
         client = await gateway.connect()
