--- a/cloverkeel/front/requests.py
+++ b/cloverkeel/front/requests.py
@@ -194,6 +194,7 @@
 
 
 def _parse_integer(text: bytes | None, name: str) -> int | None:
+    """Parses a header value of up to 15 digits; raises RequestError if it is anything else."""
     if text is None:
         return None
     if not text.isdigit() or len(text) > 15:
--- a/cloverkeel/hosts/connection.py
+++ b/cloverkeel/hosts/connection.py
@@ -94,11 +94,13 @@
             self.transport.pause_reading()
 
     def resume_reading(self) -> None:
+        """Resumes reading once the client has caught up."""
         self.last_progress_us = now_us()
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
     def close(self) -> None:
+        """Closes the connection at once and drops unsent output."""
         if self.transport is not None:
             self.transport.abort()
 
--- a/cloverkeel/hosts/pool.py
+++ b/cloverkeel/hosts/pool.py
@@ -87,10 +87,12 @@
         self.schedule_write_deadline(attempt)
 
     def schedule_write_deadline(self, attempt: Attempt) -> None:
+        """Sets the timer for an attempt's write deadline."""
         delay_s = max(0, attempt.write_deadline_us - now_us()) / 1e6 + MIN_TIMER_DELAY_S
         attempt.timers.append(self.loop.call_later(delay_s, self.on_write_deadline, attempt))
 
     def on_write_deadline(self, attempt: Attempt) -> None:
+        """Cancels an attempt that is not fully written at its write deadline."""
         if now_us() <= attempt.write_deadline_us:
             # The loop counts in whole milliseconds from the start of its iteration, so a timer may fire some
             # hundred microseconds early. Without another timer the deadline would not be enforced.
@@ -170,14 +172,17 @@
             self.time_out(attempt)
 
     def time_out(self, attempt: Attempt) -> None:
+        """Ends an attempt with the outcome of a time-out."""
         # A request that was not fully written cannot have been processed, nor can one still connecting.
         self.cancel(attempt, Outcome.TIMEOUT if self.is_written(attempt) else Outcome.CONNECT_FAILED)
 
     def on_connect_timeout(self, attempt: Attempt) -> None:
+        """Fails an attempt that is still connecting, after any finished connect is processed."""
         if attempt.connection is not None and attempt.connection.transport is None:
             self.call_after_reads(attempt, self.time_out_connecting)
 
     def time_out_connecting(self, attempt: Attempt) -> None:
+        """Fails an attempt that is still connecting."""
         if attempt.connection is not None and attempt.connection.transport is None:
             self.cancel(attempt, Outcome.CONNECT_FAILED)
 
--- a/cloverkeel/hosts/streamed_bodies.py
+++ b/cloverkeel/hosts/streamed_bodies.py
@@ -62,6 +62,7 @@
             attempt.timers.append(attempt.defer_timer)
 
     def on_defer_timeout(self, connection: HostConnection, attempt: Attempt) -> None:
+        """Starts streaming a response whose end has not come within UNSIZED_WAIT_S."""
         attempt.defer_timer = None
         replies = connection.replies
         if connection.attempt is attempt and replies.begin_streaming() and replies.streamed_head is not None:
@@ -80,7 +81,7 @@
             if connection.on_piece is None:
                 connection.attempt = None
                 connection.close()
-                # No consumer: a probe, which has no use for a long response, or a request that is finished.
+                # Not streamed: an error, a response to a probe, or one whose request is already finished.
                 self.pools.end(attempt, Outcome.CANCELLED if outcome is Outcome.OK else outcome, head)
                 return False
             self.set_streaming(connection, True)
@@ -94,6 +95,7 @@
         return connection.attempt is attempt
 
     def schedule_rate_check(self, connection: HostConnection, attempt: Attempt, delay_s: float) -> None:
+        """Sets the next rate check, which replaces the attempt's cancelled timers."""
         attempt.timers = [
             self.pools.loop.call_later(max(0, delay_s), self.on_rate_check, connection, attempt)
         ]
