--- a/cloverkeel/hosts/streamed_bodies.py
+++ b/cloverkeel/hosts/streamed_bodies.py
@@ -95,7 +95,7 @@
         return connection.attempt is attempt
 
     def schedule_rate_check(self, connection: HostConnection, attempt: Attempt, delay_s: float) -> None:
-        """Sets the next rate check, which replaces the attempt's cancelled timers."""
+        """Sets the next rate check; the attempt's other timers have fired or are cancelled."""
         attempt.timers = [
             self.pools.loop.call_later(max(0, delay_s), self.on_rate_check, connection, attempt)
         ]
