--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -176,7 +176,7 @@
             gateway.pools.write_attempt(connection, attempt)  # as if it had been established
             assert attempt.ended
             await until(lambda: len(told) == 2)
-            assert told[1].outcome is Outcome.MOOT and not gateway.pending
+            assert told[1].outcome is Outcome.NOT_SENT and not gateway.pending
             client.close()
 
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -145,7 +145,7 @@
 
 def test_a_request_whose_body_is_being_streamed_is_not_hedged() -> None:
     driver = Driver()
-    name, actions = driver.arrive(open=True)
+    name, actions = driver.arrive(body_incomplete=True)
     driver.handle(BodyPassing(name, 0))
     driver.now_us += 100_000
     for timer in list(driver.timers):
@@ -156,7 +156,7 @@
 
 def test_the_time_of_a_request_begins_with_its_last_byte() -> None:
     driver = Driver(servers=1)
-    name, _ = driver.arrive(open=True)
+    name, _ = driver.arrive(body_incomplete=True)
     server = driver.balancer.servers[0]
     request_ = driver.balancer.requests[name]
     deadline_us, aim_us = request_.deadline_us, request_.aim_us
@@ -172,7 +172,7 @@
 def test_a_response_that_begins_before_the_body_ends_is_not_counted_in_flight_again() -> None:
     """At the end of the body, its server counted as silent until the response had ended."""
     driver = Driver(servers=1)
-    name, _ = driver.arrive(open=True)
+    name, _ = driver.arrive(body_incomplete=True)
     driver.handle(StreamStarted(name, 0))
     driver.handle(BodyEnded(name))
     assert driver.balancer.in_flight == 0 and not driver.balancer.servers[0].in_flight
@@ -204,7 +204,7 @@
 
 def test_settings_may_change_while_a_body_passes() -> None:
     driver = Driver(servers=1)
-    name, _ = driver.arrive(open=True)
+    name, _ = driver.arrive(body_incomplete=True)
     driver.handle(SettingsChanged(SETTINGS))
     driver.handle(BodyEnded(name))
     driver.end(name, 0)
