--- a/cloverkeel/front/requests.py
+++ b/cloverkeel/front/requests.py
@@ -52,7 +52,7 @@
         "target",
         "transform_response",
         "upload",
-    )  # fmt: skip
+    )
 
     def __init__(self) -> None:
         self.method = b""
--- a/cloverkeel/front/server.py
+++ b/cloverkeel/front/server.py
@@ -18,13 +18,13 @@
 from cloverkeel.gateway import Gateway
 from cloverkeel.http1 import WRITE_STALL_S, log
 
-ACCEPT_AFTER_TERM_S = 1.0  # accepting goes on for so long after SIGTERM: clients still connect for 0.4 s
-# The platform kills the process so long after SIGTERM and the longest deadline of a class; a deadline beyond
-# MAX_DEADLINE_S counts as MAX_DEADLINE_S.
+ACCEPT_AFTER_TERM_S = 1.0  # accepting continues this long after SIGTERM, as clients connect for another 0.4 s
+# The platform kills the process at the longest deadline of a class plus this time after SIGTERM; a deadline
+# beyond MAX_DEADLINE_S counts as MAX_DEADLINE_S.
 KILL_GRACE_S = 0.7
 MAX_DEADLINE_S = 3.0
-FAIL_MARGIN_S = 0.1  # before the kill, pending requests are answered as failed
-EXIT_MARGIN_S = 0.06  # before the kill, the process exits
+FAIL_MARGIN_S = 0.1  # how long before the kill pending requests are answered as failed
+EXIT_MARGIN_S = 0.06  # how long before the kill the process exits
 SWEEP_INTERVAL_S = 0.2
 REPORT_INTERVAL_S = 10.0
 POLL_INTERVAL_S = 0.02
@@ -33,7 +33,7 @@
 # also close after a response, or are refused. This leaves descriptors for hosts and discovery.
 DESCRIPTOR_RESERVE = 64
 OWN_DESCRIPTORS = 24  # of the process itself: standard streams, loop, signals, listeners, discovery, store
-MIN_CLIENT_IDLE_S = 2.0  # after a response, before a client's connection may be closed for its descriptor
+MIN_CLIENT_IDLE_S = 2.0  # idle time after which a client's connection may be closed to free a descriptor
 
 
 class Server:
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -58,13 +58,13 @@
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen(0)
-        fill = [socket.socket() for _ in range(4)]
-        for one in fill:
-            one.setblocking(False)
-            one.connect_ex(listener.getsockname())
+        fillers = [socket.socket() for _ in range(4)]
+        for filler in fillers:
+            filler.setblocking(False)
+            filler.connect_ex(listener.getsockname())
         yield listener
-        for one in fill:
-            one.close()
+        for filler in fillers:
+            filler.close()
 
 
 PARTIAL_LONG_REQUEST = request("transfer", bytes(200_000))[
@@ -102,12 +102,14 @@
     with full_listener() as listener:
         address = f"127.0.0.1:{listener.getsockname()[1]}"
         async with running(configuration(address, mayCancel=may_cancel)) as run:
-            told, client = outcomes(run), RawClient(run)
+            attempts_ended, client = outcomes(run), RawClient(run)
             client.send(data)
             await until(lambda: run.gateway.pools.open_connections)
             client.disconnect()
             await until(lambda: not run.server.connections and not run.gateway.pools.open_connections)
-            assert [event.outcome for event in told] == [Outcome.NOT_SENT] and told[0].finished
+            assert [event.outcome for event in attempts_ended] == [Outcome.NOT_SENT] and attempts_ended[
+                0
+            ].finished
             assert not run.gateway.pending and not run.gateway.balancer.requests
 
 
@@ -120,17 +122,19 @@
 ) -> None:
     made = HostConnection.connection_made
     async with peer() as host, running(configuration(host, mayCancel=may_cancel)) as run:
-        told, client = outcomes(run), RawClient(run)
+        attempts_ended, client = outcomes(run), RawClient(run)
 
-        def leave_first(connection: HostConnection, transport: asyncio.BaseTransport) -> None:
+        def disconnect_first(connection: HostConnection, transport: asyncio.BaseTransport) -> None:
             client.disconnect(how)  # the event loop has not run since
             made(connection, transport)
 
-        monkeypatch.setattr(HostConnection, "connection_made", leave_first)
+        monkeypatch.setattr(HostConnection, "connection_made", disconnect_first)
         client.send(data)
-        await until(lambda: told)
+        await until(lambda: attempts_ended)
         await until(lambda: not run.server.connections)
-        assert [event.outcome for event in told] == [Outcome.NOT_SENT] and told[0].finished
+        assert [event.outcome for event in attempts_ended] == [Outcome.NOT_SENT] and attempts_ended[
+            0
+        ].finished
         assert not host.seen and not run.gateway.pending and not run.gateway.balancer.requests
         assert not any(server.in_flight for server in run.gateway.balancer.servers.values())
 
@@ -147,9 +151,9 @@
 
     config = configuration
     async with peer(script) as one, peer(script) as two, running(config(one, two, mayCancel=False)) as run:
-        told, client = outcomes(run), RawClient(run)
+        attempts_ended, client = outcomes(run), RawClient(run)
         client.send(request())
-        await until(lambda: told and not run.server.connections)
+        await until(lambda: attempts_ended and not run.server.connections)
         assert len(one.seen) + len(two.seen) == 1
         assert not run.gateway.pending and not run.gateway.balancer.requests
 
@@ -159,7 +163,7 @@
     """Without `mayCancel` in the settings, nothing cancelled the hedged request."""
     with full_listener() as listener:
         async with peer() as host, running(configuration(host, mayCancel=False)) as run:
-            told, gateway = outcomes(run), run.gateway
+            attempts_ended, gateway = outcomes(run), run.gateway
             gateway.pools.update_host(1, "late", ("127.0.0.1", listener.getsockname()[1]), True)
             host.script = silent
             client = await run.connect()
@@ -175,8 +179,8 @@
             attempt.payload = lambda: pytest.fail("it is written")
             gateway.pools.write_attempt(connection, attempt)  # as if it had been established
             assert attempt.ended
-            await until(lambda: len(told) == 2)
-            assert told[1].outcome is Outcome.NOT_SENT and not gateway.pending
+            await until(lambda: len(attempts_ended) == 2)
+            assert attempts_ended[1].outcome is Outcome.NOT_SENT and not gateway.pending
             client.close()
 
 
--- a/tests/test_deduplication_window.py
+++ b/tests/test_deduplication_window.py
@@ -66,19 +66,19 @@
     late_us: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The connection of the retry is established `late_us` after the end of the window."""
-    clock, came = PoolClock(monkeypatch), 0
+    clock, established = PoolClock(monkeypatch), 0
 
-    def hook(_: asyncio.BaseTransport, come_up: Callable[[], None]) -> None:
-        nonlocal came
-        came += 1
-        clock.ahead_us = WINDOW_US + late_us if came == 2 else 0
-        come_up()
+    def hook(_: asyncio.BaseTransport, establish: Callable[[], None]) -> None:
+        nonlocal established
+        established += 1
+        clock.ahead_us = WINDOW_US + late_us if established == 2 else 0
+        establish()
 
     when_connected(monkeypatch, hook)
     failing = answers(reply(500))
     async with peer(failing) as one, peer(failing) as two, running(keyed(one, two)) as run:
         answer = await run.ask(request("hold"))
-        assert came == 2
+        assert established == 2
         assert len(one.seen) + len(two.seen) == (1 if late_us > 0 else 2)
         assert answer.status == 503  # duplicates are dropped across all hosts: a client retry is safe
         rings = sorted(len(s.breaker.ring) for s in run.gateway.balancer.servers.values())
@@ -96,7 +96,7 @@
     one was set: in 1 of 100 runs, and more often under load, the retry ended as CONNECT_FAILED at its
     request's deadline, not as NOT_SENT at the end of the window. `early_us` makes the timer fire that early.
     """
-    clock, partly, ended = PoolClock(monkeypatch), [], []
+    clock, partly_written, ended = PoolClock(monkeypatch), [], []
     body = b"x" * 60_000
     full = socket.create_server(("127.0.0.1", 0), backlog=5)
     full.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -107,14 +107,14 @@
         run.gateway.on_list(ListKind.DELTA, parse_list(hosts_list(8, second), run.gateway.names)[2])
         exchange.answer(reply(500))
 
-    def hook(transport: asyncio.BaseTransport, come_up: Callable[[], None]) -> None:
+    def hook(transport: asyncio.BaseTransport, establish: Callable[[], None]) -> None:
         connection = transport.get_extra_info("socket")
         if connection.getpeername() == full.getsockname():
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
-        come_up()
+        establish()
         if connection.getpeername() == full.getsockname():
             clock.ahead_us -= early_us
-        partly.append(any(not c.is_written for c in connections()))
+        partly_written.append(any(not c.is_written for c in connections()))
 
     def connections() -> list[HostConnection]:
         attempts = [a for held in run.gateway.pending.values() for a in held.attempts if a is not None]
@@ -131,17 +131,17 @@
     with full:
         async with peer(fail) as one, running(keyed(one)) as run:
             assert (await run.ask(request("hold", body))).status == 503
-            assert partly == [False, True] and ended == [Outcome.ERROR, Outcome.NOT_SENT]
+            assert partly_written == [False, True] and ended == [Outcome.ERROR, Outcome.NOT_SENT]
             accepted, _ = full.accept()
             with accepted:
                 accepted.settimeout(10)
-                came = 0
+                received = 0
                 try:
                     while data := accepted.recv(65_536):
-                        came += len(data)
+                        received += len(data)
                 except ConnectionResetError:
                     pass
-                assert came < len(body)
+                assert received < len(body)
 
 
 @on_loop
@@ -149,12 +149,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A hedged request was sent while the first attempt was connecting: the first one is the retry now."""
-    clock, held = PoolClock(monkeypatch), []
+    clock, deferred = PoolClock(monkeypatch), []
 
-    def hook(_: asyncio.BaseTransport, come_up: Callable[[], None]) -> None:
-        held.append(come_up)
-        if len(held) == 2:
-            come_up()
+    def hook(_: asyncio.BaseTransport, establish: Callable[[], None]) -> None:
+        deferred.append(establish)
+        if len(deferred) == 2:
+            establish()
 
     when_connected(monkeypatch, hook)
     async with peer(silent) as one, peer(silent) as two:
@@ -164,7 +164,7 @@
             client.send(request("hold"))
             await until(lambda: one.seen or two.seen)
             clock.ahead_us = WINDOW_US + 1_000
-            held[0]()
+            deferred[0]()
             await until(lambda: one.ended + two.ended == 1)  # the late connection, closed unused
             (exchange,) = one.seen + two.seen
             exchange.answer(reply(200, b"once"))
--- a/tests/test_host_answers.py
+++ b/tests/test_host_answers.py
@@ -92,7 +92,7 @@
             await asyncio.sleep(0.005)
 
     async with peer(script) as host, running(configuration(host)) as run:
-        told, client = outcomes(run), await run.connect()
+        attempts_ended, client = outcomes(run), await run.connect()
         client.send(request("transfer", budget_ms=300))
         async with asyncio.timeout(5):
             status = int((await client.reader.readuntil(b"\r\n\r\n")).split()[1])
@@ -102,7 +102,9 @@
                     await client.reader.read()
             await until(lambda: run.gateway.pools.open_connections == 0 and not run.gateway.pending)
         # A streamed response that is cut off is a failure of the host; only a time-out indicates overload.
-        assert [event.outcome for event in told] == [Outcome.RESET if ends == "broken" else Outcome.TIMEOUT]
+        assert [event.outcome for event in attempts_ended] == [
+            Outcome.RESET if ends == "broken" else Outcome.TIMEOUT
+        ]
         client.close()
 
 
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -19,18 +19,18 @@
 SMALL = 65_536  # socket buffer, far smaller than the data written
 
 
-def run_before_write(monkeypatch: pytest.MonkeyPatch, does: Callable[[HostConnection], None]) -> None:
+def run_before_write(monkeypatch: pytest.MonkeyPatch, action: Callable[[HostConnection], None]) -> None:
     """Runs `does` between `take_idle`, which found a connection quiet, and the write to it."""
-    is_fresh = HostConnection.is_quiet
+    original = HostConnection.is_quiet
 
-    def crossed(connection: HostConnection) -> bool:
-        if not is_fresh(connection):
+    def wrapped(connection: HostConnection) -> bool:
+        if not original(connection):
             return False
-        does(connection)
+        action(connection)
         wait_until_readable(connection)
         return True
 
-    monkeypatch.setattr(HostConnection, "is_quiet", crossed)
+    monkeypatch.setattr(HostConnection, "is_quiet", wrapped)
 
 
 @on_loop
--- a/tests/test_host_descriptors.py
+++ b/tests/test_host_descriptors.py
@@ -25,13 +25,13 @@
 
 
 def serving(rng: random.Random) -> Callable[[Exchange], None]:
-    """A host that handles each request in one of many ways, chosen at random."""
+    """A host that handles each request in one of many behaviours, chosen at random."""
 
     def closing(exchange: Exchange, data: bytes) -> None:
         exchange.answer(data)
         exchange.writer.close()
 
-    ways: list[Callable[[Exchange], None]] = [
+    behaviours: list[Callable[[Exchange], None]] = [
         lambda exchange: exchange.answer(REPLY),
         lambda exchange: exchange.answer(REPLY),
         lambda exchange: exchange.answer(REPLY + REPLY),
@@ -45,7 +45,7 @@
         lambda exchange: exchange.reset(),
         lambda exchange: None,
     ]
-    return lambda exchange: rng.choice(ways)(exchange)
+    return lambda exchange: rng.choice(behaviours)(exchange)
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -85,7 +85,7 @@
 
             for id_ in range(4):
                 put(id_)
-            acts: list[Callable[[], object]] = [
+            actions: list[Callable[[], object]] = [
                 lambda: put(rng.randrange(4), rng.random() < 0.8),
                 lambda: pools.remove_host(rng.randrange(1, 4)),
                 lambda: pools.close_idle(rng.randrange(4)),
@@ -96,7 +96,7 @@
                 for _ in range(rng.randrange(1, 6)):
                     send()
                 if rng.random() < 0.3 and out:
-                    rng.choice(acts)()
+                    rng.choice(actions)()
                 for _ in range(rng.randrange(4)):
                     await asyncio.sleep(0)
                 if rng.random() < 0.1:
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -198,15 +198,15 @@
 
 @on_loop
 async def test_a_host_that_reads_slowly_slows_the_client() -> None:
-    going = asyncio.Event()
-    taken = 0
+    may_read = asyncio.Event()
+    received = 0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        nonlocal taken
+        nonlocal received
         await reader.readuntil(b"\r\n\r\n")
-        await going.wait()
-        while taken < 16_000_000:
-            taken += len(await reader.read(1 << 20))
+        await may_read.wait()
+        while received < 16_000_000:
+            received += len(await reader.read(1 << 20))
         writer.write(reply(200, b"all"))
         await reader.read()
 
@@ -218,7 +218,7 @@
         await until(lambda: connection.body_size > 200_000 and connection.paused_since_s < 1e300)
         assert connection.body_size < 16_000_000
         assert not connection.is_overdue(1e9)  # time in which reading is paused does not count
-        going.set()
+        may_read.set()
         assert (await client.answer()).body == b"all"
         client.close()
 
