--- a/cloverkeel/fleet/lists/sharing.py
+++ b/cloverkeel/fleet/lists/sharing.py
@@ -239,22 +239,22 @@
                     self.tasks.spawn(self.connections.open(peer, self.held_list.version))
                 case actions.Unsubscribe(name):
                     self.connections.drop(name)
-                case actions.Ask(peer):
+                case actions.FetchList(peer):
                     self.tasks.spawn(self._fetch_list(peer))
-                case actions.Have(peer):
+                case actions.AnnounceList(peer):
                     self.tasks.spawn(self._announce_list(peer))
                 case actions.Watch(on, is_fed):
                     self.discovery.watch(on, is_fed)
-                case actions.Depth(depth):
+                case actions.AnnounceDepth(depth):
                     self.followers.broadcast({"depth": depth})
-                case actions.Relay(on):
+                case actions.RelayRoleChanged(on):
                     event(
                         "lists.relay",
                         on=on,
                         relays=",".join(self.selector.relays),
                         live=len(self.selector.peers),
                     )
-                case actions.Fallback(waited_s):
+                case actions.FallbackStarted(waited_s):
                     self.counts["list_fallbacks"] += 1
                     event("lists.fallback", waited_s=waited_s, live=len(self.selector.peers))
 
--- a/tests/fleet_sim.py
+++ b/tests/fleet_sim.py
@@ -150,19 +150,19 @@
                 case actions.Unsubscribe(name):
                     if me in self.nodes[name].followers:
                         self.nodes[name].followers.remove(me)
-                case actions.Ask(peer):
+                case actions.FetchList(peer):
                     self.after(HOP_S, partial(self.end_fetch, node, self.nodes[peer.name]))
-                case actions.Have(peer):
+                case actions.AnnounceList(peer):
                     self.after(HOP_S, partial(self.receive_index, self.nodes[peer.name], node.index))
                 case actions.Watch(True, _):
                     self.calls.append(self.now_s)
                     self.after(2 * HOP_S, lambda: self.answer(node) if self.up else self.fail(node))
-                case actions.Depth(depth):
+                case actions.AnnounceDepth(depth):
                     for name in node.followers:
                         self.after(HOP_S, partial(self.receive_depth, name, me, depth))
-                case actions.Relay(True):
+                case actions.RelayRoleChanged(True):
                     self.relays_acting.append((self.now_s, me))
-                case actions.Fallback():
+                case actions.FallbackStarted():
                     self.fallbacks += 1
 
     def receive_depth(self, name: str, source: str, depth: int | None) -> None:
