--- a/cloverkeel/fleet/lists/__init__.py
+++ b/cloverkeel/fleet/lists/__init__.py
@@ -1,1 +1,1 @@
-"""The list of hosts by peers: its order, who relays it, whom a member follows, and the shell of these."""
+"""Distribution of the host list among members: list versions, choice of relays and upstreams, and the I/O."""
--- a/cloverkeel/fleet/lists/actions.py
+++ b/cloverkeel/fleet/lists/actions.py
@@ -1,4 +1,4 @@
-"""What the follower's core asks its shell to do."""
+"""Actions that `SourceSelector` returns for `ListSharing` to carry out."""
 
 from __future__ import annotations
 
@@ -8,51 +8,54 @@
 
 
 class Subscribe(NamedTuple):
-    """Open a feed to this member."""
+    """Open a list feed to this member."""
 
     peer: Peer
 
 
 class Unsubscribe(NamedTuple):
-    """End the feed to this member; its end is not told to the core."""
+    """Close the list feed to this member. The selector gets no `upstream_ended` event for it."""
 
     name: str
 
 
 class FetchList(NamedTuple):
-    """Ask this member for its list (`list.get`)."""
+    """Fetch this member's list with one `list.get` call."""
 
     peer: Peer
 
 
 class AnnounceList(NamedTuple):
-    """Tell this member that there is a newer list here (`list.have`)."""
+    """Notify this member, with `list.have`, that a newer list is held here."""
 
     peer: Peer
 
 
 class Watch(NamedTuple):
-    """Begin the watch of one's own, or end it. `is_fed`: news comes by feeds meanwhile, so the first call may
-    wait for news as the later ones do."""
+    """Start or stop this member's own watch on the list service.
+
+    With `has_live_upstream`, updates also arrive from an upstream, so the first call may be a long poll like
+    the later ones.
+    """
 
     on: bool
     has_live_upstream: bool = False
 
 
 class AnnounceDepth(NamedTuple):
-    """Tell the followers."""
+    """Send this member's depth to its followers."""
 
     depth: int | None
 
 
 class RelayRoleChanged(NamedTuple):
-    """This member acts as a relay from now on, or no longer: for the log."""
+    """This member has become a relay, or has ceased to be one; logged only."""
 
     on: bool
 
 
 class FallbackStarted(NamedTuple):
-    """The moment drawn for a watch of one's own has come: for the log."""
+    """The jitter has elapsed and this member starts its own watch as a fallback; logged and counted only."""
 
     waited_s: float
 
--- a/cloverkeel/fleet/lists/limits.py
+++ b/cloverkeel/fleet/lists/limits.py
@@ -1,17 +1,17 @@
-"""How many a member follows, and how many may follow it."""
+"""Limits of the fan-out tree: upstreams per member, followers per member and depth."""
 
 from __future__ import annotations
 
-MAX_UPSTREAMS = 2  # what a member follows at once, and what it asks at once
-MAX_DEPTH = 3  # of the tree: a member this deep has no followers
-REFERRALS_PER_REPLY = 4  # named by a full one
+MAX_UPSTREAMS = 2  # feeds that a member subscribes to, and list fetches that it has pending, at once
+MAX_DEPTH = 3  # of the tree: a member at this depth accepts no followers
+REFERRALS_PER_REPLY = 4  # followers that a full member names as alternatives
 
 
 def admits_follower(followers: int, limit: int, depth: int | None, is_relay: bool) -> bool:
-    """Whether a member takes one more follower: below its limit, and no deeper than the tree may be."""
+    """Whether a member accepts one more follower: it is below its limit and above the lowest tree level."""
     return followers < limit and (is_relay or depth is None or depth < MAX_DEPTH)
 
 
 def max_followers(sockets: int) -> int:
-    """How many followers a member with so many descriptors takes."""
+    """Return how many followers a process with `sockets` file descriptors accepts."""
     return max(16, sockets // 8)
--- a/cloverkeel/fleet/lists/relays.py
+++ b/cloverkeel/fleet/lists/relays.py
@@ -1,7 +1,7 @@
-"""Who relays the list: rendezvous hashing over the view (Thaler, Ravishankar, 1998). Pure, the same on all.
+"""Relay selection by rendezvous hashing over the membership view (Thaler, Ravishankar, 1998): pure.
 
-Equal views give equal relays with no word said, and a member that comes or goes moves only the places that it
-ranks first in: at most one relay each time.
+Members with equal views choose the same relays without communicating. When a member joins or leaves, only the
+places in which it ranks first change: at most one relay at a time.
 """
 
 from __future__ import annotations
@@ -13,33 +13,33 @@
 
 
 class Peer(NamedTuple):
-    """A member as the lists' parts see it."""
+    """A cluster member, reduced to what list distribution needs."""
 
     name: str
     zone: str = ""
     address: str = ""
 
 
-@lru_cache(4096)  # a view that changes hundreds of times in a start has mostly the same names
+@lru_cache(4096)  # successive views of a starting fleet, hundreds of them, contain mostly the same names
 def rendezvous_score(*words: str) -> int:
-    """64 bits of these words together; the words' ends count."""
+    """Return a 64-bit hash of `words`; each is length-prefixed, so ("ab", "c") differs from ("a", "bc")."""
     data = b"".join(len(word.encode()).to_bytes(4) + word.encode() for word in words)
     return int.from_bytes(hashlib.blake2b(data, digest_size=8).digest())
 
 
 def choose_relays(cluster: str, members: Iterable[Peer], count: int) -> tuple[str, ...]:
-    """The relays' names, best first: the best member of each zone, and the best of the rest up to `count`.
+    """Return the relays' names, best first: the best member of each zone, then the best others up to `count`.
 
-    With more zones than `count` there is one relay a zone. Fewer members than that: all of them.
+    With more zones than `count` there is one relay per zone. With fewer members than `count`, all are relays.
     """
     ranked = sorted(
         {peer.name: peer for peer in members}.values(),
         key=lambda p: (rendezvous_score(cluster, p.name), p.name),
     )
-    firsts: dict[str, str] = {}
+    first_by_zone: dict[str, str] = {}
     for peer in ranked:
-        firsts.setdefault(peer.zone, peer.name)
-    chosen = set(firsts.values())
+        first_by_zone.setdefault(peer.zone, peer.name)
+    chosen = set(first_by_zone.values())
     for peer in ranked:
         if len(chosen) >= count:
             break
@@ -47,15 +47,26 @@
     return tuple(peer.name for peer in ranked if peer.name in chosen)
 
 
-def is_outranked(cluster: str, me: str, others: Iterable[str]) -> bool:
-    """Whether one of `others` ranks higher than `me`: of two that both may go, one stays."""
-    mine = rendezvous_score(cluster, me), me
-    return any((rendezvous_score(cluster, other), other) < mine for other in others)
+def is_outranked(cluster: str, local_name: str, others: Iterable[str]) -> bool:
+    """Whether one of `others` ranks higher than `local_name`.
+
+    Used when relays step down: of two that could both do so, the higher-ranked one stays.
+    """
+    local_rank = rendezvous_score(cluster, local_name), local_name
+    return any((rendezvous_score(cluster, other), other) < local_rank for other in others)
 
 
-def by_preference(cluster: str, me: Peer, relays: Iterable[Peer]) -> list[Peer]:
-    """The relays in the order in which `me` follows them: its own zone first, then spread by hash."""
-    others = [peer for peer in relays if peer.name != me.name]
+def by_preference(cluster: str, local_peer: Peer, relays: Iterable[Peer]) -> list[Peer]:
+    """Return the other relays in the order in which `local_peer` prefers them as upstreams.
+
+    Relays of its own zone come first; within each group the hash spreads the members over the relays.
+    """
+    others = [peer for peer in relays if peer.name != local_peer.name]
     return sorted(
-        others, key=lambda p: (p.zone != me.zone, rendezvous_score(cluster, me.name, p.name), p.name)
+        others,
+        key=lambda p: (
+            p.zone != local_peer.zone,
+            rendezvous_score(cluster, local_peer.name, p.name),
+            p.name,
+        ),
     )
--- a/cloverkeel/fleet/lists/sharing.py
+++ b/cloverkeel/fleet/lists/sharing.py
@@ -1,8 +1,9 @@
-"""Lists by peers: the shell between the calls of members, the list service and the gateway.
+"""Shares the host list among members: the I/O between members, the list service and the gateway.
 
-Every list, from wherever it comes, goes through the one `Intake`; what is newer reaches the followers in the
-same turn of the loop. `Follower` says whom to follow and when to call the service. Where the settings say
-that lists are pushed, the gateway keeps its own watch, and peers only help at the start.
+Every list, whatever its source, goes through one `ListIngest`; a newer one is sent to the followers in the
+same turn of the event loop. `SourceSelector` decides which members to subscribe to and when to call the list
+service. Where the settings say that lists are pushed, the gateway keeps its own watch, and members only help
+at startup.
 """
 
 from __future__ import annotations
@@ -29,22 +30,22 @@
 from cloverkeel.fleet.membership.service import Membership
 from cloverkeel.tasks import BackgroundTasks
 
-LIST_GET, LIST_HAVE = "list.get", "list.have"
-TICK_S = 0.1
-VIEW_DEBOUNCE_S = 0.1  # changes of the view are taken up together
-LATE_FETCH_TIMEOUT_S = (
-    2.0  # for one without a list, past its start: its processor and the others' may be busy
-)
-JOIN_TIMEOUT_S = 3.0  # after this a member acts on what it sees, joined or not
-MAX_REPORTED_DEPTH = 16
+LIST_GET, LIST_HAVE = "list.get", "list.have"  # names of the calls between members
+TICK_S = 0.1  # between ticks of the selector
+VIEW_DEBOUNCE_S = 0.1  # changes of the view within this time are handled together
+# Of a fetch after startup while no list is held: this process and the others may be short of CPU time.
+LATE_FETCH_TIMEOUT_S = 2.0
+JOIN_TIMEOUT_S = 3.0  # after this a member acts on the view that it has, joined or not
+MAX_REPORTED_DEPTH = 16  # a greater depth from an upstream is invalid
 
 
 class ListSharing:
-    """`start` before the gateway starts; from then on `discovery` asks here what is newer. `sockets`: the
-    descriptors that the process may have; `must_ask_s`: the longest silence that the settings allow towards
-    the list service without a subscription. A feed is one; without any, the draw for a call of one's own ends
-    within it where `list_calls_per_s` lets the whole fleet call that fast, and a line says where it does not;
-    `gateways`: how many the fleet has by the settings.
+    """List sharing of one member. `start` it before the gateway; from then on it decides which list is newer.
+
+    `sockets` is the process's limit of file descriptors, `gateways` the configured size of the fleet.
+    `must_ask_s` is the longest time that the settings allow without a call or a subscription to the list
+    service. A feed counts as a subscription. Without one, the jitter of a fallback call ends within that time
+    if `list_calls_per_s` is high enough for the whole fleet; if not, `lists.slow_fallback` is logged.
     """
 
     def __init__(
@@ -64,17 +65,17 @@
         self.must_ask_s, self.is_fallback_slow = must_ask_s, False
         self.ingest = ListIngest(discovery, on_list, self._on_new_list, self._on_service_status)
         self.held_list = self.ingest.held_list
-        me = Peer(membership.name, membership.zone, membership.address)
-        seeds = tuple(seed for seed in settings.seeds if seed != me.address)
-        wanted = SelectorSettings(
+        local_peer = Peer(membership.name, membership.zone, membership.address)
+        seeds = tuple(seed for seed in settings.seeds if seed != local_peer.address)
+        selector_settings = SelectorSettings(
             settings.name, settings.relays, settings.list_calls_per_s, gateways, seeds, discovery.pushed
         )
-        self.selector = SourceSelector(me, wanted, self.rng)
+        self.selector = SourceSelector(local_peer, selector_settings, self.rng)
         self.followers = Followers(self.held_list, self.selector, max_followers(sockets), self.rng)
         self.connections = UpstreamConnections(self.calls, self._on_feed_body, self._on_upstream_end)
         self.counts: Counter[str] = Counter()
-        self.has_hosts = asyncio.Event()  # there is a list with hosts in it
-        self.start_fetches_done = asyncio.Event()  # and this: whom the start asked has answered, or will not
+        self.has_hosts = asyncio.Event()  # set once a list with hosts is held
+        self.start_fetches_done = asyncio.Event()  # set once no fetch of the startup is pending
         self.tasks = BackgroundTasks()
         self.loop = asyncio.get_running_loop()
         self.view_timer: asyncio.TimerHandle | None = None
@@ -82,6 +83,7 @@
         self.closed = False
 
     def start(self) -> None:
+        """Serve the calls and feeds of members, and begin to join."""
         self.calls.serve(LIST_GET, self._on_get)
         self.calls.serve(LIST_HAVE, self._on_have)
         self.calls.serve_feed(LIST_FEED, self._on_feed)
@@ -91,6 +93,7 @@
         self._tick()
 
     def close(self) -> None:
+        """Stop all timers, tasks and feeds."""
         self.closed = True
         for timer in (self.view_timer, self.tick_timer):
             if timer is not None:
@@ -99,68 +102,73 @@
         self.connections.close()
 
     async def wait_for_first_list(self, wait_s: float) -> None:
-        """Until there is a list, or nobody who was asked at the start has one; `wait_s` at most."""
-        waits = [self.loop.create_task(word.wait()) for word in (self.has_hosts, self.start_fetches_done)]
+        """Wait until a list is held or the fetches of the startup have ended, `wait_s` at most."""
+        waits = [
+            self.loop.create_task(condition.wait())
+            for condition in (self.has_hosts, self.start_fetches_done)
+        ]
         await asyncio.wait(waits, timeout=wait_s, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
             wait.cancel()
 
-    # What the gateway's module asks for
+    # Calls of the gateway, in place of `discovery`
 
     def watch(self, on: bool) -> None:
-        """Members are followed from the start on: the module hears of changes without a watch of its own."""
+        """Start or stop the watch where lists are pushed; otherwise `SourceSelector` decides on it."""
         if self.discovery.pushed:
             self.discovery.watch(on)
 
     def fetch(self) -> None:
+        """Give the gateway the full list: the held one, or the service's where lists are pushed."""
         if self.discovery.pushed:
             self.discovery.fetch()
         else:
             self.ingest.republish()
 
-    # The list
+    # Callbacks of `ListIngest`
 
-    def _on_new_list(self, body: ListUpdate) -> None:
+    def _on_new_list(self, update: ListUpdate) -> None:
         if self.held_list.entries:
             self.has_hosts.set()
-        self.followers.broadcast(list_message(body))
+        self.followers.broadcast(list_message(update))
 
     def _on_service_status(self, up: bool) -> None:
         now_s = self.loop.time()
         self._perform(self.selector.service_answered(now_s) if up else self.selector.service_failed(now_s))
 
-    # What members send
+    # Data from members
 
     def _receive_list(self, name: str, raw: object) -> None:
-        """A list or a change from this member. Raises ValueError where it is none."""
-        body = decode(raw)
-        self.selector.version_received(name, body.version)
-        if self.ingest.apply_from_peer(body) is ApplyResult.GAP:
+        """Apply a full list or a delta from this member. Raises ValueError for an invalid one."""
+        update = decode(raw)
+        self.selector.version_received(name, update.version)
+        if self.ingest.apply_from_peer(update) is ApplyResult.GAP:
             self._perform(self.selector.newer_list_reported(self.loop.time(), name))
 
     def _set_aside(self, name: str, reason: str) -> None:
+        """Avoid a member that has sent invalid data for INVALID_AVOID_S."""
         self.counts["peers_set_aside"] += 1
         event("lists.peer_refused", peer=name, reason=reason[:200], for_s=INVALID_AVOID_S)
         self._perform(self.selector.invalid_list_received(self.loop.time(), name))
 
     def _on_feed_body(self, name: str, raw: object) -> None:
-        """News over a feed that this member follows."""
+        """Handle a message on the feed of an upstream; the format is described in followers.py."""
         try:
             if not isinstance(raw, dict):
-                raise ValueError(f"no news: {raw!r:.40}")
+                raise ValueError(f"feed message is not a map: {raw!r:.40}")
             if "full" in raw:
                 names = raw["full"]
                 if not isinstance(names, list) or not all(isinstance(other, str) for other in names):
-                    raise ValueError(f"no names: {names!r:.40}")
+                    raise ValueError(f"referrals of a feed message are not a list of names: {names!r:.40}")
                 self.connections.drop(name)
                 self._perform(self.selector.upstream_full(self.loop.time(), name, names))
                 return
             if "depth" in raw:
                 depth = raw["depth"]
                 if depth is not None and (type(depth) is not int or not 0 <= depth <= MAX_REPORTED_DEPTH):
-                    raise ValueError(f"no depth: {depth!r:.40}")
-                feed = self.selector.upstreams.get(name)
-                if feed is not None and not feed.has_reported:
+                    raise ValueError(f"depth of a feed message is invalid: {depth!r:.40}")
+                upstream = self.selector.upstreams.get(name)
+                if upstream is not None and not upstream.has_reported:
                     event("lists.follow", member=name, depth=depth)
                 self._perform(self.selector.depth_received(self.loop.time(), name, depth))
             if raw.get("list") is not None:
@@ -171,20 +179,20 @@
             self._set_aside(name, str(error))
 
     def _compare_version(self, name: str, raw: object) -> None:
-        """A member has the list of this version. Raises ValueError where it is none."""
+        """Fetch the list of a member that has a newer version. Raises ValueError for an invalid version."""
         version = decode_version(raw)
         self.selector.version_received(name, version)
         if self.held_list.version is None or version > self.held_list.version:
             self._perform(self.selector.newer_list_reported(self.loop.time(), name))
 
-    # What members ask
+    # Calls of members
 
     def _on_get(self, peer: str, raw: Any) -> dict[str, Any]:
         version = decode_version(raw) if raw is not None else None
-        whole = self.held_list.full_list()
-        if whole is None or (version is not None and version >= whole.version):
+        full_list = self.held_list.full_list()
+        if full_list is None or (version is not None and version >= full_list.version):
             return {"list": None}
-        return {"list": encode(whole)}
+        return {"list": encode(full_list)}
 
     def _on_have(self, peer: str, raw: Any) -> None:
         self._compare_version(peer, raw)
@@ -194,7 +202,7 @@
         if raw is not None:
             self._compare_version(feed.peer, raw)
 
-    # The core and the clock
+    # Selector and timers
 
     async def _join(self) -> None:
         try:
@@ -223,17 +231,17 @@
     def _tick(self) -> None:
         self.tick_timer = self.loop.call_later(TICK_S, self._tick)
         pushed = self.discovery.pushed
-        if pushed != self.selector.settings.own_watch:  # other settings were taken up
+        if pushed != self.selector.settings.own_watch:  # the settings have been reloaded
             self.selector.settings = self.selector.settings._replace(own_watch=pushed)
             self.discovery.watch(pushed or self.selector.watching)
         elif self.selector.watching and self.discovery.watching is None:
-            self._on_service_status(False)  # it ended without a word
+            self._on_service_status(False)  # the watch task ended without reporting a failure
         self._perform(self.selector.tick(self.loop.time(), self.held_list.version))
 
-    def _perform(self, wanted: list[actions.Action]) -> None:
+    def _perform(self, to_do: list[actions.Action]) -> None:
         if self.closed:
             return
-        for action in wanted:
+        for action in to_do:
             match action:
                 case actions.Subscribe(peer):
                     self.tasks.spawn(self.connections.open(peer, self.held_list.version))
@@ -243,8 +251,8 @@
                     self.tasks.spawn(self._fetch_list(peer))
                 case actions.AnnounceList(peer):
                     self.tasks.spawn(self._announce_list(peer))
-                case actions.Watch(on, is_fed):
-                    self.discovery.watch(on, is_fed)
+                case actions.Watch(on, has_live_upstream):
+                    self.discovery.watch(on, has_live_upstream)
                 case actions.AnnounceDepth(depth):
                     self.followers.broadcast({"depth": depth})
                 case actions.RelayRoleChanged(on):
@@ -277,11 +285,11 @@
                 peer.address, LIST_GET, encode_optional_version(self.held_list.version), wait_s
             )
             if not isinstance(raw, dict):
-                raise ValueError(f"no answer to {LIST_GET}: {raw!r:.40}")
+                raise ValueError(f"answer to {LIST_GET} is not a map: {raw!r:.40}")
             if raw.get("list") is not None:
                 self._receive_list(peer.name, raw["list"])
             answered = True
-        except CallFailed as error:  # it has gone, or is too slow: others are asked, or the service
+        except CallFailed as error:  # it is gone or too slow: other members or the service are tried
             if is_frame_error(str(error)):
                 self._set_aside(peer.name, str(error))
         except ValueError as error:
@@ -296,16 +304,16 @@
                 peer.address, LIST_HAVE, encode_optional_version(self.held_list.version), FETCH_TIMEOUT_S
             )
         except CallFailed:
-            return  # said again while it stays behind
+            return  # it is notified again for as long as it lags
 
     # For operators
 
     def is_relay(self, name: str) -> bool:
-        """Whether a member relays, as far as this one sees; none does where lists are pushed."""
+        """Whether a member is a relay in this member's view; where lists are pushed, none is."""
         return name in self.selector.relays and not self.selector.settings.own_watch
 
     def status(self) -> dict[str, Any]:
-        """How this member hears: `depth` 0 by its own watch, 1 of one that does, None not at all."""
+        """Return this member's state for operators; for `depth` see source_selector.py."""
         version = self.held_list.version
         return {
             "relay": self.selector.is_relay, "depth": self.selector.depth,
@@ -316,12 +324,14 @@
         }  # fmt: skip
 
     def counters(self) -> dict[str, int]:
+        """Return the counters for telemetry."""
         counts = self.ingest.counts + self.counts
         names = ("lists_from_peers", "lists_from_service", "list_service_calls", "list_fallbacks",
                  "peers_set_aside")  # fmt: skip
         return {f"{name}_total": counts[name] for name in names}
 
     def gauges(self) -> dict[str, int]:
+        """Return the gauges for telemetry."""
         return {
             "list_feeds": len(self.selector.upstreams),
             "list_followers": len(self.followers.feeds),
--- a/cloverkeel/fleet/lists/versioned_list.py
+++ b/cloverkeel/fleet/lists/versioned_list.py
@@ -1,13 +1,14 @@
-"""The order of lists of hosts, and one member's list as it follows that order: pure, no I/O.
+"""Versions of host lists, and the list that one member holds: pure, no I/O.
 
-A list is ordered by (`epoch`, `index`). The index is the list service's. The epoch is the service's own where
-its answer has one; else it is counted: an answer with an index below that of the list which its call was
-made from comes from a service that has started anew, and opens the next epoch (`judge`). A list of a lower
-order never takes the place of one of a higher; a change is taken only over the very list that it was made
-from, which a digest of the entries tells beside the version, since two members may count differently.
+Lists are ordered by (`epoch`, `index`). The index is the list service's own. The epoch is the service's where
+its answer has one; otherwise it is counted: an answer whose index is lower than that of the list that its
+call started from comes from a restarted service and opens the next epoch (`answer_version`). A list never
+replaces one of a higher version. A delta is applied only to the very list that it was made from; a digest of
+the entries is compared as well as the version, since two members may count epochs differently.
 
-A list from before this start (state file, configuration) has a negative epoch until the service confirms it:
-it is better than none, and a list that the service gave anyone in this life is newer, whatever its index.
+A list from before this process (state file, configuration) is unconfirmed: it has a negative epoch until the
+service confirms it. It is better than none, and any list that the service has given to any member since is
+newer, whatever its index.
 """
 
 from __future__ import annotations
@@ -22,49 +23,52 @@
 
 from cloverkeel.fleet import invariants
 
-RawEntry = dict[str, Any]  # an entry in discovery's form: a JSON object with a `name`
-JSON_INT_LIMIT = 2**53  # of an epoch and of an index: what JSON carries exactly
-MAX_ENTRIES = 10_000  # of one list
-DIGEST_MASK = 2**64 - 1
+RawEntry = dict[str, Any]  # a host as the list service sends it: a JSON object with a `name`
+JSON_INT_LIMIT = 2**53  # epochs and indexes stay below it: larger integers are not exact in JSON
+MAX_ENTRIES = 10_000  # entries of one list
+DIGEST_MASK = 2**64 - 1  # digests are sums modulo 2**64
 
 
 class ListVersion(msgspec.Struct, frozen=True, order=True):
-    """Compares by the epoch first; a negative one is that of a list from before (`from_before`)."""
+    """The version of a list, compared by epoch first; a negative epoch is unconfirmed."""
 
     epoch: int
     index: int
 
     @property
     def service_epoch(self) -> int:
-        """The epoch that the list had when the service gave it."""
+        """The epoch as the service gave it, also for an unconfirmed version."""
         return self.epoch if self.epoch >= 0 else self.epoch + JSON_INT_LIMIT
 
 
 def unconfirmed_version(epoch: int, index: int) -> ListVersion:
-    """The version of a list that a process before this one had, or that the configuration has."""
+    """Return the version of a list from the state file or the configuration."""
     return ListVersion(epoch - JSON_INT_LIMIT, index)
 
 
 class ListUpdate(NamedTuple):
-    """A whole list, or the change to it from `base`; `digest` is that of the list it gives."""
+    """A full list, or the delta from `base`. `digest` is that of the resulting list."""
 
     version: ListVersion
     digest: int
-    base: tuple[ListVersion, int] | None  # version and digest of the list it changes; None: whole
+    base: tuple[ListVersion, int] | None  # version and digest that a delta applies to; None: full list
     entries: tuple[RawEntry, ...]
 
 
 class ApplyResult(Enum):
-    NEW = "new"  # it is the list from now on
-    STALE = "old"  # not newer than the list held
-    GAP = "gap"  # newer, but made from another list than the one held: the whole is to be asked for
+    """What became of an update."""
+
+    NEW = "new"  # newer: it has been applied
+    STALE = "old"  # not newer than the held list: ignored
+    GAP = "gap"  # newer, but a delta from another list than the held one: the full list has to be fetched
 
 
 def answer_version(asked: ListVersion | None, index: int, epoch: int | None) -> ListVersion:
-    """The version of a list service's answer.
+    """Return the version of an answer of the list service.
 
-    `asked`: the list that this very call was made from (None: none was held then), whatever was heard
-    meanwhile: a slow answer beside a fast peer is no restart. `epoch`: the answer's own, if it has one.
+    `asked` is the version held when this very call started (None: no list), whatever has arrived since: a
+    slow answer that a peer's update has overtaken must not be mistaken for a restart. `epoch` is the answer's
+    own, if it has one.
     """
     if epoch is not None:
         return ListVersion(epoch, index)
@@ -74,129 +78,136 @@
 
 
 def entry_digest(entry: RawEntry) -> int:
-    """64 bits of one entry. Raises TypeError for what JSON cannot carry."""
+    """Return a 64-bit digest of one entry. Raises TypeError for values that JSON cannot represent."""
     text = json.dumps(entry, sort_keys=True, separators=(",", ":"))
     return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest())
 
 
 def is_deleted(entry: RawEntry) -> bool:
+    """Whether an entry of a delta removes its host from the list."""
     return entry.get("status") == "DELETED"
 
 
-def _decode_number(value: object, what: str, least: int = 0) -> int:
-    if isinstance(value, bool) or not isinstance(value, int) or not least <= value < JSON_INT_LIMIT:
-        raise ValueError(f"{what} is no number of a list: {value!r:.40}")
+def _decode_number(value: object, field: str, minimum: int = 0) -> int:
+    if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value < JSON_INT_LIMIT:
+        raise ValueError(f"{field} of a list is not an integer in range: {value!r:.40}")
     return value
 
 
 def decode_version(raw: object) -> ListVersion:
-    """A version as it travels, [epoch, index]. Raises ValueError."""
+    """Decode a version from its wire form, [epoch, index]. Raises ValueError."""
     if not isinstance(raw, list | tuple) or len(raw) != 2:
-        raise ValueError(f"no version of a list: {raw!r:.40}")
+        raise ValueError(f"list version is not [epoch, index]: {raw!r:.40}")
     return ListVersion(_decode_number(raw[0], "epoch", -JSON_INT_LIMIT), _decode_number(raw[1], "index"))
 
 
 def encode_version(version: ListVersion) -> list[int]:
-    """The inverse of `as_version`."""
+    """Return the wire form of a version; the inverse of `decode_version`."""
     return [version.epoch, version.index]
 
 
 def _decode_digest(raw: object) -> int:
     if isinstance(raw, bool) or not isinstance(raw, int) or not 0 <= raw <= DIGEST_MASK:
-        raise ValueError(f"no digest: {raw!r:.40}")
+        raise ValueError(f"digest of a list is not a 64-bit integer: {raw!r:.40}")
     return raw
 
 
-def encode(body: ListUpdate) -> dict[str, Any]:
-    """A body as it travels between members, for msgpack or JSON."""
-    base = None if body.base is None else [*encode_version(body.base[0]), body.base[1]]
+def encode(update: ListUpdate) -> dict[str, Any]:
+    """Return the wire form of an update between members, for msgpack or JSON."""
+    base = None if update.base is None else [*encode_version(update.base[0]), update.base[1]]
     return {
-        "v": encode_version(body.version),
-        "digest": body.digest,
+        "v": encode_version(update.version),
+        "digest": update.digest,
         "base": base,
-        "entries": list(body.entries),
+        "entries": list(update.entries),
     }
 
 
 def decode(raw: object) -> ListUpdate:
-    """The inverse of `encode`. Raises ValueError for anything else; entries are checked by the caller."""
+    """Decode an update; the inverse of `encode`. Raises ValueError.
+
+    The entries are checked only to be objects; the caller checks their fields.
+    """
     if not isinstance(raw, dict):
-        raise ValueError(f"no list: {raw!r:.40}")
+        raise ValueError(f"list update is not a map: {raw!r:.40}")
     entries, base = raw.get("entries"), raw.get("base")
     if not isinstance(entries, list | tuple) or not all(isinstance(entry, dict) for entry in entries):
-        raise ValueError("entries are no list of objects")
+        raise ValueError("entries of a list are not an array of objects")
     if len(entries) > MAX_ENTRIES:
-        raise ValueError(f"{len(entries)} entries, over the bound of {MAX_ENTRIES}")
+        raise ValueError(f"list has {len(entries)} entries, more than the limit of {MAX_ENTRIES}")
     if base is not None:
         if not isinstance(base, list | tuple) or len(base) != 3:
-            raise ValueError(f"no base: {base!r:.40}")
+            raise ValueError(f"base of a delta is not [epoch, index, digest]: {base!r:.40}")
         base = (decode_version(base[:2]), _decode_digest(base[2]))
     return ListUpdate(decode_version(raw.get("v")), _decode_digest(raw.get("digest")), base, tuple(entries))
 
 
 class HeldList:
-    """One member's list. `take` moves it only forward in the order; a refused body changes nothing."""
+    """The list that one member holds. Its version only increases; a refused update changes nothing."""
 
     __slots__ = ("digest", "entries", "needs_full_list", "version")
 
     def __init__(self) -> None:
         self.version: ListVersion | None = None
         self.entries: dict[str, RawEntry] = {}  # by name
-        self.digest = 0  # the sum of the entries' digests: a change costs what it changes
-        self.needs_full_list = False  # the service told of changes of a list that this member does not hold
+        self.digest = 0  # sum of the entries' digests: updating it costs only the entries that change
+        self.needs_full_list = False  # the service sent a delta from a list that is not held here
 
     @property
     def ask_from(self) -> int | None:
-        """The index to ask the list service for changes from; None: for the whole list."""
+        """The index from which to ask the list service for a delta; None: ask for the full list."""
         return None if self.version is None or self.needs_full_list else self.version.index
 
-    def classify(self, body: ListUpdate) -> ApplyResult:
-        """What `take` would say, without a look at the entries."""
-        if self.version is not None and body.version <= self.version:
+    def classify(self, update: ListUpdate) -> ApplyResult:
+        """Return what `apply` would return, without looking at the entries."""
+        if self.version is not None and update.version <= self.version:
             return ApplyResult.STALE
-        if body.base is not None and body.base != (self.version, self.digest):
+        if update.base is not None and update.base != (self.version, self.digest):
             return ApplyResult.GAP
         return ApplyResult.NEW
 
-    def apply(self, body: ListUpdate) -> ApplyResult:
-        """Take a body that a peer passed on. Raises ValueError where its entries do not give its digest: then
-        it is not what the peer says it is."""
-        taken = self.classify(body)
-        if taken is not ApplyResult.NEW:
-            return taken
-        entries, digest = self._merged(body.entries, body.base is None)
-        if digest != body.digest:
-            raise ValueError("the entries are not those of the digest")
-        self._replace(body.version, entries, digest)
+    def apply(self, update: ListUpdate) -> ApplyResult:
+        """Apply an update from a peer. Raises ValueError where its entries do not match its digest."""
+        result = self.classify(update)
+        if result is not ApplyResult.NEW:
+            return result
+        entries, digest = self._merged(update.entries, update.base is None)
+        if digest != update.digest:
+            raise ValueError("entries of a list do not match its digest")
+        self._replace(update.version, entries, digest)
         return ApplyResult.NEW
 
     def apply_answer(
-        self, asked: ListVersion | None, version: ListVersion, whole: bool, entries: Iterable[RawEntry]
+        self, asked: ListVersion | None, version: ListVersion, is_full: bool, entries: Iterable[RawEntry]
     ) -> tuple[ApplyResult, ListUpdate | None]:
-        """Take the list service's answer to a call made from `asked`, with the version that `judge` gives;
-        the body is what to pass on, where it is new. An answer to a call made before the list held came may
-        be a change of an older one: a gap, after which the call is made again from what `ask_from` says."""
+        """Apply the list service's answer to a call that started from the list of version `asked`.
+
+        `version` is the one that `answer_version` returned. The update to pass on is returned where the
+        answer is new. An answer to a call that started before the held list arrived may be a delta from an
+        older list: that is a gap, and the call is repeated from `ask_from`.
+        """
         if self.version is not None and version <= self.version:
-            self.needs_full_list = self.needs_full_list and not whole
+            self.needs_full_list = self.needs_full_list and not is_full
             return ApplyResult.STALE, None
-        if not whole and (asked is None or asked != self.version or version.epoch != asked.service_epoch):
+        if not is_full and (asked is None or asked != self.version or version.epoch != asked.service_epoch):
             self.needs_full_list = asked is None or version.epoch != asked.service_epoch
             return ApplyResult.GAP, None
-        before, listed = (self.version, self.digest), tuple(entries)
-        base = None if whole or before[0] is None else (before[0], before[1])
-        made, digest = self._merged(listed, whole)
-        self._replace(version, made, digest)
+        held, listed = (self.version, self.digest), tuple(entries)
+        base = None if is_full or held[0] is None else (held[0], held[1])
+        merged, digest = self._merged(listed, is_full)
+        self._replace(version, merged, digest)
         return ApplyResult.NEW, ListUpdate(version, digest, base, listed)
 
     def full_list(self) -> ListUpdate | None:
-        """The list held, to pass on; None while there is none, or only an empty one."""
+        """Return the held list as an update, or None while there is none or it is empty."""
         if self.version is None or not self.entries:
             return None
         return ListUpdate(self.version, self.digest, None, tuple(self.entries.values()))
 
-    def _merged(self, listed: Iterable[RawEntry], whole: bool) -> tuple[dict[str, RawEntry], int]:
-        entries: dict[str, RawEntry] = {} if whole else dict(self.entries)
-        digest = 0 if whole else self.digest
+    def _merged(self, listed: Iterable[RawEntry], is_full: bool) -> tuple[dict[str, RawEntry], int]:
+        """Return the entries and the digest that result from a full list or a delta."""
+        entries: dict[str, RawEntry] = {} if is_full else dict(self.entries)
+        digest = 0 if is_full else self.digest
         for entry in listed:
             name = entry["name"]
             old = entries.pop(name, None)
--- a/cloverkeel/fleet/warm/__init__.py
+++ b/cloverkeel/fleet/warm/__init__.py
@@ -1,1 +1,1 @@
-"""Warm by neighbours: what cold gateways take over from members of their zone."""
+"""Warm start: a gateway that starts cold takes over learned state from members of its zone."""
--- a/cloverkeel/fleet/warm/neighbours.py
+++ b/cloverkeel/fleet/warm/neighbours.py
@@ -1,4 +1,4 @@
-"""Warm by neighbours: what up to three members of the zone learned, asked for at a cold start."""
+"""Warm start: fetches the learned state of up to three members of the zone at a cold start."""
 
 from __future__ import annotations
 
@@ -19,16 +19,15 @@
 if TYPE_CHECKING:
     from cloverkeel.gateway import Gateway
 
-LEARNED_GET = "learned.get"
-MAX_ANSWERS = 3
-MAX_CANDIDATES = (
-    12  # members that are tried for these: after a crash of many most are gone, and not yet missed
-)
-MIN_SERVED_S = 5.0  # a gateway that has served for less has learned nothing worth telling
+LEARNED_GET = "learned.get"  # name of the call between members
+MAX_ANSWERS = 3  # neighbours whose learned state is combined
+# Members tried to get these answers. After a crash of many, most are down but not yet detected as dead.
+MAX_CANDIDATES = 12
+MIN_SERVED_S = 5.0  # a gateway that has run for less has not learned enough to share
 
 
 class Neighbours:
-    """Serves what this gateway learned, and asks others for theirs."""
+    """Serves this gateway's learned state to other members, and fetches theirs."""
 
     def __init__(self, membership: Membership, gateway: Gateway, rng: random.Random | None = None) -> None:
         self.membership, self.gateway = membership, gateway
@@ -40,7 +39,7 @@
 
     @property
     def class_names(self) -> list[str]:
-        """The names behind the classes' numbers."""
+        """The class names, in the order of the class numbers used in learned state."""
         return [name.decode("latin-1") for name in self.gateway.names.class_names]
 
     def _on_get(self, peer: str, raw: Any) -> dict[str, Any] | None:
@@ -50,33 +49,35 @@
         return {"classes": self.class_names, "learned": encode(Snapshot(time.time(), learned))}
 
     async def gather(self, wait_s: float) -> LearnedState | None:
-        """The median of what those told that answered within `wait_s`; None: nobody has. In the place of one
-        that cannot be reached another is asked."""
-        others = [r for r in self.membership.live() if r.name != self.membership.name]
-        near = [r for r in others if r.zone == self.membership.zone]
-        if not near:
+        """Return the combined learned state of the neighbours that answer within `wait_s`; None if none does.
+
+        A neighbour that cannot be reached is replaced by another candidate.
+        """
+        others = [member for member in self.membership.live() if member.name != self.membership.name]
+        in_zone = [member for member in others if member.zone == self.membership.zone]
+        if not in_zone:
             return None
         end_s = self.loop.time() + wait_s
-        candidates = iter(self.rng.sample(near, min(MAX_CANDIDATES, len(near))))
+        candidates = iter(self.rng.sample(in_zone, min(MAX_CANDIDATES, len(in_zone))))
 
-        async def one() -> LearnedState | None:
-            for r in candidates:
+        async def fetch_from_next() -> LearnedState | None:
+            for member in candidates:
                 try:
-                    return await self._fetch(r.name, r.address, end_s - self.loop.time())
+                    return await self._fetch(member.name, member.address, end_s - self.loop.time())
                 except CallFailed:
                     continue
             return None
 
-        asked = [self.loop.create_task(one()) for _ in range(min(MAX_ANSWERS, len(near)))]
-        done, late = await asyncio.wait(asked, timeout=wait_s)
-        for task in late:
+        fetches = [self.loop.create_task(fetch_from_next()) for _ in range(min(MAX_ANSWERS, len(in_zone)))]
+        done, pending = await asyncio.wait(fetches, timeout=wait_s)
+        for task in pending:
             task.cancel()
         answers = [learned for task in done if (learned := task.result()) is not None]
         self.answer_count = len(answers)
         return combine(answers)
 
     async def _fetch(self, name: str, address: str, wait_s: float) -> LearnedState | None:
-        """None where it has nothing of use. Raises CallFailed where it cannot be reached."""
+        """Fetch from one member; None if it has nothing usable. Raises CallFailed if it cannot be reached."""
         try:
             raw = await self.membership.calls.call(address, LEARNED_GET, None, wait_s)
             return self._decode_answer(raw) if raw is not None else None
@@ -85,10 +86,12 @@
             return None
 
     def _decode_answer(self, raw: object) -> LearnedState:
-        """Raises ValueError for what is no learned state. Where the classes have other numbers there, only
-        what is known of hosts is used."""
+        """Decode an answer. Raises ValueError for one that is not a valid learned state.
+
+        Where the neighbour numbers its classes differently, only the state per host is used.
+        """
         if not isinstance(raw, dict) or not isinstance(raw.get("learned"), bytes):
-            raise ValueError(f"no learned state: {raw!r:.40}")
+            raise ValueError(f"answer is not a learned state: {raw!r:.40}")
         learned = validate(decode(raw["learned"]).learned)
         if raw.get("classes") == self.class_names:
             return learned
