--- a/tests/fleet_sim.py
+++ b/tests/fleet_sim.py
@@ -1,4 +1,4 @@
-"""Hundreds of followers under simulated time: the cores alone, with a list service and a network."""
+"""A fleet of hundreds of `SourceSelector`s in simulated time, with a simulated list service and network."""
 
 from __future__ import annotations
 
@@ -16,16 +16,19 @@
 from cloverkeel.fleet.lists.versioned_list import ListVersion
 from cloverkeel.fleet.lists.relays import Peer
 
+# Delay of one message; time until a silent feed counts as ended; interval between ticks.
 HOP_S, SILENCE_S, TICK_S = 0.001, 1.0, 0.1
 
 
 @dataclass
 class Node:
+    """One simulated member."""
+
     core: SourceSelector
-    index: int = 0  # of its list; 0: none
-    followers: list[str] = field(default_factory=list)
-    state: str = "up"  # "dead": resets; "stopped": silent
-    view_due: bool = False
+    index: int = 0  # index of the list that it holds; 0: no list
+    followers: list[str] = field(default_factory=list)  # names
+    state: str = "up"  # or "dead": connections to it are reset; "stopped": it is silent
+    view_due: bool = False  # an update of its view is scheduled
 
     @property
     def version(self) -> ListVersion | None:
@@ -33,7 +36,7 @@
 
 
 class Site:
-    """`calls` are the times at which the list service was called; `up` says whether it answers."""
+    """The fleet and its list service. `calls` are the times of calls to the service; `up`: it answers."""
 
     def __init__(self, seed: int, limit: int = 32, zones: int = 3, rate: float = 20.0) -> None:
         self.rng, self.limit, self.zones = random.Random(seed), limit, zones
@@ -45,16 +48,18 @@
         self.calls: list[float] = []
         self.relays_acting: list[tuple[float, str]] = []
         self.fallbacks = 0
-        self.blocked: set[tuple[str, str]] = set()  # (a, b): nothing passes between them
+        self.blocked: set[tuple[str, str]] = set()  # (a, b): a cannot open a feed to b
 
-    def after(self, wait_s: float, do: Callable[[], None]) -> None:
-        heapq.heappush(self.queue, (self.now_s + wait_s, next(self.serial), do))
+    def after(self, wait_s: float, callback: Callable[[], None]) -> None:
+        """Schedule `callback`."""
+        heapq.heappush(self.queue, (self.now_s + wait_s, next(self.serial), callback))
 
     def run(self, for_s: float) -> None:
+        """Advance the simulated time by `for_s` seconds."""
         end_s = self.now_s + for_s
         while self.queue and self.queue[0][0] <= end_s:
-            self.now_s, _, do = heapq.heappop(self.queue)
-            do()
+            self.now_s, _, callback = heapq.heappop(self.queue)
+            callback()
         self.now_s = end_s
 
     def live(self) -> list[Peer]:
@@ -87,6 +92,7 @@
         self.after(TICK_S, lambda: self.tick(node))
 
     def kill(self, name: str) -> None:
+        """End a member; its connections are reset at once."""
         node = self.nodes[name]
         node.state, node.core.watching = "dead", False
         for other in self.nodes.values():
@@ -97,6 +103,7 @@
         self.after(1.5, self.schedule_view_updates)
 
     def stop(self, name: str) -> None:
+        """Freeze a member; its followers notice after SILENCE_S."""
         self.nodes[name].state = "stopped"
         for other in self.nodes.values():
             if name in other.core.upstreams:
@@ -109,12 +116,14 @@
                 self.nodes[name].followers.remove(node.core.local_peer.name)
 
     def change(self) -> None:
+        """Change the list; open watches are answered."""
         self.index += 1
         for node in self.nodes.values():
             if node.core.watching and node.state == "up" and self.up:
                 self.after(HOP_S, partial(self.answer, node))
 
     def service(self, up: bool) -> None:
+        """Start or stop the list service."""
         self.up = up
         for node in self.nodes.values():
             if not up and node.core.watching:
@@ -141,15 +150,16 @@
             node.core.version_received(source.core.local_peer.name, ListVersion(0, index))
             self.receive_index(node, index)
 
-    def carry_out(self, node: Node, wanted: list[actions.Action]) -> None:
-        me = node.core.local_peer.name
-        for action in wanted:
+    def carry_out(self, node: Node, to_do: list[actions.Action]) -> None:
+        """Carry out the actions of a member's selector."""
+        own_name = node.core.local_peer.name
+        for action in to_do:
             match action:
                 case actions.Subscribe(peer):
                     self.after(HOP_S, partial(self.open, node, self.nodes[peer.name]))
                 case actions.Unsubscribe(name):
-                    if me in self.nodes[name].followers:
-                        self.nodes[name].followers.remove(me)
+                    if own_name in self.nodes[name].followers:
+                        self.nodes[name].followers.remove(own_name)
                 case actions.FetchList(peer):
                     self.after(HOP_S, partial(self.end_fetch, node, self.nodes[peer.name]))
                 case actions.AnnounceList(peer):
@@ -159,9 +169,9 @@
                     self.after(2 * HOP_S, lambda: self.answer(node) if self.up else self.fail(node))
                 case actions.AnnounceDepth(depth):
                     for name in node.followers:
-                        self.after(HOP_S, partial(self.receive_depth, name, me, depth))
+                        self.after(HOP_S, partial(self.receive_depth, name, own_name, depth))
                 case actions.RelayRoleChanged(True):
-                    self.relays_acting.append((self.now_s, me))
+                    self.relays_acting.append((self.now_s, own_name))
                 case actions.FallbackStarted():
                     self.fallbacks += 1
 
@@ -177,17 +187,17 @@
             self.carry_out(node, node.core.fetch_ended(self.now_s, other.core.local_peer.name))
 
     def open(self, node: Node, other: Node) -> None:
-        me, name = node.core.local_peer.name, other.core.local_peer.name
+        own_name, name = node.core.local_peer.name, other.core.local_peer.name
         if node.state != "up" or name not in node.core.upstreams:
             return
-        if other.state != "up" or (me, name) in self.blocked:
+        if other.state != "up" or (own_name, name) in self.blocked:
             self.after(SILENCE_S if other.state != "dead" else HOP_S, lambda: self.end(node, name))
         elif not admits_follower(len(other.followers), self.limit, other.core.depth, other.core.is_relay):
             names = self.rng.sample(other.followers, min(4, len(other.followers)))
             self.carry_out(node, node.core.upstream_full(self.now_s, name, names))
         else:
-            if me not in other.followers:
-                other.followers.append(me)
+            if own_name not in other.followers:
+                other.followers.append(own_name)
             self.carry_out(node, node.core.depth_received(self.now_s, name, other.core.depth))
             if other.version is not None:
                 node.core.version_received(name, other.version)
--- a/tests/list_site.py
+++ b/tests/list_site.py
@@ -1,4 +1,4 @@
-"""Gateways of one cluster in this process on real sockets, and the list service that they share."""
+"""Gateways of one cluster within the test process, on real sockets, and the list service that they share."""
 
 from __future__ import annotations
 
@@ -18,20 +18,21 @@
 
 
 class Registry:
-    """The list service: whole lists, and watches that are answered with what changed since."""
+    """The list service: answers with full lists, and watches with the delta since a given index."""
 
     def __init__(self, *names: str, index: int = 100) -> None:
         self.index, self.first = index, index
         self.entries = {name: self.entry(name) for name in names}
-        self.log: list[dict[str, object]] = []
+        self.log: list[dict[str, object]] = []  # changed entries, from index `first` on
         self.changed = asyncio.Event()
-        self.up = True
+        self.up = True  # False: connections are reset
 
     @staticmethod
     def entry(name: str, **extra: object) -> dict[str, object]:
         return {**endpoint(name, "127.0.0.1:9"), **extra}
 
     def change(self, name: str, status: str) -> None:
+        """Add, change or delete one host; open watches are answered."""
         entry = self.entry(name, status=status)
         self.entries[name] = entry
         if status == "DELETED":
@@ -42,7 +43,7 @@
         self.changed = asyncio.Event()
 
     def restart(self, index: int, *names: str) -> None:
-        """Started anew: another list, a lower index; open watches break."""
+        """Restart with another list and a lower index; open watches end."""
         self.index, self.first, self.log = index, index, []
         self.entries = {name: self.entry(name) for name in names}
         self.changed.set()
@@ -66,7 +67,7 @@
 
 
 class Node:
-    """One gateway as a member; its clients' side is not opened."""
+    """One gateway as a cluster member, without a listener for clients."""
 
     def __init__(self, name: str, discovery: str, seeds: list[str], **more: Any) -> None:
         config = configuration(discovery=discovery) | {"name": name, "known": more.pop("known", {})}
@@ -96,7 +97,7 @@
 
     @property
     def rows(self) -> list[dict[str, Any]]:
-        """The member table as operators read it."""
+        """The member table as operators see it."""
         found = json.loads(self.fleet.members_answer().body)["members"]
         assert isinstance(found, list)
         return found
@@ -110,7 +111,7 @@
 
 
 class Site:
-    """Nodes named g0, g1, ...: the first is the seed of the others."""
+    """A cluster of nodes; the first one added is the seed of the others."""
 
     def __init__(self, registry: Registry, service: Peer) -> None:
         self.registry, self.service = registry, service
@@ -124,11 +125,13 @@
         return node
 
     async def all_have(self, *hosts: str) -> None:
+        """Wait until every node's gateway lists exactly these hosts."""
         await until(lambda: all(node.hosts == set(hosts) for node in self.nodes.values()))
 
 
 @asynccontextmanager
 async def site(*hosts: str) -> AsyncIterator[Site]:
+    """A cluster without nodes, with a list service that lists these hosts."""
     registry = Registry(*hosts)
     async with peer(registry.script) as service:
         made = Site(registry, service)
--- a/tests/test_list_answers.py
+++ b/tests/test_list_answers.py
@@ -1,4 +1,4 @@
-"""What is taken of an answer of the list service: its form, its place in the order of lists, its entries."""
+"""Answers of the list service: their HTTP framing, their place in the order of lists, their entries."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 @pytest.mark.parametrize("form", FORMS)
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 @on_loop
-async def test_a_list_is_taken_in_every_form(form: str, mode: str) -> None:
-    """One that ended with the connection was taken for a failed call."""
+async def test_a_list_is_read_in_every_http_framing(form: str, mode: str) -> None:
+    """An answer that ended with the connection was treated as a failed call."""
 
     async def in_pieces(exchange: Exchange) -> None:
         if registry.seen[1:]:
-            return  # a watch that waits
+            return  # a watch: no answer
         for byte in FORMS[form]:
             exchange.writer.write(bytes([byte]))
             await asyncio.sleep(0)
@@ -61,8 +61,8 @@
 
 @pytest.mark.parametrize("form", ["ended by close", "old, ended by close"])
 @on_loop
-async def test_a_reset_ends_no_list(form: str) -> None:
-    """It may have come whole by its look, and lack its end for all that."""
+async def test_a_reset_does_not_complete_an_answer(form: str) -> None:
+    """A reset may hide the end of an answer that looks complete, so the call has to fail."""
 
     def script(exchange: Exchange) -> None:
         if len(registry.seen) == 1:
@@ -78,27 +78,27 @@
         registry.script = silent
 
 
-def named(exchange: Exchange) -> str:
-    """From which version it asks, or for the whole list."""
+def requested_from(exchange: Exchange) -> str:
+    """Return the index from which the call asks for a delta, or "whole" for the full list."""
     return exchange.message.first.partition("from=")[2].partition("&")[0] or "whole"
 
 
 @pytest.mark.parametrize(
     ("late", "goes_on_from"),
     [
-        (list_reply(9, endpoint("s-1", "127.0.0.1:1"), snapshot=False), "12"),  # a change from 7, now of 12
+        (list_reply(9, endpoint("s-1", "127.0.0.1:1"), snapshot=False), "12"),  # from 7, but 12 is held
         (list_reply(9, endpoint("s-1", "127.0.0.1:1")), "12"),
-        (list_reply(14, FRESH | {"status": "DELETED"}, snapshot=False), "14"),  # as good from 12
+        (list_reply(14, FRESH | {"status": "DELETED"}, snapshot=False), "14"),  # applies to 12 as well
     ],
     ids=["older change", "older list", "newer change"],
 )
 @on_loop
-async def test_an_answer_never_brings_an_older_list_back(late: bytes, goes_on_from: str) -> None:
-    """The watch's older answer took the place of a whole list that was asked for beside it: servers came
-    back that had gone, and what lay between was asked for from there, and never told."""
+async def test_a_late_answer_never_restores_an_older_list(late: bytes, goes_on_from: str) -> None:
+    """A late answer of the watch replaced a newer full list, fetched meanwhile: deleted servers came back,
+    and the watch went on from the older index, so that changes were lost."""
 
     def script(exchange: Exchange) -> None:
-        if named(exchange) == "whole":
+        if requested_from(exchange) == "whole":
             exchange.answer(list_reply(12, FRESH))
 
     async with (
@@ -110,21 +110,21 @@
         await until(lambda: host_id(3) in run.gateway.pools.hosts)
         registry.seen[0].answer(late)
         await until(lambda: len(registry.seen) == 3)
-        assert named(registry.seen[2]) == goes_on_from
+        assert requested_from(registry.seen[2]) == goes_on_from
         assert host_id(1) not in run.gateway.pools.hosts
         assert (host_id(3) in run.gateway.pools.hosts) == (goes_on_from == "12")
 
 
 @on_loop
-async def test_a_service_that_counts_anew_is_asked_for_the_whole_list() -> None:
-    """Its change was taken, and the watch went on from a version of another list: what that one lacked was
-    never told."""
+async def test_a_restarted_service_is_asked_for_the_full_list() -> None:
+    """The delta was applied to the list from before the restart, and the watch went on from it: whatever
+    else had changed was never sent."""
 
     def script(exchange: Exchange) -> None:
-        if named(exchange) == "7":
+        if requested_from(exchange) == "7":
             drains = endpoint("s-1", "127.0.0.1:1", status="DRAINING")
             exchange.answer(list_reply(3, drains, snapshot=False))
-        elif named(exchange) == "whole":
+        elif requested_from(exchange) == "whole":
             exchange.answer(list_reply(3, FRESH))
 
     async with (
@@ -132,20 +132,20 @@
         running(configuration("127.0.0.1:1", "127.0.0.1:2", discovery=registry.address)) as run,
     ):
         await until(lambda: len(registry.seen) == 3)
-        assert [named(exchange) for exchange in registry.seen] == ["7", "whole", "3"]
+        assert [requested_from(exchange) for exchange in registry.seen] == ["7", "whole", "3"]
         assert set(run.gateway.pools.hosts) == {host_id(3)}
 
 
 @pytest.mark.parametrize("call", ["watch", "fetch"])
 @on_loop
-async def test_an_answer_that_comes_as_its_time_ends_is_taken(call: str) -> None:
-    """Both in one poll: the call was ended, its answer, which counts as told, thrown away, and on request the
-    next call made up to 4 s later."""
+async def test_an_answer_that_arrives_with_its_timeout_is_used(call: str) -> None:
+    """With answer and timeout in one poll of the event loop, the call ended and its answer was discarded,
+    although the service counted it as delivered; on request, the next call came up to 4 s later."""
 
     def script(exchange: Exchange) -> None:
         if len(registry.seen) == 1:
             exchange.answer(WHOLE)
-            time.sleep(CALL_TIMEOUT_S + 0.05)  # what is forced: the loop sees the answer and the end at once
+            time.sleep(CALL_TIMEOUT_S + 0.05)  # blocks the loop, so that it sees answer and timeout at once
 
     async with peer(script) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
@@ -164,10 +164,10 @@
     [{"weight": 0}, {"address": "nowhere"}, {"address": None, "status": "DELETED"}, {"since_ms": "long ago"}],
 )
 @on_loop
-async def test_a_drain_is_told_by_an_entry_that_cannot_be_used_otherwise(
+async def test_a_drain_is_read_from_an_otherwise_unusable_entry(
     odd: dict[str, object], whole: bool
 ) -> None:
-    """It was skipped, and a change left the host in use."""
+    """The entry was skipped as unusable, and after a delta the host stayed in use."""
     entry = endpoint("s-0", "127.0.0.1:1", status="DRAINING") | odd
     async with (
         peer(answers(list_reply(9, entry, FRESH, snapshot=whole))) as registry,
@@ -180,10 +180,10 @@
 
 @pytest.mark.parametrize("is_read", [False, True])
 @on_loop
-async def test_an_answer_that_crosses_a_move_is_not_heard(
+async def test_an_answer_from_the_old_address_is_ignored_after_a_move(
     monkeypatch: pytest.MonkeyPatch, is_read: bool
 ) -> None:
-    """It is of the old address: its version means nothing at the new one."""
+    """It is from the old address: its index has no meaning at the new one."""
 
     def read_then_move(call: DiscoveryConnection, data: bytes) -> None:
         read(call, data)
@@ -202,7 +202,7 @@
         if not is_read:
             run.gateway.discovery.change_address(parse_address(new.address, "discovery"))
         await until(lambda: new.seen)
-        assert named(new.seen[0]) == "whole" and run.gateway.discovery.index is None
+        assert requested_from(new.seen[0]) == "whole" and run.gateway.discovery.index is None
         new.seen[0].answer(list_reply(3, FRESH))
         await until(lambda: len(new.seen) == 2)
-        assert named(new.seen[1]) == "3" and set(run.gateway.pools.hosts) == {host_id(3)}
+        assert requested_from(new.seen[1]) == "3" and set(run.gateway.pools.hosts) == {host_id(3)}
--- a/tests/test_list_follow.py
+++ b/tests/test_list_follow.py
@@ -1,4 +1,4 @@
-"""Who follows whom: a mass start, kills, stops, a list service that is down. Cores in simulated time."""
+"""`SourceSelector` in simulated time: mass starts, killed and frozen members, a list service that is down."""
 
 from __future__ import annotations
 
@@ -31,12 +31,13 @@
 
 
 def mass_start(site: Site, count: int) -> None:
+    """Start members at random moments within one second."""
     for number in range(count):
         site.after(site.rng.random(), partial(site.start, f"g{number}"))
 
 
-def settled(site: Site) -> None:
-    """What holds in a fleet at rest."""
+def assert_steady_state(site: Site) -> None:
+    """Check the steady state of a fleet."""
     relays = set(choose_relays("site", site.live(), 3))
     for name, node in site.nodes.items():
         if node.state != "up":
@@ -53,7 +54,7 @@
     site = Site(count, limit)
     mass_start(site, count)
     site.run(10.0)
-    settled(site)
+    assert_steady_state(site)
     assert len(site.calls) <= 8
     site.change()
     site.run(0.05)
@@ -61,13 +62,13 @@
 
 
 @pytest.mark.parametrize("seed", range(400, 406))
-def test_a_fleet_that_takes_seconds_to_be_seen_calls_no_more_than_one_seen_at_once(seed: int) -> None:
-    """Each that ranked among the first of those seen so far began a watch: 3 to 12 of 400."""
+def test_a_fleet_that_starts_over_several_seconds_makes_no_more_calls(seed: int) -> None:
+    """Each member that ranked first among those seen so far started a watch: 3 to 12 of 400 did."""
     site = Site(seed, 16)
     for number in range(400):
         site.after(site.rng.random() * 8.0, partial(site.start, f"g{number}"))
     site.run(14.0)
-    settled(site)
+    assert_steady_state(site)
     assert len(site.calls) <= 6 and site.fallbacks == 0
 
 
@@ -84,11 +85,11 @@
     site.run(4.0)
     assert all(node.index == site.index for node in site.nodes.values())
     site.run(40.0)
-    settled(site)
+    assert_steady_state(site)
 
 
 @pytest.mark.parametrize("harm", ["kill", "stop"])
-def test_a_change_is_told_in_time_although_two_relays_go_in_the_middle(harm: str) -> None:
+def test_a_change_arrives_in_time_although_two_relays_fail_meanwhile(harm: str) -> None:
     site = Site(7)
     mass_start(site, 200)
     site.run(8.0)
@@ -101,11 +102,11 @@
     assert not late
     if harm == "kill":
         site.run(10.0)
-        settled(site)
+        assert_steady_state(site)
     assert site.fallbacks == 0
 
 
-def test_all_relays_killed_are_replaced_and_nobody_else_calls_long() -> None:
+def test_killed_relays_are_all_replaced_and_fallback_calls_stay_few() -> None:
     site = Site(8)
     mass_start(site, 100)
     site.run(8.0)
@@ -114,11 +115,11 @@
         site.kill(name)
     site.change()
     site.run(20.0)
-    settled(site)
+    assert_steady_state(site)
     assert len(site.calls) - before <= 60
 
 
-def test_seven_in_ten_start_again_and_ask_the_others_first() -> None:
+def test_restarted_members_fetch_from_the_others_before_calling_the_service() -> None:
     site = Site(9)
     mass_start(site, 200)
     site.run(8.0)
@@ -129,17 +130,17 @@
     for name in names:
         site.after(0.5 + site.rng.random(), partial(site.start, name))
     site.run(30.0)
-    settled(site)
+    assert_steady_state(site)
     assert len(site.calls) - before <= 30
 
 
-def test_a_relay_cut_off_from_the_service_is_fed_by_the_others() -> None:
+def test_a_relay_cut_off_from_the_service_gets_updates_from_other_relays() -> None:
     site = Site(4)
     mass_start(site, 30)
     site.run(6.0)
     first = site.nodes[choose_relays("site", site.live(), 3)[0]]
     site.carry_out(first, first.core.service_failed(site.now_s))
-    first.core.call_due_s = site.now_s + 100.0  # its calls would go on failing
+    first.core.call_due_s = site.now_s + 100.0  # its further calls would fail as well
     site.run(0.01)
     site.run(RELAY_OUTAGE_S)
     assert first.core.depth == 1 and not first.core.service_up
@@ -148,8 +149,8 @@
     assert all(node.index == site.index for node in site.nodes.values())
 
 
-def test_a_late_answer_of_the_service_begins_the_next_watch_and_is_no_way_without_one() -> None:
-    core = follower()
+def test_a_late_answer_of_the_service_starts_the_next_watch_but_is_no_path_by_itself() -> None:
+    core = make_selector()
     core.view_changed(0.0, True, [ME, *OTHERS])
     now_s = next(n / 10 for n in range(60) if Watch(True) in core.tick(n / 10, None))
     core.service_failed(now_s + 1.0)
@@ -157,7 +158,7 @@
     assert Watch(True) in core.service_answered(now_s + 1.5) and core.depth == 0
     core.service_failed(now_s + 3.0)
     core.depth_received(now_s + 3.1, next(iter(core.upstreams)), 0)
-    assert core.service_answered(now_s + 3.5) == [] and core.depth == 1  # fed: it needs none of its own
+    assert core.service_answered(now_s + 3.5) == [] and core.depth == 1  # it has a live upstream
 
 
 ME = Peer("me", "a")
@@ -165,14 +166,14 @@
 RELAYS = choose_relays("site", [ME, *OTHERS], 3)
 
 
-def follower(own_watch: bool = False) -> SourceSelector:
+def make_selector(own_watch: bool = False) -> SourceSelector:
     made = SourceSelector(ME, SelectorSettings("site", own_watch=own_watch), random.Random(1))
-    assert made.view_changed(0.0, False, [ME]) == []  # nothing before it has joined
+    assert made.view_changed(0.0, False, [ME]) == []  # no action before it has joined
     return made
 
 
-def test_a_follower_asks_two_follows_two_and_sets_a_bad_one_aside() -> None:
-    core = follower()
+def test_a_follower_fetches_from_two_subscribes_to_two_and_sets_an_invalid_one_aside() -> None:
+    core = make_selector()
     assert ME.name not in RELAYS
     actions = core.view_changed(1.0, True, [ME, *OTHERS])
     assert len([a for a in actions if isinstance(a, FetchList)]) == 2
@@ -187,10 +188,10 @@
     core.depth_received(2.1, third, 0)
     assert core.newer_list_reported(2.0 + INVALID_AVOID_S - 0.1, first) == []
     core.tick(2.0 + INVALID_AVOID_S, None)
-    assert set(core.upstreams) == set(followed)  # the nearer one again
+    assert set(core.upstreams) == set(followed)  # the preferred relay again
 
 
-def test_a_fed_one_takes_its_role_on_once_the_view_has_stood_and_its_first_call_waits_for_news() -> None:
+def test_a_relay_with_a_live_upstream_waits_for_a_stable_view_and_starts_with_a_long_poll() -> None:
     me = next(peer for peer in OTHERS if peer.name in choose_relays("site", OTHERS, 3))
     core = SourceSelector(me, SelectorSettings("site", gateways=8), random.Random(1))
     core.view_changed(0.0, True, OTHERS)
@@ -200,7 +201,7 @@
     assert now_s == pytest.approx(VIEW_STABLE_S) and watch == Watch(True, has_live_upstream=True)
 
 
-def test_one_that_is_not_fed_acts_soon_however_the_view_grows() -> None:
+def test_a_relay_without_a_live_upstream_acts_soon_although_the_view_grows() -> None:
     me = next(peer for peer in OTHERS if peer.name in choose_relays("site", OTHERS, 3))
     core = SourceSelector(me, SelectorSettings("site", gateways=8), random.Random(1))
     core.view_changed(0.0, True, OTHERS)
@@ -210,8 +211,8 @@
     assert len(acts) == 1 and RELAY_SETTLE_S <= acts[0] <= 1.5 * RELAY_SETTLE_S + 0.1
 
 
-def test_all_silent_is_one_call_within_the_draw_and_back_once_one_speaks() -> None:
-    core = follower()
+def test_silent_upstreams_cause_one_fallback_call_within_the_jitter_that_ends_with_a_path() -> None:
+    core = make_selector()
     core.view_changed(0.0, True, [ME, *OTHERS])
     seen = [(n / 20, core.tick(n / 20, None)) for n in range(60)]
     [(now_s, actions)] = [(at_s, a) for at_s, a in seen if Watch(True) in a]
@@ -226,8 +227,8 @@
     assert Watch(False) in core.tick(now_s + 1.1, None)
 
 
-def test_one_that_stays_behind_is_told_once_a_second() -> None:
-    core = follower()
+def test_an_upstream_that_lags_is_notified_once_a_second() -> None:
+    core = make_selector()
     core.view_changed(0.0, True, [ME, *OTHERS])
     for name in core.upstreams:
         core.depth_received(0.1, name, 0)
@@ -240,17 +241,17 @@
 
 
 def test_with_pushed_lists_peers_help_at_the_start_alone() -> None:
-    core = follower(own_watch=True)
+    core = make_selector(own_watch=True)
     actions = core.view_changed(0.0, True, [ME, *OTHERS])
     assert len(actions) == 2 and all(isinstance(a, FetchList) for a in actions)
     assert core.tick(50.0, None) == []
 
 
-def test_the_limit_of_followers_follows_the_descriptors() -> None:
+def test_the_limit_of_followers_depends_on_the_descriptors() -> None:
     assert [max_followers(n) for n in (64, 256, 1024)] == [16, 32, 128]
 
 
-def test_one_that_has_found_nobody_of_many_draws_before_it_calls_and_no_relay_is_made_of_it() -> None:
+def test_a_lone_member_of_a_large_fleet_waits_for_jitter_and_does_not_become_a_relay() -> None:
     made = []
     for seed in range(200):
         core = SourceSelector(ME, SelectorSettings("site", gateways=200), random.Random(seed))
@@ -264,7 +265,7 @@
     )
 
 
-def test_one_that_is_alone_asks_the_seeds_and_calls_for_itself_where_none_answers() -> None:
+def test_a_lone_member_fetches_from_seeds_and_calls_the_service_where_none_answers() -> None:
     for answers, called in ((True, False), (False, True)):
         core = SourceSelector(
             ME, SelectorSettings("site", gateways=40, seeds=("127.0.0.1:7",)), random.Random(1)
@@ -278,7 +279,7 @@
                 assert ask.peer.address == "127.0.0.1:7"
                 core.fetch_ended(n / 10, ask.peer.name, answers)
         assert calls is called
-    # Where datagrams alone do not pass, what it reads of seeds is no watch for ever.
+    # Where only datagrams are lost, answers of seeds do not put off its own watch forever.
     moments = (n / 10 for n in range(50, 260))
     answering = SourceSelector(
         ME, SelectorSettings("site", gateways=40, seeds=("127.0.0.1:7",)), random.Random(1)
@@ -290,7 +291,7 @@
     assert ALONE_JITTER_MAX_S <= now_s <= 2 * ALONE_JITTER_MAX_S
 
 
-def test_one_that_finds_the_others_before_its_draw_never_calls() -> None:
+def test_a_member_that_finds_others_before_its_jitter_ends_never_calls() -> None:
     core = SourceSelector(ME, SelectorSettings("site", gateways=200), random.Random(4))
     core.view_changed(0.0, True, [ME])
     assert Watch(True) not in core.tick(0.1, None)
--- a/tests/test_list_order.py
+++ b/tests/test_list_order.py
@@ -1,4 +1,4 @@
-"""The order of lists: never backwards, whatever arrives in whatever order, and never frozen by a restart."""
+"""List versions: never backwards, whatever arrives in whatever order, and never stuck after a restart."""
 
 from __future__ import annotations
 
@@ -31,8 +31,11 @@
 
 
 class Service:
-    """The list service: changes one host a turn. With an epoch of its own its index begins at 1 again after a
-    restart; without one it begins lower than it ever was: at a higher one nobody could tell."""
+    """The list service, which changes one host at a time.
+
+    With an epoch of its own, its index starts at 1 again after a restart. Without one, it starts lower than
+    ever before: a restart at a higher index could not be detected.
+    """
 
     def __init__(self, has_epoch: bool) -> None:
         self.has_epoch, self.starts, self.turn = has_epoch, 0, 0
@@ -49,7 +52,7 @@
         self.entries.pop(new["name"], None)
         if not delete:
             self.entries[new["name"]] = new
-        self.log.append(new)  # what led from `first` on
+        self.log.append(new)  # changed entries, from index `first` on
         self.index += 1
 
     def restart(self) -> None:
@@ -64,7 +67,7 @@
 
 
 class Relay:
-    """A list held, the calls that it has out, and the bodies that it passed on."""
+    """A member's held list, its pending calls to the service, and the updates that it passed on."""
 
     def __init__(self) -> None:
         self.held = HeldList()
@@ -96,7 +99,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(STEPS, st.booleans())
-def test_any_order_of_arrival_moves_forward_only_and_ends_at_the_newest(
+def test_versions_only_increase_in_any_order_of_arrival_and_end_at_the_newest(
     steps: list[tuple[str, int]], has_epoch: bool
 ) -> None:
     service, relays, follower = Service(has_epoch), [Relay(), Relay()], HeldList()
@@ -123,8 +126,8 @@
             passed += relay.sent
             relay.sent = []
         elif step == "peer" and passed:
-            hear(passed[number % len(passed)])  # late, twice, with gaps
-    # Calm comes: each relay hears of the other's list, asks anew until nothing changes, and passes on.
+            hear(passed[number % len(passed)])  # late, repeated, with gaps
+    # No more changes: each relay gets the other's list, calls the service again and passes the result on.
     for _ in range(4):
         for relay, other in (relays, relays[::-1]):
             whole = other.held.full_list()
@@ -143,31 +146,31 @@
         assert follower.entries == service.entries
 
 
-def test_only_the_calls_own_list_judges_a_restart() -> None:
+def test_a_restart_is_detected_against_the_list_that_the_call_started_from() -> None:
     assert answer_version(ListVersion(0, 5), 7, None) == ListVersion(
         0, 7
-    )  # slow beside a peer that said (0, 9) meanwhile
+    )  # a slow answer, overtaken by a peer's (0, 9)
     assert answer_version(ListVersion(2, 100), 3, None) == ListVersion(
         3, 3
-    )  # two relays that see one restart count alike
+    )  # relays that see the same restart count alike
     assert answer_version(ListVersion(2, 100), 100, None) == ListVersion(2, 100)
     assert answer_version(None, 3, None) == ListVersion(0, 3)
     assert answer_version(ListVersion(2, 100), 3, 17) == ListVersion(
         17, 3
-    )  # the service's own epoch goes before
+    )  # the service's own epoch takes precedence
 
 
-def test_a_change_is_taken_only_over_the_very_list_it_was_made_from() -> None:
+def test_a_delta_is_applied_only_to_the_list_it_was_made_from() -> None:
     one, two = HeldList(), HeldList()
     one.apply_answer(None, ListVersion(0, 1), True, [entry(1, 1)])
-    two.apply_answer(None, ListVersion(0, 1), True, [entry(1, 2)])  # counted alike, another list
+    two.apply_answer(None, ListVersion(0, 1), True, [entry(1, 2)])  # the same version, another list
     _, change = one.apply_answer(ListVersion(0, 1), ListVersion(0, 2), False, [entry(2, 1)])
     assert change is not None and two.apply(change) is ApplyResult.GAP and two.version == ListVersion(0, 1)
     whole = one.full_list()
     assert whole is not None and two.apply(whole) is ApplyResult.NEW and two.entries == one.entries
 
 
-def test_a_change_after_a_restart_asks_for_the_whole() -> None:
+def test_a_delta_after_a_restart_is_a_gap() -> None:
     held = HeldList()
     held.apply_answer(None, ListVersion(0, 9), True, [entry(1, 1)])
     version = answer_version(held.version, 2, None)
@@ -175,7 +178,7 @@
     assert held.version == ListVersion(0, 9)
 
 
-def test_entries_that_are_not_those_of_the_digest_change_nothing() -> None:
+def test_entries_that_do_not_match_the_digest_change_nothing() -> None:
     held = HeldList()
     _, body = held.apply_answer(None, ListVersion(0, 1), True, [entry(1, 1)])
     assert body is not None
@@ -203,7 +206,7 @@
         {**GOOD, "entries": [7]}, {**GOOD, "entries": [{}] * (MAX_ENTRIES + 1)},
     ],
 )  # fmt: skip
-def test_what_is_no_list_is_refused(raw: object) -> None:
+def test_an_invalid_update_is_refused(raw: object) -> None:
     with pytest.raises(ValueError):
         decode(raw)
 
--- a/tests/test_list_process.py
+++ b/tests/test_list_process.py
@@ -1,4 +1,4 @@
-"""Lists by peers in real processes: a relay is killed, and the news still comes."""
+"""List sharing between real processes: updates still arrive after a relay is killed."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 TELEMETRY = b"GET /api/telemetry HTTP/1.1\r\nHost: o\r\n\r\n"
 
 
-async def figure(operator: int, name: str) -> int:
+async def metric(operator: int, name: str) -> int:
     client = await connect(operator)
     client.send(TELEMETRY)
     text = (await read_message(client.reader)).body.decode()
@@ -29,19 +29,19 @@
 
 
 async def until_hosts(operator: int, count: int) -> None:
-    while await figure(operator, "lb_known_hosts") != count:
+    while await metric(operator, "lb_known_hosts") != count:
         await asyncio.sleep(0.01)
 
 
 @on_loop
-async def test_a_change_comes_through_the_other_relay_where_one_is_killed(tmp_path: Path) -> None:
+async def test_a_change_arrives_through_the_other_relay_after_one_is_killed(tmp_path: Path) -> None:
     registry = Registry("s-1", "s-2", "s-3")
     operators = {name: free_port() for name in NAMES}
     seed = f"127.0.0.1:{free_port()}"
     follower = next(name for name in NAMES if name not in RELAYS)
     async with peer(registry.script) as service, AsyncExitStack() as stack:
 
-        async def begin(name: str) -> asyncio.subprocess.Process:
+        async def start_gateway(name: str) -> asyncio.subprocess.Process:
             (tmp_path / name).mkdir()
             config: dict[str, Any] = configuration() | {"name": name, "known": {}}
             config["discovery"] = service.address if name in RELAYS else "127.0.0.1:1"
@@ -52,16 +52,16 @@
             process, _ = await stack.enter_async_context(program(tmp_path / name, config, operators[name]))
             return process
 
-        processes = dict(zip(NAMES, await asyncio.gather(*map(begin, NAMES)), strict=True))
+        processes = dict(zip(NAMES, await asyncio.gather(*map(start_gateway, NAMES)), strict=True))
         heard = operators[follower]
         await until_hosts(heard, 3)
         registry.change("s-2", "DELETED")
         await until_hosts(heard, 2)
         while {row["name"] for row in (await table(heard))["members"] if row["relay"]} != set(RELAYS):
             await asyncio.sleep(0.01)
-        while await figure(heard, "lb_list_feeds") != 2:
+        while await metric(heard, "lb_list_feeds") != 2:
             await asyncio.sleep(0.01)
         processes[RELAYS[0]].send_signal(signal.SIGKILL)
         registry.change("s-1", "DELETED")
         await until_hosts(heard, 1)
-        assert await figure(heard, "lb_list_service_calls_total") == 0
+        assert await metric(heard, "lb_list_service_calls_total") == 0
--- a/tests/test_list_relays.py
+++ b/tests/test_list_relays.py
@@ -1,4 +1,4 @@
-"""Who relays: equal on all, one a zone at least, and little moves."""
+"""Choice of relays: the same on all members, at least one per zone, and few changes."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(VIEWS, st.integers(1, 5), st.randoms(use_true_random=False))
-def test_equal_views_give_equal_relays_with_one_a_zone(
+def test_equal_views_give_equal_relays_with_at_least_one_per_zone(
     view: dict[str, str], count: int, random: object
 ) -> None:
     chosen = choose_relays("site", peers(view), count)
@@ -29,7 +29,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(VIEWS, st.integers(1, 5), st.data())
-def test_a_member_that_goes_moves_one_place_at_most(
+def test_a_member_that_leaves_changes_one_relay_at_most(
     view: dict[str, str], count: int, data: st.DataObject
 ) -> None:
     before = choose_relays("site", peers(view), count)
--- a/tests/test_list_sharing.py
+++ b/tests/test_list_sharing.py
@@ -1,4 +1,4 @@
-"""Lists by peers on real sockets: what members tell each other, and what they refuse."""
+"""List sharing on real sockets: what members send to each other, and what they refuse."""
 
 from __future__ import annotations
 
@@ -28,9 +28,9 @@
 
 
 @on_loop
-async def test_relays_alone_call_the_service_and_a_change_reaches_all() -> None:
+async def test_only_relays_call_the_service_and_a_change_reaches_all() -> None:
     async with site("s-1", "s-2") as made:
-        for name in NAMES:  # the others could not call it if they wanted to
+        for name in NAMES:  # the others have no reachable list service
             await made.add(name, "" if name in RELAYS else NOWHERE, relays=2)
         await made.all_have("s-1", "s-2")
         made.registry.change("s-2", "DRAINING")
@@ -45,7 +45,7 @@
 
 
 @on_loop
-async def test_a_service_that_starts_anew_with_a_lower_index_freezes_nobody() -> None:
+async def test_updates_continue_after_the_service_restarts_with_a_lower_index() -> None:
     async with site("s-1", "s-2") as made:
         for name in NAMES:
             await made.add(name, relays=2)
@@ -58,19 +58,19 @@
 
 
 @on_loop
-async def test_one_with_an_old_list_serves_by_it_until_members_tell_a_newer_one() -> None:
+async def test_an_unconfirmed_list_is_used_until_a_member_sends_a_newer_one() -> None:
     old = {"index": 900, "snapshot": True, "endpoints": [Registry.entry("s-old")]}
     async with site("s-1") as made:
         await made.add("g0")
         await made.all_have("s-1")
-        made.registry.up = False  # members alone can tell
+        made.registry.up = False  # only members can provide the list
         late = await made.add("g1", known=old)
         await made.all_have("s-1")
         assert late.index == 100 and made.nodes["g0"].hosts == {"s-1"}
 
 
 @on_loop
-async def test_full_members_send_followers_on_to_theirs() -> None:
+async def test_full_members_refer_subscribers_to_their_followers() -> None:
     async with site("s-1", "s-2") as made:
         names = [f"g{n}" for n in range(7)]
         relays = choose_relays("site", [Peer(name, "a") for name in names], 1)
@@ -86,7 +86,7 @@
 
 
 @on_loop
-async def test_with_pushed_lists_a_start_is_helped_and_each_keeps_its_own_watch() -> None:
+async def test_with_pushed_lists_members_help_at_startup_and_each_keeps_its_own_watch() -> None:
     async with site("s-1") as made:
         await made.add("g0", mode="pushed")
         await made.all_have("s-1")
@@ -101,7 +101,7 @@
 
 
 @on_loop
-async def test_lists_are_shared_only_where_the_cluster_says_so() -> None:
+async def test_lists_are_shared_only_where_the_cluster_settings_say_so() -> None:
     async with site("s-1") as made:
         for name in NAMES[:2]:
             await made.add(name, lists=False)
@@ -117,7 +117,7 @@
 
 
 GOOD = listing(ListVersion(0, 500), Registry.entry("s-x"))
-STRANGE = [
+INVALID = [
     {**GOOD, "digest": 7},
     {**GOOD, "v": [0, -1]},
     {**GOOD, "v": [0, 2**63]},
@@ -131,7 +131,7 @@
 
 
 @on_loop
-async def test_answers_of_the_service_that_lead_nowhere_fail_the_watch_in_place_of_a_loop() -> None:
+async def test_unusable_answers_of_the_service_fail_the_watch_instead_of_a_busy_loop() -> None:
     intake, told = fresh_intake()
     assert intake.call_started() == (None, True)
     for raw, whole, error in ((-1, True, ValueError), (2**60, True, ValueError), (5, False, CallError)):
@@ -150,8 +150,8 @@
 
 
 @contextmanager
-def liar(calls: Calls, body: object) -> Iterator[None]:
-    """A member that tells this list to all who ask or follow."""
+def invalid_member(calls: Calls, body: object) -> Iterator[None]:
+    """Make a member send this list to all that fetch from it or subscribe to it."""
     calls.serve("list.get", lambda peer, raw: {"list": body})
     calls.serve_feed("list.feed", lambda feed, raw: feed.send({"depth": 0, "v": [0, 1], "list": body}))
     yield
@@ -159,16 +159,16 @@
 
 
 def fresh_intake() -> tuple[ListIngest, list[Any]]:
-    """One without a list, and what it tells."""
+    """An ingest without a list, and the log of its callbacks."""
     told: list[Any] = []
     config = parse(configuration())
     discovery = Discovery(config.discovery, config.names, lambda *heard: told.append(heard), False, 2.0)
     return ListIngest(discovery, discovery.on_list, told.append, told.append), told
 
 
-@pytest.mark.parametrize("body", STRANGE, ids=range(len(STRANGE)))
+@pytest.mark.parametrize("body", INVALID, ids=range(len(INVALID)))
 @on_loop
-async def test_what_is_no_list_is_refused_and_changes_nothing(body: object) -> None:
+async def test_an_invalid_list_is_refused_and_changes_nothing(body: object) -> None:
     intake, told = fresh_intake()
     with pytest.raises(ValueError):
         intake.apply_from_peer(decode(body))
@@ -177,16 +177,16 @@
 
 
 @on_loop
-async def test_a_member_that_tells_what_is_no_list_is_set_aside() -> None:
-    await refused(STRANGE[0])
+async def test_a_member_that_sends_an_invalid_list_is_set_aside() -> None:
+    await check_set_aside(INVALID[0])
 
 
-async def refused(body: object, frame_bytes: int = 4 * 1024 * 1024) -> None:
+async def check_set_aside(body: object, frame_bytes: int = 4 * 1024 * 1024) -> None:
     async with site("s-1") as made:
         settings = ClusterSettings(name="site", bind="127.0.0.1:0")
         bad = Membership(settings, "g0", "a", 1)
         bad.calls = Calls("site", "g0", frame_bytes)
-        with liar(bad.calls, body):
+        with invalid_member(bad.calls, body):
             await bad.start()
             made.nodes["g0"] = bad  # type: ignore[assignment]  # the seed
             node = Node("g1", made.service.address, [bad.address])
@@ -201,9 +201,9 @@
 
 
 @on_loop
-async def test_a_member_that_tells_an_enormous_list_is_set_aside() -> None:
+async def test_a_member_that_sends_an_oversized_list_is_set_aside() -> None:
     huge = listing(ListVersion(0, 500), *(Registry.entry(f"s-{n}", note="x" * 900) for n in range(6000)))
-    await refused(huge, 64 * 1024 * 1024)
+    await check_set_aside(huge, 64 * 1024 * 1024)
 
 
 @on_loop
@@ -219,19 +219,19 @@
 
 
 @on_loop
-async def test_an_old_list_of_a_member_changes_nothing() -> None:
+async def test_an_older_list_from_a_member_changes_nothing() -> None:
     async with site("s-1") as made:
         await made.add("g0")
         await made.all_have("s-1")
         calls = Calls("site", "g9")
         old = listing(ListVersion(0, 50), Registry.entry("s-old"))
-        with liar(calls, old):
+        with invalid_member(calls, old):
             node = made.nodes["g0"]
             sharing = node.fleet.sharing
             assert sharing is not None
             sharing._receive_list("g9", old)
             assert node.hosts == {"s-1"} and node.index == 100
-            # Asked for what is newer than it has, it gives its own; for less, nothing.
+            # A fetch from an older version gets the held list; a fetch from the same version gets none.
             answer = await calls.call(node.address, "list.get", [0, 50], 1.0)
             assert answer["list"]["v"] == [0, 100]
             assert await calls.call(node.address, "list.get", [0, 100], 1.0) == {"list": None}
@@ -243,14 +243,14 @@
         for name in NAMES[:3]:
             node = await made.add(name)
             assert node.fleet.neighbours is not None
-            node.fleet.neighbours.started_s -= 60.0  # it has served long enough
+            node.fleet.neighbours.started_s -= 60.0  # it has run long enough to share its learned state
         await made.all_have("s-1", "s-2")
         for node in made.nodes.values():
             for server in node.gateway.balancer.servers.values():
                 server.weight = 0.25
         begun_s = time.monotonic()
         cold = await made.add("g3")
-        assert time.monotonic() - begun_s < 0.3 + 1.0  # what it waited for others, and a loaded machine
+        assert time.monotonic() - begun_s < 0.3 + 1.0  # the wait for members, and 1 s for a loaded machine
         await until(lambda: cold.hosts == {"s-1", "s-2"})
         await until(lambda: {s.weight for s in cold.gateway.balancer.servers.values()} == {0.25})
         assert cold.fleet.gauges()["warm_neighbours"] == 3
--- a/tests/test_list_told.py
+++ b/tests/test_list_told.py
@@ -1,4 +1,4 @@
-"""By when a change of the list is told, for each way in which a call to the list service can go wrong."""
+"""How soon a change of the list arrives, for each way in which a call to the list service can fail."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def reset(exchange: Exchange) -> None:
-    """At once, and never a plain end."""
+    """Reset the connection at once, instead of an orderly close."""
     sock = exchange.writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     exchange.reset()
@@ -49,11 +49,11 @@
 
 
 class Service:
-    """A list service that fails in one way until it has done so once, and tells of a change from then on."""
+    """A list service whose first call fails in the given way; all further calls get the changed list."""
 
     def __init__(self, fails: Fails) -> None:
         self.fails, self.calls = fails, 0
-        self.good_s = math.inf  # when it had the change and could be reached
+        self.good_s = math.inf  # since when it has the change and can be reached
         self.listener: asyncio.Server | None = None
         self.port = 0
         self.tasks: list[asyncio.Task[None]] = []
@@ -70,7 +70,7 @@
             self.calls += 1
             if self.good_s < math.inf:
                 writer.write(list_reply(9, FRESH))
-                await read_message(reader)  # the next call waits
+                await read_message(reader)  # leaves the next call, a long poll, unanswered
                 return
             self.good_s = asyncio.get_running_loop().time()
             self.fails(self, writer)
@@ -87,7 +87,7 @@
 WHOLE = list_reply(9, FRESH)
 
 
-def says(data: bytes, ends: bool = False) -> Fails:
+def respond(data: bytes, ends: bool = False) -> Fails:
     def answer(service: Service, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
         if ends:
@@ -96,12 +96,12 @@
     return answer
 
 
-def resets(service: Service, writer: asyncio.StreamWriter) -> None:
+def respond_and_reset(service: Service, writer: asyncio.StreamWriter) -> None:
     writer.write(WHOLE[:-9])
     reset(Exchange(Message("", {}), writer, 0))
 
 
-def trickles(service: Service, writer: asyncio.StreamWriter) -> None:
+def respond_without_end(service: Service, writer: asyncio.StreamWriter) -> None:
     async def on_and_on() -> None:
         writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
         while True:
@@ -112,26 +112,28 @@
 
 
 FAULTS = {
-    "silent": says(b""),
-    "silent in the status line": says(WHOLE[:9]),
-    "silent in the head": says(WHOLE[:25]),
-    "silent behind the head": says(WHOLE[: WHOLE.index(b"{")]),
-    "silent in the body": says(WHOLE[: WHOLE.index(b"{") + 30]),
-    "silent before the last byte": says(WHOLE[:-1]),
-    "ends with no answer": says(b"", True),
-    "ends in the body": says(WHOLE[:-1], True),
-    "resets in the body": resets,
-    "bytes without end": trickles,
-    "500": says(reply(500)),
-    "no JSON": says(reply(200, BODY[:-9])),
-    "other types": says(reply(200, b'{"index":{},"snapshot":true,"endpoints":[]}')),
-    "no HTTP": says(b"\0" * 99),
+    "silent": respond(b""),
+    "silent in the status line": respond(WHOLE[:9]),
+    "silent in the head": respond(WHOLE[:25]),
+    "silent behind the head": respond(WHOLE[: WHOLE.index(b"{")]),
+    "silent in the body": respond(WHOLE[: WHOLE.index(b"{") + 30]),
+    "silent before the last byte": respond(WHOLE[:-1]),
+    "ends with no answer": respond(b"", True),
+    "ends in the body": respond(WHOLE[:-1], True),
+    "resets in the body": respond_and_reset,
+    "bytes without end": respond_without_end,
+    "500": respond(reply(500)),
+    "no JSON": respond(reply(200, BODY[:-9])),
+    "other types": respond(reply(200, b'{"index":{},"snapshot":true,"endpoints":[]}')),
+    "no HTTP": respond(b"\0" * 99),
 }
 
 
-async def told_after(mode: str, stop_sending_s: float, must_ask_s: float, fails: Fails) -> float:
-    """How long after the service had a change and could be reached the gateway had it, at worst: whatever
-    can wait has waited for its longest time."""
+async def delay_of_change(mode: str, stop_sending_s: float, must_ask_s: float, fails: Fails) -> float:
+    """Return how long the gateway took to get a change after the service had it and could be reached.
+
+    This is the worst case: all jitter and backoff has its longest value.
+    """
     service = Service(fails)
     await service.listen()
     config = configuration("127.0.0.1:1", discovery=f"127.0.0.1:{service.port}")
@@ -150,16 +152,16 @@
 
 @pytest.mark.parametrize(("mode", "stop_sending_s"), [("pushed", 0.5), ("pushed", 2.0), ("on_request", 0.5)])
 @on_loop
-async def test_whatever_fails_is_made_good_in_time(
+async def test_a_change_arrives_in_time_after_any_failure(
     monkeypatch: pytest.MonkeyPatch, mode: str, stop_sending_s: float
 ) -> None:
-    """Calls to the agent took 1 s where servers may be used for 0.5 s; calls on request waited for as long as
-    other settings made the module wait, for over 6 s where it must ask in 20 s or more."""
+    """Calls to the agent took up to 1 s although servers may be used for 0.5 s only. Calls on request were
+    delayed by other settings, by more than 6 s where the balancer must ask in 20 s or more."""
     monkeypatch.setattr("random.uniform", max)
     bound_s = stop_sending_s if mode == "pushed" else UPDATE_BOUND_S
     async with asyncio.TaskGroup() as group:
         runs = {
-            name: group.create_task(told_after(mode, stop_sending_s, 400.0, fails))
+            name: group.create_task(delay_of_change(mode, stop_sending_s, 400.0, fails))
             for name, fails in FAULTS.items()
         }
     late = {name: run.result() for name, run in runs.items() if run.result() > bound_s}
@@ -169,11 +171,11 @@
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 @pytest.mark.parametrize("first", ["silent", "refused"])
 @on_loop
-async def test_a_new_address_that_fails_once_is_heard_in_time(
+async def test_a_change_arrives_in_time_from_a_new_address_that_fails_once(
     monkeypatch: pytest.MonkeyPatch, first: str, mode: str
 ) -> None:
-    """The module went on with its waits of the old address, up to 4 s, and calls that had run out of time
-    there made those at the new one take up to 3 s: it could be told 8 s after the signal."""
+    """The backoff from the old address went on, up to 4 s, and timeouts there lengthened the calls to the new
+    one to up to 3 s: a change could arrive 8 s after the signal."""
     monkeypatch.setattr("random.uniform", max)
     service = Service(FAULTS["silent"])
     await service.listen()
@@ -200,7 +202,7 @@
 
 
 @on_loop
-async def test_a_start_is_told_in_time_whatever_its_settings_let_it_wait(
+async def test_the_list_arrives_in_time_at_startup_whatever_waits_are_configured(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("random.uniform", max)
@@ -212,15 +214,15 @@
             await until(lambda: host_id(3) in run.gateway.pools.hosts)
             assert (
                 asyncio.get_running_loop().time() - begun_s < UPDATE_BOUND_S - 1.0
-            )  # a call may still be lost
+            )  # leaves time for one lost call
             registry.script = silent
 
 
 @on_loop
-async def test_a_kept_call_that_fails_leaves_no_connection_to_go_on_with(
+async def test_a_kept_call_that_fails_leaves_no_spare_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The next watch took it for one that had just answered, and its first call waited for news."""
+    """The next watch reused the connection as if it had just answered: its first call was a long poll."""
     monkeypatch.setattr("cloverkeel.discovery_timing.CALL_TIMEOUT_S", 0.1)
     async with peer(silent) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
@@ -241,7 +243,7 @@
 async def test_a_connection_that_does_not_come_up_after_an_answer_is_given_up_in_a_call_s_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It was waited for as long as for news, which nobody had been asked for yet."""
+    """The wait was as long as that of a long poll, although no request had been sent yet."""
     monkeypatch.setattr("random.uniform", max)
 
     def script(exchange: Exchange) -> None:
@@ -265,13 +267,13 @@
 
         monkeypatch.setattr(discovery, "_connect", late)
         await until(lambda: host_id(3) in run.gateway.pools.hosts)
-        assert len(tried_s) == 3 and tried_s[2] - tried_s[1] < CALL_TIMEOUT_S + 1.0  # without a wait for news
+        assert len(tried_s) == 3 and tried_s[2] - tried_s[1] < CALL_TIMEOUT_S + 1.0  # no long poll
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 @on_loop
-async def test_no_descriptor_is_a_failed_call_and_no_more(mode: str) -> None:
-    """Idle clients may have them all while discovery is down."""
+async def test_a_lack_of_descriptors_only_fails_the_call(mode: str) -> None:
+    """Idle clients may hold all descriptors while discovery is down."""
     limits = resource.getrlimit(resource.RLIMIT_NOFILE)
     async with peer(answers(WHOLE)) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
--- a/tests/test_warm_median.py
+++ b/tests/test_warm_median.py
@@ -1,4 +1,4 @@
-"""Warm by neighbours: one that lies moves nothing beyond what honest ones say."""
+"""Warm start: one wrong answer moves no value beyond those of the correct ones."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.helpers import Driver
 
 OPEN = LearnedBreaker((True,) * 20, "open", 3_000_000, 4_000_000)
-FINE = LearnedBreaker((False,) * 20, "closed", 0, 1_000_000)
+HEALTHY = LearnedBreaker((False,) * 20, "closed", 0, 1_000_000)
 HOSTS = 4
 
 breakers = st.builds(
@@ -36,9 +36,9 @@
 )
 
 
-def honest(weight: float, *open_hosts: int) -> LearnedState:
+def correct_answer(weight: float, *open_hosts: int) -> LearnedState:
     told = (
-        LearnedServer(n, 0, weight, 1.0, OPEN if n in open_hosts else FINE, ((0, weight, FINE),))
+        LearnedServer(n, 0, weight, 1.0, OPEN if n in open_hosts else HEALTHY, ((0, weight, HEALTHY),))
         for n in range(HOSTS)
     )
     return LearnedState(tuple(told), (20_000.0,), (10_000.0,))
@@ -46,11 +46,11 @@
 
 @settings(max_examples=60, deadline=None)
 @given(learned, st.floats(0.3, 0.6), st.floats(0.6, 1.0), st.integers(0, 2))
-def test_one_liar_of_three_opens_nothing_and_pulls_no_weight(
-    lie: LearnedState, low: float, high: float, place: int
+def test_one_wrong_answer_of_three_opens_no_breaker_and_moves_no_weight(
+    wrong_answer: LearnedState, low: float, high: float, place: int
 ) -> None:
-    answers = [honest(low), honest(high)]
-    answers.insert(place, validate(lie))
+    answers = [correct_answer(low), correct_answer(high)]
+    answers.insert(place, validate(wrong_answer))
     combined = combine(answers)
     assert combined is not None
     driver = Driver(servers=0)
@@ -61,14 +61,14 @@
         assert low <= server.weight <= high
         for breaker in (server.breaker, *(part.breaker for part in server.by_class.values())):
             assert breaker.state is State.CLOSED and not any(breaker.ring)
-    # A host that the liar alone knows is as if nothing had been said.
+    # A host that only the wrong answer knows is as if it were in no answer.
     only = driver.balancer.servers[HOSTS]
     assert only.breaker.state is State.CLOSED and not only.breaker.ring and only.weight == 1.0
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(learned, min_size=1, max_size=3))
-def test_whatever_is_said_weights_stay_in_bounds_and_one_answer_opens_nothing(
+def test_weights_stay_in_bounds_and_a_single_answer_opens_no_breaker(
     answers: list[LearnedState],
 ) -> None:
     combined = combine([validate(answer) for answer in answers])
@@ -85,16 +85,16 @@
             )
 
 
-def test_what_most_hold_open_is_open_for_the_median_of_what_is_left() -> None:
-    combined = combine([honest(0.5, 1), honest(0.6, 1), honest(0.7)])
+def test_a_breaker_open_in_most_answers_is_open_for_the_median_time_left() -> None:
+    combined = combine([correct_answer(0.5, 1), correct_answer(0.6, 1), correct_answer(0.7)])
     assert combined is not None
     by_number = {server.server: server for server in combined.servers}
     assert by_number[1].breaker == LearnedBreaker((), "open", 3_000_000, 4_000_000)
-    assert by_number[0].breaker == replace(FINE, cooldown_us=0) and by_number[0].weight == 0.6
+    assert by_number[0].breaker == replace(HEALTHY, cooldown_us=0) and by_number[0].weight == 0.6
     assert combined.smoothed_us == (20_000.0,) and combine([]) is None
 
 
-SERVER = honest(0.5).servers[0]
+SERVER = correct_answer(0.5).servers[0]
 
 
 @pytest.mark.parametrize(
@@ -105,12 +105,12 @@
         LearnedState((replace(SERVER, weight=-1.0),), (), ()),
         LearnedState((SERVER, SERVER), (), ()),
         LearnedState((replace(SERVER, by_class=SERVER.by_class * 2),), (), ()),
-        LearnedState((replace(SERVER, breaker=replace(FINE, open_left_us=-1)),), (), ()),
-        LearnedState((replace(SERVER, breaker=replace(FINE, ring=(True,) * 2000)),), (), ()),
+        LearnedState((replace(SERVER, breaker=replace(HEALTHY, open_left_us=-1)),), (), ()),
+        LearnedState((replace(SERVER, breaker=replace(HEALTHY, ring=(True,) * 2000)),), (), ()),
         LearnedState((), (math.nan,), ()),
         LearnedState(tuple(replace(SERVER, server=n) for n in range(10_001)), (), ()),
     ],
 )
-def test_what_no_module_could_have_learned_is_refused(bad: LearnedState) -> None:
+def test_learned_state_that_is_impossible_is_refused(bad: LearnedState) -> None:
     with pytest.raises(ValueError):
         validate(bad)
