--- a/cloverkeel/fleet/lists/followers.py
+++ b/cloverkeel/fleet/lists/followers.py
@@ -45,9 +45,7 @@
 class Followers:
     """The open feeds to followers, at most `limit` at once."""
 
-    def __init__(
-        self, held_list: HeldList, selector: SourceSelector, limit: int, rng: random.Random
-    ) -> None:
+    def __init__(self, held_list: HeldList, selector: SourceSelector, limit: int, rng: random.Random) -> None:
         self.held_list, self.selector, self.limit, self.rng = held_list, selector, limit, rng
         self.feeds: dict[Feed, None] = {}
         self.refused_count = 0
--- a/cloverkeel/fleet/lists/sharing.py
+++ b/cloverkeel/fleet/lists/sharing.py
@@ -104,8 +104,7 @@
     async def wait_for_first_list(self, wait_s: float) -> None:
         """Wait until a list is held or the fetches of the startup have ended, `wait_s` at most."""
         waits = [
-            self.loop.create_task(condition.wait())
-            for condition in (self.has_hosts, self.start_fetches_done)
+            self.loop.create_task(condition.wait()) for condition in (self.has_hosts, self.start_fetches_done)
         ]
         await asyncio.wait(waits, timeout=wait_s, return_when=asyncio.FIRST_COMPLETED)
         for wait in waits:
--- a/tests/test_list_answers.py
+++ b/tests/test_list_answers.py
@@ -164,9 +164,7 @@
     [{"weight": 0}, {"address": "nowhere"}, {"address": None, "status": "DELETED"}, {"since_ms": "long ago"}],
 )
 @on_loop
-async def test_a_drain_is_read_from_an_otherwise_unusable_entry(
-    odd: dict[str, object], whole: bool
-) -> None:
+async def test_a_drain_is_read_from_an_otherwise_unusable_entry(odd: dict[str, object], whole: bool) -> None:
     """The entry was skipped as unusable, and after a delta the host stayed in use."""
     entry = endpoint("s-0", "127.0.0.1:1", status="DRAINING") | odd
     async with (
