--- a/cloverkeel/fleet/lists/sharing.py
+++ b/cloverkeel/fleet/lists/sharing.py
@@ -88,7 +88,7 @@
         self.calls.serve(LIST_HAVE, self._on_have)
         self.calls.serve_feed(LIST_FEED, self._on_feed)
         self.discovery.ordering = self.ingest
-        self.membership.on_change(lambda rumour, before: self._schedule_view_update())
+        self.membership.on_change(lambda update, before: self._schedule_view_update())
         self.tasks.spawn(self._join())
         self._tick()
 
