--- a/tests/test_list_follow.py
+++ b/tests/test_list_follow.py
@@ -236,8 +236,8 @@
     slow = next(iter(core.upstreams))
     core.version_received(slow, ListVersion(0, 8))
     held = ListVersion(0, 9)
-    told = [a for n in range(25) for a in core.tick(1.0 + n / 10, held) if isinstance(a, AnnounceList)]
-    assert [have.peer.name for have in told] == [slow, slow]
+    notices = [a for n in range(25) for a in core.tick(1.0 + n / 10, held) if isinstance(a, AnnounceList)]
+    assert [notice.peer.name for notice in notices] == [slow, slow]
 
 
 def test_with_pushed_lists_peers_help_at_the_start_alone() -> None:
--- a/tests/test_list_order.py
+++ b/tests/test_list_order.py
@@ -26,7 +26,7 @@
     return {"name": f"s-{number}", "address": f"127.0.0.1:{turn + 1}", "status": "SERVING"}
 
 
-def gone(number: int) -> RawEntry:
+def deleted_entry(number: int) -> RawEntry:
     return {"name": f"s-{number}", "address": "127.0.0.1:1", "status": "DELETED"}
 
 
@@ -48,7 +48,7 @@
 
     def change(self, number: int, delete: bool) -> None:
         self.turn += 1
-        new = gone(number) if delete else entry(number, self.turn)
+        new = deleted_entry(number) if delete else entry(number, self.turn)
         self.entries.pop(new["name"], None)
         if not delete:
             self.entries[new["name"]] = new
--- a/tests/test_list_process.py
+++ b/tests/test_list_process.py
@@ -53,15 +53,15 @@
             return process
 
         processes = dict(zip(NAMES, await asyncio.gather(*map(start_gateway, NAMES)), strict=True))
-        heard = operators[follower]
-        await until_hosts(heard, 3)
+        follower_port = operators[follower]
+        await until_hosts(follower_port, 3)
         registry.change("s-2", "DELETED")
-        await until_hosts(heard, 2)
-        while {row["name"] for row in (await table(heard))["members"] if row["relay"]} != set(RELAYS):
+        await until_hosts(follower_port, 2)
+        while {row["name"] for row in (await table(follower_port))["members"] if row["relay"]} != set(RELAYS):
             await asyncio.sleep(0.01)
-        while await metric(heard, "lb_list_feeds") != 2:
+        while await metric(follower_port, "lb_list_feeds") != 2:
             await asyncio.sleep(0.01)
         processes[RELAYS[0]].send_signal(signal.SIGKILL)
         registry.change("s-1", "DELETED")
-        await until_hosts(heard, 1)
-        assert await metric(heard, "lb_list_service_calls_total") == 0
+        await until_hosts(follower_port, 1)
+        assert await metric(follower_port, "lb_list_service_calls_total") == 0
--- a/tests/test_list_sharing.py
+++ b/tests/test_list_sharing.py
@@ -132,21 +132,21 @@
 
 @on_loop
 async def test_unusable_answers_of_the_service_fail_the_watch_instead_of_a_busy_loop() -> None:
-    intake, told = fresh_intake()
-    assert intake.call_started() == (None, True)
+    ingest, callbacks = fresh_ingest()
+    assert ingest.call_started() == (None, True)
     for raw, whole, error in ((-1, True, ValueError), (2**60, True, ValueError), (5, False, CallError)):
         with pytest.raises(error):
-            intake.call_answered(intake.call_started(), {}, raw, whole, [])
-    assert not told
-    intake.apply_from_peer(decode(listing(ListVersion(7, 500), Registry.entry("s-x"))))
+            ingest.call_answered(ingest.call_started(), {}, raw, whole, [])
+    assert not callbacks
+    ingest.apply_from_peer(decode(listing(ListVersion(7, 500), Registry.entry("s-x"))))
     with pytest.raises(CallError, match="epoch is 3"):
-        intake.call_answered(intake.call_started(), {"epoch": 3}, 500, True, [])
-    intake.call_answered(
-        intake.call_started(), {"epoch": 8}, 1, False, []
+        ingest.call_answered(ingest.call_started(), {"epoch": 3}, 500, True, [])
+    ingest.call_answered(
+        ingest.call_started(), {"epoch": 8}, 1, False, []
     )  # a change of a list not held here
-    assert intake.call_started().for_full_list and intake.discovery.index is None
-    intake.call_answered(intake.call_started(), {"epoch": 8}, 1, True, [])
-    assert intake.held_list.version == ListVersion(8, 1) and intake.discovery.epoch == 8
+    assert ingest.call_started().for_full_list and ingest.discovery.index is None
+    ingest.call_answered(ingest.call_started(), {"epoch": 8}, 1, True, [])
+    assert ingest.held_list.version == ListVersion(8, 1) and ingest.discovery.epoch == 8
 
 
 @contextmanager
@@ -158,22 +158,24 @@
     calls.close()
 
 
-def fresh_intake() -> tuple[ListIngest, list[Any]]:
+def fresh_ingest() -> tuple[ListIngest, list[Any]]:
     """An ingest without a list, and the log of its callbacks."""
-    told: list[Any] = []
+    callbacks: list[Any] = []
     config = parse(configuration())
-    discovery = Discovery(config.discovery, config.names, lambda *heard: told.append(heard), False, 2.0)
-    return ListIngest(discovery, discovery.on_list, told.append, told.append), told
+    discovery = Discovery(
+        config.discovery, config.names, lambda *arguments: callbacks.append(arguments), False, 2.0
+    )
+    return ListIngest(discovery, discovery.on_list, callbacks.append, callbacks.append), callbacks
 
 
 @pytest.mark.parametrize("body", INVALID, ids=range(len(INVALID)))
 @on_loop
 async def test_an_invalid_list_is_refused_and_changes_nothing(body: object) -> None:
-    intake, told = fresh_intake()
+    ingest, callbacks = fresh_ingest()
     with pytest.raises(ValueError):
-        intake.apply_from_peer(decode(body))
-    assert not told and intake.held_list.version is None
-    assert intake.apply_from_peer(decode(GOOD)) is ApplyResult.NEW and len(told) == 2
+        ingest.apply_from_peer(decode(body))
+    assert not callbacks and ingest.held_list.version is None
+    assert ingest.apply_from_peer(decode(GOOD)) is ApplyResult.NEW and len(callbacks) == 2
 
 
 @on_loop
@@ -211,11 +213,11 @@
     async with site("s-1") as made:
         node = await made.add("g0")
         assert node.fleet.sharing is not None
-        links = node.fleet.sharing.connections
-        opening = links.open(Peer("g1", "a", node.address), None)
-        links.drop("g1")
+        connections = node.fleet.sharing.connections
+        opening = connections.open(Peer("g1", "a", node.address), None)
+        connections.drop("g1")
         await opening
-        assert not links.connections and node.fleet.gauges()["list_followers"] == 0
+        assert not connections.connections and node.fleet.gauges()["list_followers"] == 0
 
 
 @on_loop
--- a/tests/test_warm_median.py
+++ b/tests/test_warm_median.py
@@ -27,7 +27,7 @@
 )
 weights = st.floats(0.0, 1e9)
 parts = st.dictionaries(st.integers(0, 2), st.tuples(weights, breakers), max_size=3).map(
-    lambda told: tuple((klass, weight, breaker) for klass, (weight, breaker) in told.items())
+    lambda by_class: tuple((klass, weight, breaker) for klass, (weight, breaker) in by_class.items())
 )
 servers = st.builds(LearnedServer, st.integers(0, HOSTS), st.just(0), weights, weights, breakers, parts)
 figures = st.lists(st.floats(0.0, 1e9), max_size=3).map(tuple)
@@ -37,11 +37,11 @@
 
 
 def correct_answer(weight: float, *open_hosts: int) -> LearnedState:
-    told = (
+    servers_learned = (
         LearnedServer(n, 0, weight, 1.0, OPEN if n in open_hosts else HEALTHY, ((0, weight, HEALTHY),))
         for n in range(HOSTS)
     )
-    return LearnedState(tuple(told), (20_000.0,), (10_000.0,))
+    return LearnedState(tuple(servers_learned), (20_000.0,), (10_000.0,))
 
 
 @settings(max_examples=60, deadline=None)
@@ -75,9 +75,9 @@
     assert combined is not None
     for server in combined.servers:
         assert all(0.05 <= w <= 1.0 for w in (server.weight, *(w for _, w, _ in server.by_class)))
-        told = [s for a in answers for s in a.servers if s.server == server.server]
+        reports = [s for a in answers for s in a.servers if s.server == server.server]
         if server.breaker.state == "open":
-            assert sum(s.breaker.state != "closed" for s in told) * 2 > len(told) > 1
+            assert sum(s.breaker.state != "closed" for s in reports) * 2 > len(reports) > 1
         if len(answers) == 1:
             assert all(
                 not b.ring and b.state == "closed"
