--- a/cloverkeel/fleet/ledger/compare.py
+++ b/cloverkeel/fleet/ledger/anti_entropy.py
@@ -14,79 +14,81 @@
 import dataclasses
 from collections.abc import Container, Iterable
 
-from cloverkeel.fleet.ledger.digest import BUCKETS
+from cloverkeel.fleet.ledger.bucket_hashes import BUCKET_COUNT
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.ledger.messages import HEADS_MAX, LEAVES_MAX, Buckets, Digest, Leaves, Message, Want
 from cloverkeel.fleet.ledger.replica import Join, Replica
 
 
 @dataclasses.dataclass
-class Outcome:
+class ComparisonOutcome:
     join: Join | None = None
-    sends: list[Message] = dataclasses.field(default_factory=list)
-    more: bool = False  # something was left over: compare again soon
+    messages: list[Message] = dataclasses.field(default_factory=list)
+    incomplete: bool = False  # something was left over: compare again soon
 
 
-def summed(replica: Replica, settled: bool, reply: bool = False) -> Digest:
+def digest_message(replica: Replica, settled: bool, reply: bool = False) -> Digest:
     """This member's state in two hashes."""
-    return Digest(replica.digests.root(), Context(), settled, reply, replica.summary())
+    return Digest(replica.bucket_hashes.root(), Context(), settled, reply, replica.context_hash())
 
 
-def told(replica: Replica, digest: Digest) -> Context | None:
+def sender_context(replica: Replica, digest: Digest) -> Context | None:
     """The sender's context; None: it gave a hash, which is not this member's."""
-    if not digest.summary:
+    if not digest.context_hash:
         return digest.context
-    return replica.context if digest.summary == replica.summary() else None
+    return replica.context if digest.context_hash == replica.context_hash() else None
 
 
-def on_digest(replica: Replica, settled: bool, idle: bool, digest: Digest) -> Outcome:
-    outcome = Outcome()
-    if digest.root != replica.digests.root():
-        outcome.sends.append(Buckets(replica.digests.root(), replica.digests.buckets()))
+def on_digest(replica: Replica, settled: bool, idle: bool, digest: Digest) -> ComparisonOutcome:
+    outcome = ComparisonOutcome()
+    if digest.root != replica.bucket_hashes.root():
+        outcome.messages.append(Buckets(replica.bucket_hashes.root(), replica.bucket_hashes.hashes()))
         return outcome
-    context = told(replica, digest)
+    context = sender_context(replica, digest)
     if context is None:
-        outcome.sends.append(Digest(replica.digests.root(), replica.context, settled))
+        outcome.messages.append(Digest(replica.bucket_hashes.root(), replica.context, settled))
         return outcome
     if idle:
         outcome.join = Join(context, (), digest.settled)
     if context != replica.context and not digest.reply:
-        outcome.sends.append(Digest(replica.digests.root(), replica.context, settled, reply=True))
+        outcome.messages.append(Digest(replica.bucket_hashes.root(), replica.context, settled, reply=True))
     elif not digest.settled and not digest.reply:
-        outcome.sends.append(summed(replica, settled, reply=True))
+        outcome.messages.append(digest_message(replica, settled, reply=True))
     return outcome
 
 
-def on_buckets(replica: Replica, settled: bool, start: int, buckets: Buckets) -> Outcome:
+def on_buckets(replica: Replica, settled: bool, start: int, buckets: Buckets) -> ComparisonOutcome:
     """`start`: the bucket to begin with where not all that differ go into one message."""
-    differing = replica.digests.differing(buckets.hashes)
+    differing = replica.bucket_hashes.differing_buckets(buckets.hashes)
     if not differing:
-        return Outcome()
-    differing.sort(key=lambda i: (i - start) % BUCKETS)
+        return ComparisonOutcome()
+    differing.sort(key=lambda i: (i - start) % BUCKET_COUNT)
     leaves = _leaves(replica, settled, differing, buckets.root, True, reply=False)
-    return Outcome(sends=[leaves], more=not leaves.whole)
+    return ComparisonOutcome(messages=[leaves], incomplete=not leaves.complete)
 
 
-def on_leaves(replica: Replica, settled: bool, idle: bool, coming: Container[Dot], leaves: Leaves) -> Outcome:
+def on_leaves(
+    replica: Replica, settled: bool, idle: bool, coming: Container[Dot], leaves: Leaves
+) -> ComparisonOutcome:
     """`coming`: the dots whose records are on their way here, or set aside."""
-    outcome = Outcome(more=not leaves.whole)
+    outcome = ComparisonOutcome(incomplete=not leaves.complete)
     lacking: list[Dot] = []
     drops: list[Dot] = []
     for bucket, theirs in leaves.buckets.items():
-        mine, held = replica.digests.dots[bucket], set(theirs)
+        mine, held = replica.bucket_hashes.dots_by_bucket[bucket], set(theirs)
         drops += [dot for dot in sorted(mine - held) if leaves.context.covers(dot)]
         lacking += [dot for dot in theirs if not replica.context.covers(dot)]
     wanted = [dot for dot in lacking if dot not in coming]
     if leaves.settled:
         for at in range(0, min(len(wanted), LEAVES_MAX), HEADS_MAX):
-            outcome.sends.append(Want(tuple(wanted[at : at + HEADS_MAX])))
-            outcome.more = True
-    unmoved = leaves.base == replica.digests.root()
-    if leaves.whole and unmoved and idle and not lacking:
+            outcome.messages.append(Want(tuple(wanted[at : at + HEADS_MAX])))
+            outcome.incomplete = True
+    unmoved = leaves.receiver_root == replica.bucket_hashes.root()
+    if leaves.complete and unmoved and idle and not lacking:
         outcome.join = Join(leaves.context, tuple(drops), leaves.settled)
     if not leaves.reply:
-        whole = leaves.whole and unmoved
-        outcome.sends.append(_leaves(replica, settled, leaves.buckets, leaves.root, whole, reply=True))
+        whole = leaves.complete and unmoved
+        outcome.messages.append(_leaves(replica, settled, leaves.buckets, leaves.root, whole, reply=True))
     return outcome
 
 
@@ -97,10 +99,10 @@
     chosen: dict[int, tuple[Dot, ...]] = {}
     room = LEAVES_MAX
     for bucket in buckets:
-        dots = replica.digests.dots[bucket]
+        dots = replica.bucket_hashes.dots_by_bucket[bucket]
         if chosen and len(dots) > room:
             whole = False
             break
         chosen[bucket] = tuple(sorted(dots))
         room -= len(dots)
-    return Leaves(replica.digests.root(), base, chosen, replica.context, settled, whole, reply)
+    return Leaves(replica.bucket_hashes.root(), base, chosen, replica.context, settled, whole, reply)
--- a/cloverkeel/fleet/ledger/dots.py
+++ b/cloverkeel/fleet/ledger/dots.py
@@ -46,7 +46,7 @@
     def includes(self, other: Context) -> bool:
         """Whether every dot of `other` is covered here."""
         return all(
-            theirs == (mine := self.runs.get(actor, ())) or _join(mine, theirs) == mine
+            theirs == (mine := self.runs.get(actor, ())) or _union(mine, theirs) == mine
             for actor, theirs in other.runs.items()
         )
 
@@ -54,10 +54,10 @@
         new: dict[Actor, list[int]] = {}
         for dot in dots:
             new.setdefault(dot.actor, []).extend((dot.counter, dot.counter))
-        return self._with((actor, tuple(pairs)) for actor, pairs in new.items())
+        return self._merged_with((actor, tuple(pairs)) for actor, pairs in new.items())
 
     def merge(self, other: Context) -> Context:
-        return self._with(other.runs.items())
+        return self._merged_with(other.runs.items())
 
     def without(self, dot: Dot) -> Context:
         """All but `dot`: what was seen and then lost is to be seen again."""
@@ -76,20 +76,20 @@
         del runs[dot.actor]
         return Context({**runs, dot.actor: tuple(pairs)} if pairs else runs)
 
-    def meet(self, other: Context) -> Context:
+    def intersection(self, other: Context) -> Context:
         """The dots that both cover."""
-        runs = {actor: _meet(mine, other.runs.get(actor, ())) for actor, mine in self.runs.items()}
+        runs = {actor: _intersection(mine, other.runs.get(actor, ())) for actor, mine in self.runs.items()}
         return Context({actor: both for actor, both in runs.items() if both})
 
-    def size(self) -> int:
+    def run_count(self) -> int:
         """How many runs it is made of."""
         return sum(map(len, self.runs.values())) // 2
 
-    def summary(self) -> bytes:
+    def hash_bytes(self) -> bytes:
         """A hash of 128 bits: equal for equal contexts."""
         return hashlib.blake2b(msgspec.msgpack.encode(sorted(self.runs.items())), digest_size=16).digest()
 
-    def fault(self) -> str | None:
+    def invalid_reason(self) -> str | None:
         """Why a context that came from outside is not one, or None."""
         for (member, _), runs in self.runs.items():
             if not member or not runs or len(runs) % 2 or runs[0] < 1 or runs[-1] > COUNTER_MAX:
@@ -100,40 +100,40 @@
                 return "runs overlap or touch"
         return None
 
-    def _with(self, more: Iterable[tuple[Actor, Runs]]) -> Context:
+    def _merged_with(self, more: Iterable[tuple[Actor, Runs]]) -> Context:
         runs = dict(self.runs)
         for actor, theirs in more:
-            runs[actor] = _join(runs.get(actor, ()), theirs)
+            runs[actor] = _union(runs.get(actor, ()), theirs)
         return Context(runs)
 
 
-class Growing:
+class ContextBuilder:
     """A context that takes in many dots and contexts, one after the other, for one copy."""
 
     def __init__(self, context: Context) -> None:
-        self.before, self.runs = context, dict(context.runs)
+        self.initial, self.runs = context, dict(context.runs)
 
     def covers(self, dot: Dot) -> bool:
         return Context(self.runs).covers(dot)
 
     def merge(self, other: Context) -> None:
         for actor, theirs in other.runs.items():
-            self.runs[actor] = _join(self.runs.get(actor, ()), theirs)
+            self.runs[actor] = _union(self.runs.get(actor, ()), theirs)
 
     def add(self, dot: Dot) -> None:
         actor = dot.actor
-        self.runs[actor] = _join(self.runs.get(actor, ()), (dot.counter, dot.counter))
+        self.runs[actor] = _union(self.runs.get(actor, ()), (dot.counter, dot.counter))
 
-    def done(self) -> Context:
+    def build(self) -> Context:
         """Not to be grown any more."""
-        return self.before if self.runs == self.before.runs else Context(self.runs)
+        return self.initial if self.runs == self.initial.runs else Context(self.runs)
 
 
 def _pairs(runs: Runs) -> Iterator[tuple[int, int]]:
     return zip(runs[::2], runs[1::2], strict=True)
 
 
-def _join(a: Runs, b: Runs) -> Runs:
+def _union(a: Runs, b: Runs) -> Runs:
     """`a` is as a context keeps it; `b` may be any pairs."""
     if a == b or not b:
         return a
@@ -153,7 +153,7 @@
     return tuple(joined)
 
 
-def _meet(a: Runs, b: Runs) -> Runs:
+def _intersection(a: Runs, b: Runs) -> Runs:
     met: list[int] = []
     i = j = 0
     while i < len(a) and j < len(b):
--- a/cloverkeel/fleet/ledger/interface.py
+++ b/cloverkeel/fleet/ledger/interface.py
@@ -24,11 +24,13 @@
 class Settings:
     size: int = 0  # members that the cluster is made of, for the quorum; 0: the view's
     fanout: int = 4
-    spread_s: float = 0.3  # between two times that what has come is passed on: then all in one message
+    forward_interval_s: float = (
+        0.3  # between two times that what has come is passed on: then all in one message
+    )
     digest_s: float = 5.0
-    again_s: float = 0.2  # until a comparison that left something over goes on
+    recompare_s: float = 0.2  # until a comparison that left something over goes on
     resend_s: float = 0.5  # until a head is told again to who has not confirmed it
-    piece_s: float = 1.0  # for an answer to a `Fetch`
+    piece_timeout_s: float = 1.0  # for an answer to a `Fetch`
     distrust_s: float = 10.0  # a member whose payload did not match is asked nothing for so long
     give_up_s: float = 30.0  # a payload that nobody has is dropped, to be offered again
     disk_retry_s: float = 1.0
@@ -48,7 +50,7 @@
     context: Context
     wait: Level = Level.LOCAL
     timeout_s: float = 5.0
-    tell: str = ""
+    notify: str = ""
 
 
 @dataclasses.dataclass(frozen=True)
@@ -59,11 +61,11 @@
     context: Context
     wait: Level = Level.LOCAL
     timeout_s: float = 5.0
-    tell: str = ""
+    notify: str = ""
 
 
 @dataclasses.dataclass(frozen=True)
-class Heard:
+class MessageReceived:
     member: str
     message: Message
 
@@ -92,7 +94,7 @@
     """Due about each 0.1 s."""
 
 
-Event = Write | Delete | Heard | Persisted | PersistFailed | ViewChanged | Tick
+Event = Write | Delete | MessageReceived | Persisted | PersistFailed | ViewChanged | Tick
 
 
 @dataclasses.dataclass(frozen=True)
@@ -139,7 +141,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Expose:
+class KeyChanged:
     """The siblings of a key are these now, tombstones with no payload; `context` is what to write under."""
 
     kind: str
@@ -149,11 +151,11 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Note:
+class LogEvent:
     """Something for the log: `name` and its fields."""
 
     name: str
     fields: tuple[tuple[str, object], ...]
 
 
-Action = Persist | Send | Acknowledged | NotConfirmed | Refused | Expose | Note
+Action = Persist | Send | Acknowledged | NotConfirmed | Refused | KeyChanged | LogEvent
--- a/cloverkeel/fleet/ledger/ledger.py
+++ b/cloverkeel/fleet/ledger/ledger.py
@@ -9,8 +9,8 @@
 import random
 from collections.abc import Iterable
 
-from cloverkeel.fleet.ledger import compare
-from cloverkeel.fleet.ledger.digest import BUCKETS
+from cloverkeel.fleet.ledger import anti_entropy
+from cloverkeel.fleet.ledger.bucket_hashes import BUCKET_COUNT
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.ledger.intake import Intake
 from cloverkeel.fleet.ledger.interface import (
@@ -18,11 +18,11 @@
     Action,
     Delete,
     Event,
-    Expose,
-    Heard,
+    KeyChanged,
+    MessageReceived,
     Level,
     NotConfirmed,
-    Note,
+    LogEvent,
     Persist,
     Persisted,
     PersistFailed,
@@ -48,12 +48,12 @@
 from cloverkeel.fleet.ledger.records import Record
 from cloverkeel.fleet.ledger.replica import Delta, Join, Op, Put, Replica
 from cloverkeel.fleet.ledger.settling import Settling
-from cloverkeel.fleet.ledger.telling import told
-from cloverkeel.fleet.ledger.tombstones import gone_by_now
-from cloverkeel.fleet.ledger.waits import Wait, Waits
+from cloverkeel.fleet.ledger.head_batches import batch_heads
+from cloverkeel.fleet.ledger.tombstones import collectable_tombstones
+from cloverkeel.fleet.ledger.pending_acks import PendingAck, PendingAcks
 from cloverkeel.fleet.ledger.writes import prepare
 
-BATCH = 64  # operations of one batch
+BATCH_OPS = 64  # operations of one batch
 
 
 class Ledger:
@@ -69,25 +69,25 @@
         puts: Iterable[Put] = (),
         context: Context | None = None,
     ) -> None:
-        self.me, self.incarnation, self.settings, self.rng = member, incarnation, settings, rng
+        self.own_name, self.incarnation, self.settings, self.rng = member, incarnation, settings, rng
         self.replica = Replica(settings.limits)
         self.replica.load(puts, context or Context())
         self.intake = Intake((member, incarnation), settings, self.replica, rng)
-        self.waits = Waits(member, settings.size)
+        self.pending_acks = PendingAcks(member, settings.size)
         self.counter = 0
         self.live: tuple[str, ...] = ()
         self.gone: tuple[str, ...] = ()
         self.settling = Settling(settings.reap_after_s)
-        self.heard_contexts: dict[str, Context] = {}
+        self.peer_contexts: dict[str, Context] = {}
         # Own writes that are staged or in the batch, and until when; None: told that the disk did not answer.
-        self.local: dict[Dot, tuple[Write | Delete | None, float]] = {}
+        self.unpersisted: dict[Dot, tuple[Write | Delete | None, float]] = {}
         self.staged: list[Op] = []
         self.batch = 0
-        self.planned: tuple[list[Op], Delta] | None = None  # the batch at the disk
-        self.spread_s = 0.0  # when what has come is passed on next
-        self.compare_s = 0.0  # when the next comparison is due
-        self.turn = 0  # of the live members, to compare with while unsettled
-        self.rumours: list[tuple[Record, str]] = []  # taken in, and who told of each: for the next tick
+        self.persisting: tuple[list[Op], Delta] | None = None  # the batch at the disk
+        self.next_forward_s = 0.0  # when what has come is passed on next
+        self.next_compare_s = 0.0  # when the next comparison is due
+        self.compare_turn = 0  # of the live members, to compare with while unsettled
+        self.to_forward: list[tuple[Record, str]] = []  # taken in, and who told of each: for the next tick
         self.persist_failures = 0
 
     # What a user of the ledger reads.
@@ -97,10 +97,10 @@
         found = self.replica.siblings((kind, key))
         payloads = self.replica.payloads
         records = tuple((r, None if r.deleted else payloads[r.sha256]) for r in found)
-        return records, self.replica.reading((kind, key))
+        return records, self.replica.key_context((kind, key))
 
     def keys(self, kind: str) -> list[str]:
-        return sorted(key for its, key in self.replica.keys if its == kind)
+        return sorted(key for its, key in self.replica.by_key if its == kind)
 
     # Events.
 
@@ -109,50 +109,50 @@
         out: list[Action] = []
         match event:
             case Write() | Delete():
-                self._local(now_s, event, out)
-            case Heard(member, message):
-                self._heard(now_s, member, message, out)
+                self._on_write(now_s, event, out)
+            case MessageReceived(member, message):
+                self._on_message(now_s, member, message, out)
             case Persisted(batch):
-                self._persisted(now_s, batch, out)
+                self._on_persisted(now_s, batch, out)
             case PersistFailed(batch, reason):
-                self._failed(now_s, batch, reason, out)
+                self._on_persist_failed(now_s, batch, reason, out)
             case ViewChanged(live, gone):
-                self.live = tuple(m for m in live if m != self.me)
-                self.gone = tuple(m for m in gone if m != self.me and m not in live)
+                self.live = tuple(m for m in live if m != self.own_name)
+                self.gone = tuple(m for m in gone if m != self.own_name and m not in live)
                 known = {*self.live, *self.gone}
-                self.heard_contexts = {m: c for m, c in self.heard_contexts.items() if m in known}
-                self.settling.view(now_s, self.live, self.gone)
-                self._levels(out)
+                self.peer_contexts = {m: c for m, c in self.peer_contexts.items() if m in known}
+                self.settling.on_view_changed(now_s, self.live, self.gone)
+                self._acknowledge_reached(out)
             case Tick():
-                self._tick(now_s, out)
+                self._on_tick(now_s, out)
         self._flush(now_s, out)
-        for record, why in self.intake.refused:
+        for record, why in self.intake.over_limit:
             fields = (("writer", record.dot.member), ("kind", record.kind), ("key", record.key))
-            out.append(Note("ledger.over_limit", (*fields, ("reason", why))))
-        self.intake.refused.clear()
+            out.append(LogEvent("ledger.over_limit", (*fields, ("reason", why))))
+        self.intake.over_limit.clear()
         return out
 
-    def _local(self, now_s: float, event: Write | Delete, out: list[Action]) -> None:
+    def _on_write(self, now_s: float, event: Write | Delete, out: list[Action]) -> None:
         limits = self.settings.limits
-        dot = Dot(self.me, self.incarnation, self.counter + 1)
+        dot = Dot(self.own_name, self.incarnation, self.counter + 1)
         put: Put | str = prepare(self.replica, event, dot)
-        if len(self.local) >= limits.staged:
+        if len(self.unpersisted) >= limits.staged:
             put = f"over {limits.staged} writes that wait for the disk"
-        elif len(self.waits.by_dot) >= limits.waiting and event.wait is not Level.LOCAL:
+        elif len(self.pending_acks.by_dot) >= limits.waiting and event.wait is not Level.LOCAL:
             put = f"over {limits.waiting} writes that wait for a level"
         if isinstance(put, str):
             out.append(Refused(event.id, put))
             return
         self.counter += 1
-        self.local[dot] = event, now_s + event.timeout_s
+        self.unpersisted[dot] = event, now_s + event.timeout_s
         self.staged.append(self.intake.stage(put))
 
-    def _heard(self, now_s: float, member: str, message: Message, out: list[Action]) -> None:
+    def _on_message(self, now_s: float, member: str, message: Message, out: list[Action]) -> None:
         replica, settled = self.replica, self.settling.settled
-        idle = self.planned is None and not self.staged
+        idle = self.persisting is None and not self.staged
         match message:
             case Heads():
-                have, puts = self.intake.heads(now_s, member, message)
+                have, puts = self.intake.on_heads(now_s, member, message)
                 self.staged += puts
                 if message.confirm and have:
                     out.append(Send(member, Held(tuple(have))))
@@ -160,8 +160,8 @@
                 held = [replica.records[dot] for dot in dots if dot in replica.records]
                 self._send_heads(out, [member], held)
             case Held(dots):
-                self.waits.held(member, dots)
-                self._levels(out)
+                self.pending_acks.record_holders(member, dots)
+                self._acknowledge_reached(out)
             case Fetch(sha256, offset, length):
                 payload = replica.payloads.get(sha256)
                 data = None if payload is None else payload[offset : offset + length]
@@ -169,130 +169,138 @@
             case Piece():
                 fetches = self.intake.fetches
                 before = fetches.mismatched
-                sends, whole, payload = fetches.heard(now_s, member, message)
+                sends, whole, payload = fetches.on_piece(now_s, member, message)
                 if fetches.mismatched > before:
-                    out.append(Note("ledger.payload_mismatched", (("member", member),)))
+                    out.append(LogEvent("ledger.payload_mismatched", (("member", member),)))
                 out += [Send(to, fetch) for to, fetch in sends]
                 self.staged += [self.intake.stage(Put(record, payload)) for record in whole]
             case Digest():
-                self._know(member, compare.told(replica, message), message.settled)
-                outcome = compare.on_digest(replica, settled, idle, message)
-                self._compared(now_s, member, outcome, out)
+                self._record_peer(member, anti_entropy.sender_context(replica, message), message.settled)
+                outcome = anti_entropy.on_digest(replica, settled, idle, message)
+                self._apply_comparison(now_s, member, outcome, out)
             case Buckets():
-                start = self.rng.randrange(BUCKETS)
-                outcome = compare.on_buckets(replica, settled, start, message)
-                self._compared(now_s, member, outcome, out)
+                start = self.rng.randrange(BUCKET_COUNT)
+                outcome = anti_entropy.on_buckets(replica, settled, start, message)
+                self._apply_comparison(now_s, member, outcome, out)
             case Leaves():
-                self._know(member, message.context, message.settled)
-                outcome = compare.on_leaves(replica, settled, idle, self.intake.coming(), message)
-                self._compared(now_s, member, outcome, out)
+                self._record_peer(member, message.context, message.settled)
+                outcome = anti_entropy.on_leaves(replica, settled, idle, self.intake.excluded_dots(), message)
+                self._apply_comparison(now_s, member, outcome, out)
 
-    def _compared(self, now_s: float, member: str, outcome: compare.Outcome, out: list[Action]) -> None:
+    def _apply_comparison(
+        self, now_s: float, member: str, outcome: anti_entropy.ComparisonOutcome, out: list[Action]
+    ) -> None:
         join = outcome.join
         if join is not None and (join.drops or not self.replica.context.includes(join.context)):
             self.staged.append(join)
         elif join is not None and join.settles:
-            self._settle(out)
+            self._mark_settled(out)
         out += [Send(member, message) for message in outcome.sends]
         if outcome.more:
-            self.compare_s = min(self.compare_s, now_s + self.settings.again_s)
+            self.next_compare_s = min(self.next_compare_s, now_s + self.settings.recompare_s)
 
-    def _persisted(self, now_s: float, batch: int, out: list[Action]) -> None:
-        if self.planned is None or batch != self.batch:
+    def _on_persisted(self, now_s: float, batch: int, out: list[Action]) -> None:
+        if self.persisting is None or batch != self.batch:
             return
-        ops, delta = self.planned
-        self.planned = None
+        ops, delta = self.persisting
+        self.persisting = None
         touched = self.replica.commit(delta)
         if any(isinstance(op, Join) for op in ops):
-            self.intake.fetches.forget(lambda record: self.replica.context.covers(record.dot))
+            self.intake.fetches.remove_heads(lambda record: self.replica.context.covers(record.dot))
         confirmed: dict[str, list[Dot]] = {}
         for op in ops:
             if not isinstance(op, Put):
                 if op.settles:
-                    self._settle(out)
+                    self._mark_settled(out)
                 continue
             dot = op.record.dot
-            write, until_s = self.local.pop(dot, (None, 0.0))
-            teller, waiting = self.intake.taken(dot)
+            write, until_s = self.unpersisted.pop(dot, (None, 0.0))
+            teller, waiting = self.intake.on_persisted(dot)
             if dot in delta.refused:
                 if write is not None:
                     out.append(Refused(write.id, delta.refused[dot]))
                 else:
-                    self.intake.set_aside(now_s, op.record, delta.refused[dot])
+                    self.intake.defer(now_s, op.record, delta.refused[dot])
                 continue
             if write is not None:
-                self._own(now_s, op.record, write, until_s, out)
+                self._on_own_write_persisted(now_s, op.record, write, until_s, out)
             elif teller:
-                self.rumours.append((op.record, teller))
+                self.to_forward.append((op.record, teller))
             for member in waiting:
                 confirmed.setdefault(member, []).append(dot)
         for member, dots in confirmed.items():
             out.append(Send(member, Held(tuple(dots))))
         for kind, key in sorted(touched):
             exposed, context = self.read(kind, key)
-            out.append(Expose(kind, key, exposed, context))
-        self._levels(out)
+            out.append(KeyChanged(kind, key, exposed, context))
+        self._acknowledge_reached(out)
 
-    def _own(
+    def _on_own_write_persisted(
         self, now_s: float, record: Record, write: Write | Delete, until_s: float, out: list[Action]
     ) -> None:
         """An own write is on disk: acknowledged, or told to all until its level is reached."""
-        wait = Wait(write.id, record, write.wait, until_s, now_s + self.settings.resend_s, {self.me})
-        self.waits.by_dot[record.dot] = wait
+        wait = PendingAck(
+            write.id, record, write.wait, until_s, now_s + self.settings.resend_s, {self.own_name}
+        )
+        self.pending_acks.by_dot[record.dot] = wait
         if write.wait is not Level.LOCAL:
             self._send_heads(out, self.live, [record], fresh=True, confirm=True)
             return
-        self.rumours.append((record, self.me))
-        if write.tell in self.live:
-            self._send_heads(out, [write.tell], [record], fresh=True)
+        self.to_forward.append((record, self.own_name))
+        if write.notify in self.live:
+            self._send_heads(out, [write.notify], [record], fresh=True)
 
-    def _failed(self, now_s: float, batch: int, reason: str, out: list[Action]) -> None:
-        if self.planned is None or batch != self.batch:
+    def _on_persist_failed(self, now_s: float, batch: int, reason: str, out: list[Action]) -> None:
+        if self.persisting is None or batch != self.batch:
             return
-        ops, _ = self.planned
-        self.planned = None
+        ops, _ = self.persisting
+        self.persisting = None
         self.persist_failures += 1
         for op in ops:
             if not isinstance(op, Put):
                 continue  # the next comparison finds it again
-            if op.record.dot not in self.local:
-                self.intake.failed(now_s, op)
+            if op.record.dot not in self.unpersisted:
+                self.intake.on_persist_failed(now_s, op)
                 continue
-            write, _ = self.local.pop(op.record.dot)
-            self.intake.taken(op.record.dot)
+            write, _ = self.unpersisted.pop(op.record.dot)
+            self.intake.on_persisted(op.record.dot)
             if write is not None:
                 out.append(Refused(write.id, f"the disk did not take it: {reason}"))
 
-    def _tick(self, now_s: float, out: list[Action]) -> None:
+    def _on_tick(self, now_s: float, out: list[Action]) -> None:
         self.staged += self.intake.tick(now_s)
-        if self.rumours and now_s >= self.spread_s:
-            self.spread_s = now_s + self.settings.spread_s
-            self._pass_on(out)
-        for dot, (write, until_s) in self.local.items():
+        if self.to_forward and now_s >= self.next_forward_s:
+            self.next_forward_s = now_s + self.settings.forward_interval_s
+            self._forward(out)
+        for dot, (write, until_s) in self.unpersisted.items():
             if write is not None and now_s >= until_s:
-                self.local[dot] = None, until_s
+                self.unpersisted[dot] = None, until_s
                 out.append(NotConfirmed(write.id, dot, "the disk has not answered: not known whether kept"))
-        for wait in self.waits.expired(now_s):
-            out.append(NotConfirmed(wait.id, wait.record.dot, self.waits.why(wait, self.live, self.gone)))
-        for wait in self.waits.by_dot.values():
-            if now_s >= wait.resend_s:
-                wait.resend_s = now_s + self.settings.resend_s
-                behind = [m for m in self.live if m not in wait.held]
+        for wait in self.pending_acks.pop_expired(now_s):
+            out.append(
+                NotConfirmed(
+                    wait.id, wait.record.dot, self.pending_acks.timeout_reason(wait, self.live, self.gone)
+                )
+            )
+        for wait in self.pending_acks.by_dot.values():
+            if now_s >= wait.next_resend_s:
+                wait.next_resend_s = now_s + self.settings.resend_s
+                behind = [m for m in self.live if m not in wait.holders]
                 self._send_heads(out, behind, [wait.record], fresh=True, confirm=True)
-        if self.settling.due(now_s, self.live):
-            self._settle(out)
-        if now_s >= self.compare_s and self.live and len(self.intake.fetches.pending) < HEADS_MAX:
-            self._compare(now_s, out)
+        if self.settling.may_settle_alone(now_s, self.live):
+            self._mark_settled(out)
+        if now_s >= self.next_compare_s and self.live and len(self.intake.fetches.pending) < HEADS_MAX:
+            self._start_comparison(now_s, out)
 
-    def _compare(self, now_s: float, out: list[Action]) -> None:
+    def _start_comparison(self, now_s: float, out: list[Action]) -> None:
         """Begin a comparison: with a random live member, or while unsettled with each in turn."""
         settled = self.settling.settled
-        self.compare_s = now_s + (self.settings.digest_s if settled else self.settings.again_s)
-        self.turn += 1
-        member = self.rng.choice(self.live) if settled else self.live[self.turn % len(self.live)]
-        out.append(Send(member, compare.summed(self.replica, settled)))
-        if settled and self.planned is None and not self.staged:
-            gone = gone_by_now(self.replica, {*self.live, *self.gone}, self.heard_contexts)
+        self.next_compare_s = now_s + (self.settings.digest_s if settled else self.settings.recompare_s)
+        self.compare_turn += 1
+        member = self.rng.choice(self.live) if settled else self.live[self.compare_turn % len(self.live)]
+        out.append(Send(member, anti_entropy.digest_message(self.replica, settled)))
+        if settled and self.persisting is None and not self.staged:
+            gone = collectable_tombstones(self.replica, {*self.live, *self.gone}, self.peer_contexts)
             if gone:
                 self.staged.append(Join(Context(), tuple(record.dot for record in gone)))
 
@@ -300,46 +308,46 @@
 
     def _flush(self, now_s: float, out: list[Action]) -> None:
         """The next batch to the disk where none is there, and the pieces that may be asked for."""
-        while self.staged and self.planned is None:
-            ops, self.staged = self.staged[:BATCH], self.staged[BATCH:]
+        while self.staged and self.persisting is None:
+            ops, self.staged = self.staged[:BATCH_OPS], self.staged[BATCH_OPS:]
             delta = self.replica.plan(ops)
             self.batch += 1
-            self.planned = ops, delta
+            self.persisting = ops, delta
             if delta.puts or delta.drops or delta.context != self.replica.context:
                 drops = tuple(record.dot for record in delta.drops)
                 out.append(Persist(self.batch, delta.puts, drops, delta.context))
             else:
-                self._persisted(now_s, self.batch, out)
-        out += [Send(to, fetch) for to, fetch in self.intake.fetches.ask(now_s, self.live)]
+                self._on_persisted(now_s, self.batch, out)
+        out += [Send(to, fetch) for to, fetch in self.intake.fetches.next_fetches(now_s, self.live)]
 
-    def _levels(self, out: list[Action]) -> None:
-        for wait, held in self.waits.reached(self.live, self.gone):
+    def _acknowledge_reached(self, out: list[Action]) -> None:
+        for wait, held in self.pending_acks.pop_reached(self.live, self.gone):
             out.append(Acknowledged(wait.id, wait.record.dot, wait.level, held))
 
-    def _know(self, member: str, context: Context | None, settled: bool) -> None:
+    def _record_peer(self, member: str, context: Context | None, settled: bool) -> None:
         if member in self.live or member in self.gone:
             if context is not None:
-                self.heard_contexts[member] = context
-            self.settling.heard(member, settled)
+                self.peer_contexts[member] = context
+            self.settling.record_peer(member, settled)
 
-    def _settle(self, out: list[Action]) -> None:
+    def _mark_settled(self, out: list[Action]) -> None:
         if not self.settling.settled:
             self.settling.settled = True
-            out.append(Note("ledger.settled", (("records", len(self.replica.records)),)))
+            out.append(LogEvent("ledger.settled", (("records", len(self.replica.records)),)))
 
-    def _some(self, most: int) -> list[str]:
+    def _random_members(self, most: int) -> list[str]:
         return self.rng.sample(self.live, min(most, len(self.live)))
 
-    def _pass_on(self, out: list[Action]) -> None:
+    def _forward(self, out: list[Action]) -> None:
         """What has come since the last time and is still held, in one message to each of a few members."""
-        held = [(record, teller) for record, teller in self.rumours if record.dot in self.replica.records]
-        self.rumours = []
-        for member in self._some(self.settings.fanout) if held else ():
+        held = [(record, teller) for record, teller in self.to_forward if record.dot in self.replica.records]
+        self.to_forward = []
+        for member in self._random_members(self.settings.fanout) if held else ():
             self._send_heads(out, [member], [r for r, teller in held if teller != member], fresh=True)
 
     def _send_heads(
         self, out: list[Action], members: Iterable[str], records: list[Record],
         fresh: bool = False, confirm: bool = False,
     ) -> None:  # fmt: skip
-        for heads in told(records, self.replica.payloads, fresh, confirm):
+        for heads in batch_heads(records, self.replica.payloads, fresh, confirm):
             out += [Send(member, heads) for member in members]
--- a/cloverkeel/fleet/ledger/messages.py
+++ b/cloverkeel/fleet/ledger/messages.py
@@ -4,15 +4,15 @@
 
 import msgspec
 
-from cloverkeel.fleet.ledger.digest import BUCKETS
+from cloverkeel.fleet.ledger.bucket_hashes import BUCKET_COUNT
 from cloverkeel.fleet.ledger.dots import Context, Dot
-from cloverkeel.fleet.ledger.records import PAYLOAD_MAX, Record, fault
+from cloverkeel.fleet.ledger.records import PAYLOAD_MAX, Record, invalid_reason
 
 HEADS_MAX = 256  # heads in a message, and dots in a `Want`
 LEAVES_MAX = 1_000  # dots in a `Leaves`
-PIECE = 32 * 1024  # bytes of a payload in one message
-INLINE = 1024  # bytes of a payload that goes with its head
-CONTEXT_MAX = 65_536  # writers in a member's context
+PIECE_BYTES = 32 * 1024  # bytes of a payload in one message
+INLINE_BYTES = 1024  # bytes of a payload that goes with its head
+CONTEXT_WRITERS_MAX = 65_536  # writers in a member's context
 
 
 class Heads(msgspec.Struct, frozen=True, array_like=True, tag="heads"):
@@ -45,7 +45,7 @@
     context: Context
     settled: bool
     reply: bool = False
-    summary: bytes = b""
+    context_hash: bytes = b""
 
 
 class Buckets(msgspec.Struct, frozen=True, array_like=True, tag="buckets"):
@@ -60,11 +60,11 @@
     compared; `whole`: these are all the buckets that differ; `reply`: to a `Leaves`, not to be answered."""
 
     root: bytes
-    base: bytes
+    receiver_root: bytes
     buckets: dict[int, tuple[Dot, ...]]
     context: Context
     settled: bool
-    whole: bool
+    complete: bool
     reply: bool
 
 
@@ -95,30 +95,36 @@
         message = _decoder.decode(body)
     except msgspec.MsgspecError as error:
         raise ValueError(str(error)) from None
-    why = _fault(message)
+    why = _invalid_reason(message)
     if why is not None:
         raise ValueError(f"{type(message).__name__.lower()}: {why}")
     return message
 
 
-def _fault(message: Message) -> str | None:
+def _invalid_reason(message: Message) -> str | None:
     if isinstance(message, Heads):
         if len(message.records) > HEADS_MAX:
             return f"over {HEADS_MAX} heads"
-        if len(message.payloads) > HEADS_MAX or any(len(each) > INLINE for each in message.payloads):
-            return f"over {HEADS_MAX} payloads, or one of over {INLINE} bytes"
-        return next((why for record in message.records if (why := fault(record)) is not None), None)
+        if len(message.payloads) > HEADS_MAX or any(len(each) > INLINE_BYTES for each in message.payloads):
+            return f"over {HEADS_MAX} payloads, or one of over {INLINE_BYTES} bytes"
+        return next((why for record in message.records if (why := invalid_reason(record)) is not None), None)
     if isinstance(message, Want | Held):
         return f"over {HEADS_MAX} dots" if len(message.dots) > HEADS_MAX else None
     if isinstance(message, Leaves):
         if sum(map(len, message.buckets.values())) > 8 * LEAVES_MAX:  # one bucket may be over the aim
             return "too many dots"
-        if not all(0 <= bucket < BUCKETS for bucket in message.buckets):
-            return f"a bucket is 0 to {BUCKETS - 1}"
+        if not all(0 <= bucket < BUCKET_COUNT for bucket in message.buckets):
+            return f"a bucket is 0 to {BUCKET_COUNT - 1}"
     if isinstance(message, Digest | Leaves):
-        return "a context too large" if len(message.context.runs) > CONTEXT_MAX else message.context.fault()
+        return (
+            "a context too large"
+            if len(message.context.runs) > CONTEXT_WRITERS_MAX
+            else message.context.invalid_reason()
+        )
     if isinstance(message, Fetch):
         return (
-            None if 0 <= message.offset <= PAYLOAD_MAX and 0 <= message.length <= PIECE else "no such piece"
+            None
+            if 0 <= message.offset <= PAYLOAD_MAX and 0 <= message.length <= PIECE_BYTES
+            else "no such piece"
         )
     return None
--- a/cloverkeel/fleet/ledger/outbox.py
+++ b/cloverkeel/fleet/ledger/outbox.py
@@ -10,18 +10,22 @@
 from cloverkeel.fleet.ledger.messages import Message, decode, encode
 from cloverkeel.fleet.membership.calls import CallFailed, Calls
 
-KIND = "ledger"
-CALL_S = 2.0
-QUEUED = 256  # messages that wait for one member
-TOGETHER, TOGETHER_BYTES = 64, 512 * 1024  # messages and bytes of one call, or of its answer
-CALLS = 32  # calls of this member at once
+CALL_KIND = "ledger"
+CALL_TIMEOUT_S = 2.0
+QUEUE_MAX = 256  # messages that wait for one member
+MESSAGES_PER_CALL, BYTES_PER_CALL = 64, 512 * 1024  # messages and bytes of one call, or of its answer
+CONCURRENT_CALLS = 32  # calls of this member at once
 
 
 def pack(messages: collections.deque[bytes]) -> list[bytes]:
     """Take out the first messages that go into one call."""
     packed: list[bytes] = []
     size = 0
-    while messages and len(packed) < TOGETHER and (not packed or size + len(messages[0]) <= TOGETHER_BYTES):
+    while (
+        messages
+        and len(packed) < MESSAGES_PER_CALL
+        and (not packed or size + len(messages[0]) <= BYTES_PER_CALL)
+    ):
         size += len(messages[0])
         packed.append(messages.popleft())
     return packed
@@ -29,8 +33,12 @@
 
 def unpack(body: Any) -> list[Message]:
     """The messages of a call or of its answer; raises ValueError with one line of why it has none."""
-    if not isinstance(body, list) or len(body) > TOGETHER or not all(isinstance(b, bytes) for b in body):
-        raise ValueError(f"not a list of up to {TOGETHER} messages")
+    if (
+        not isinstance(body, list)
+        or len(body) > MESSAGES_PER_CALL
+        or not all(isinstance(b, bytes) for b in body)
+    ):
+        raise ValueError(f"not a list of up to {MESSAGES_PER_CALL} messages")
     return [decode(each) for each in body]
 
 
@@ -44,15 +52,15 @@
         address_of: Callable[[str], str | None],
         answered: Callable[[str, list[Message]], None],
     ) -> None:
-        self.calls, self.address_of, self.answered = calls, address_of, answered
-        self.waiting: dict[str, collections.deque[bytes]] = {}
+        self.calls, self.address_of, self.on_answer = calls, address_of, answered
+        self.queues: dict[str, collections.deque[bytes]] = {}
         self.tasks: dict[str, asyncio.Task[None]] = {}
-        self.at_once = asyncio.Semaphore(CALLS)
+        self.call_slots = asyncio.Semaphore(CONCURRENT_CALLS)
         self.counts: collections.Counter[str] = collections.Counter()
 
     def send(self, member: str, message: Message) -> None:
-        waiting = self.waiting.setdefault(member, collections.deque())
-        if len(waiting) >= QUEUED:
+        waiting = self.queues.setdefault(member, collections.deque())
+        if len(waiting) >= QUEUE_MAX:
             self.counts["unsent_full"] += 1
             return
         waiting.append(encode(message))
@@ -62,10 +70,10 @@
     async def _run(self, member: str, waiting: collections.deque[bytes]) -> None:
         try:
             while waiting:
-                async with self.at_once:
+                async with self.call_slots:
                     await self._call(member, pack(waiting))
         finally:
-            del self.tasks[member], self.waiting[member]
+            del self.tasks[member], self.queues[member]
 
     async def _call(self, member: str, bodies: list[bytes]) -> None:
         address = self.address_of(member)
@@ -75,11 +83,11 @@
         self.counts["calls_out"] += 1
         self.counts["bytes_out"] += sum(map(len, bodies))
         try:
-            messages = unpack(await self.calls.call(address, KIND, bodies, CALL_S))
+            messages = unpack(await self.calls.call(address, CALL_KIND, bodies, CALL_TIMEOUT_S))
         except (CallFailed, ValueError):
             self.counts["calls_failed"] += 1
             return
-        self.answered(member, messages)
+        self.on_answer(member, messages)
 
     def close(self) -> None:
         for task in list(self.tasks.values()):
--- a/cloverkeel/fleet/ledger/reader.py
+++ b/cloverkeel/fleet/ledger/reader.py
@@ -6,9 +6,9 @@
 import os
 import sqlite3
 
-from cloverkeel.fleet.ledger.records import digest
+from cloverkeel.fleet.ledger.records import payload_hash
 from cloverkeel.fleet.ledger.replica import Put
-from cloverkeel.fleet.ledger.store import SCHEMA, StoreError, checksum, record_of
+from cloverkeel.fleet.ledger.store import SCHEMA, StoreError, checksum, decode_row
 from cloverkeel.fleet.state.file import FILE, reader
 
 
@@ -50,12 +50,12 @@
         rows = self.connection.execute("SELECT member, incarnation, counter, head, sha256 FROM ledger_record")
         found = []
         for *named, head, sha256 in rows.fetchall():
-            record = record_of(named, head, sha256)
+            record = decode_row(named, head, sha256)
             if record is None or record.deleted or record.kind not in kinds:
                 continue
             select = "SELECT payload FROM ledger_payload WHERE sha256 = ?"
             row = self.connection.execute(select, (record.sha256,)).fetchone()
-            if row is not None and digest(row[0]) == record.sha256:
+            if row is not None and payload_hash(row[0]) == record.sha256:
                 found.append(Put(record, row[0]))
         return found
 
@@ -63,7 +63,7 @@
         self.connection.close()
 
 
-def peek(directory: str, kind: str) -> list[tuple[str, bytes]]:
+def read_payloads(directory: str, kind: str) -> list[tuple[str, bytes]]:
     """Key and payload of each sound record of a kind, as the file has them now. A file that cannot be read
     gives none: its owner is the one to judge it."""
     try:
--- a/cloverkeel/fleet/ledger/records.py
+++ b/cloverkeel/fleet/ledger/records.py
@@ -13,11 +13,11 @@
 
 import msgspec
 
-from cloverkeel.fleet.ledger.dots import COUNTER_MAX, Context, Dot, Growing
+from cloverkeel.fleet.ledger.dots import COUNTER_MAX, Context, Dot, ContextBuilder
 
 PAYLOAD_MAX = 256 * 1024
 KIND_MAX, KEY_MAX, MEMBER_MAX = 64, 256, 128  # characters
-RUNS_MAX = 4_096  # of one record's context
+CONTEXT_RUNS_MAX = 4_096  # of one record's context
 
 
 class Record(msgspec.Struct, frozen=True, array_like=True):
@@ -40,7 +40,7 @@
         return self.context.covers(other.dot)
 
 
-def digest(payload: bytes) -> bytes:
+def payload_hash(payload: bytes) -> bytes:
     return hashlib.sha256(payload).digest()
 
 
@@ -56,14 +56,14 @@
 
 def read_context(records: Iterable[Record]) -> Context:
     """What a reader of these siblings has seen of their key."""
-    context = Growing(Context())
+    context = ContextBuilder(Context())
     for record in records:
         context.merge(record.context)
         context.add(record.dot)
-    return context.done()
+    return context.build()
 
 
-def named_badly(kind: str, key: str) -> str | None:
+def invalid_name_reason(kind: str, key: str) -> str | None:
     """Why these are no kind and key, or None."""
     if not 0 < len(kind) <= KIND_MAX or not kind.isprintable():
         return f"a kind is 1 to {KIND_MAX} printable characters"
@@ -72,9 +72,9 @@
     return None
 
 
-def fault(record: Record) -> str | None:
+def invalid_reason(record: Record) -> str | None:
     """Why a record that came from outside is not one, or None."""
-    if (why := named_badly(record.kind, record.key)) is not None:
+    if (why := invalid_name_reason(record.kind, record.key)) is not None:
         return why
     if not 0 < len(record.dot.member) <= MEMBER_MAX or not 1 <= record.dot.counter <= COUNTER_MAX:
         return "the dot names no write"
@@ -82,8 +82,8 @@
         return "a tombstone has no payload"
     if not record.deleted and (len(record.sha256) != 32 or not 0 <= record.size <= PAYLOAD_MAX):
         return f"a payload is named by its SHA-256 and has up to {PAYLOAD_MAX} bytes"
-    if record.context.size() > RUNS_MAX:
-        return f"a context of over {RUNS_MAX} runs"
+    if record.context.run_count() > CONTEXT_RUNS_MAX:
+        return f"a context of over {CONTEXT_RUNS_MAX} runs"
     if record.context.covers(record.dot):
         return "the context covers the record's own dot"
-    return record.context.fault()
+    return record.context.invalid_reason()
--- a/cloverkeel/fleet/ledger/replica.py
+++ b/cloverkeel/fleet/ledger/replica.py
@@ -12,8 +12,8 @@
 import dataclasses
 from collections.abc import Iterable, Sequence
 
-from cloverkeel.fleet.ledger.digest import Digests
-from cloverkeel.fleet.ledger.dots import Context, Dot, Growing
+from cloverkeel.fleet.ledger.bucket_hashes import BucketHashes
+from cloverkeel.fleet.ledger.dots import Context, Dot, ContextBuilder
 from cloverkeel.fleet.ledger.limits import Limits, Usage, refusal
 from cloverkeel.fleet.ledger.records import Record, read_context, siblings
 
@@ -56,32 +56,32 @@
     def __init__(self, limits: Limits) -> None:
         self.limits = limits
         self.records: dict[Dot, Record] = {}
-        self.keys: dict[Name, tuple[Record, ...]] = {}  # siblings by dot
+        self.by_key: dict[Name, tuple[Record, ...]] = {}  # siblings by dot
         self.payloads: dict[bytes, bytes] = {}  # by SHA-256, shared by the records that name it
-        self.named: collections.Counter[bytes] = collections.Counter()
+        self.payload_refs: collections.Counter[bytes] = collections.Counter()
         self.tombstones: dict[Dot, Record] = {}
         self.context = Context()
-        self.digests = Digests()
-        self.hashed = Context(), Context().summary()  # a context, and its hash
+        self.bucket_hashes = BucketHashes()
+        self.cached_context_hash = Context(), Context().hash_bytes()  # a context, and its hash
         self.usage = Usage()
 
     def siblings(self, name: Name) -> tuple[Record, ...]:
-        return self.keys.get(name, ())
+        return self.by_key.get(name, ())
 
-    def summary(self) -> bytes:
+    def context_hash(self) -> bytes:
         """The context's hash."""
-        if self.hashed[0] is not self.context:
-            self.hashed = self.context, self.context.summary()
-        return self.hashed[1]
+        if self.cached_context_hash[0] is not self.context:
+            self.cached_context_hash = self.context, self.context.hash_bytes()
+        return self.cached_context_hash[1]
 
-    def reading(self, name: Name) -> Context:
+    def key_context(self, name: Name) -> Context:
         """What a reader of this key has seen of it."""
         return read_context(self.siblings(name))
 
     def plan(self, ops: Sequence[Op]) -> Delta:
         keys: dict[Name, tuple[Record, ...]] = {}  # those touched, as they will be
         payloads: dict[Dot, bytes] = {}
-        context, change = Growing(self.context), Usage()
+        context, change = ContextBuilder(self.context), Usage()
         refused: dict[Dot, str] = {}
         for op in ops:
             if isinstance(op, Join):
@@ -97,7 +97,7 @@
                 continue
             held = keys.get(record.name, self.siblings(record.name))
             if not any(other.covers(record) for other in held):
-                why = self._count(change, record, held)
+                why = self._count_change(change, record, held)
                 if why is not None:
                     refused[record.dot] = why
                     continue
@@ -111,7 +111,7 @@
             stay = {r.dot for r in after}
             drops += [r for r in before if r.dot not in stay]
             puts += [Put(r, payloads[r.dot]) for r in after if r.dot not in self.records]
-        return Delta(tuple(puts), tuple(drops), context.done(), refused)
+        return Delta(tuple(puts), tuple(drops), context.build(), refused)
 
     def commit(self, delta: Delta) -> set[Name]:
         """Apply what `plan` gave, nothing else having been applied since; returns the keys whose siblings are
@@ -123,11 +123,11 @@
         self.context = delta.context
         return {record.name for record in (*delta.drops, *(put.record for put in delta.puts))}
 
-    def no_room(self, record: Record) -> str | None:
+    def limit_reason(self, record: Record) -> str | None:
         """Why this head would not fit now, what it supersedes counted off; None: it does."""
-        return self._count(Usage(), record, self.siblings(record.name))
+        return self._count_change(Usage(), record, self.siblings(record.name))
 
-    def _count(self, change: Usage, record: Record, held: Iterable[Record]) -> str | None:
+    def _count_change(self, change: Usage, record: Record, held: Iterable[Record]) -> str | None:
         """Count in what taking `record` in beside `held` changes; or why it does not fit, and `change` is as
         it was."""
         counted = [(record, 1), *((other, -1) for other in held if record.covers(other))]
@@ -148,27 +148,27 @@
     def _add(self, record: Record, payload: bytes) -> None:
         self.records[record.dot] = record
         kept = (*self.siblings(record.name), record)
-        self.keys[record.name] = tuple(sorted(kept, key=lambda r: r.dot))
+        self.by_key[record.name] = tuple(sorted(kept, key=lambda r: r.dot))
         if record.deleted:
             self.tombstones[record.dot] = record
         else:
             self.payloads[record.sha256] = payload
-            self.named[record.sha256] += 1
-        self.digests.add(record)
+            self.payload_refs[record.sha256] += 1
+        self.bucket_hashes.add(record)
         self.usage.count(record, 1)
 
     def _remove(self, record: Record) -> None:
         del self.records[record.dot]
-        left = tuple(r for r in self.keys[record.name] if r.dot != record.dot)
+        left = tuple(r for r in self.by_key[record.name] if r.dot != record.dot)
         if left:
-            self.keys[record.name] = left
+            self.by_key[record.name] = left
         else:
-            del self.keys[record.name]
+            del self.by_key[record.name]
         if record.deleted:
             del self.tombstones[record.dot]
         else:
-            self.named[record.sha256] -= 1
-            if not self.named[record.sha256]:
-                del self.named[record.sha256], self.payloads[record.sha256]
-        self.digests.remove(record)
+            self.payload_refs[record.sha256] -= 1
+            if not self.payload_refs[record.sha256]:
+                del self.payload_refs[record.sha256], self.payloads[record.sha256]
+        self.bucket_hashes.remove(record)
         self.usage.count(record, -1)
--- a/cloverkeel/fleet/ledger/settling.py
+++ b/cloverkeel/fleet/ledger/settling.py
@@ -13,31 +13,31 @@
 class Settling:
     reap_after_s: float
     settled: bool = False
-    beside_s: float | None = None  # since when, unsettled, others have been alive beside it
-    cut_off_s: float | None = None  # since when it has seen half of its view or less
-    unsettled: set[str] = dataclasses.field(default_factory=set)  # others that said so of themselves
+    others_live_since_s: float | None = None  # since when, unsettled, others have been alive beside it
+    minority_since_s: float | None = None  # since when it has seen half of its view or less
+    unsettled_peers: set[str] = dataclasses.field(default_factory=set)  # others that said so of themselves
 
-    def heard(self, member: str, settled: bool) -> None:
+    def record_peer(self, member: str, settled: bool) -> None:
         if settled:
-            self.unsettled.discard(member)
+            self.unsettled_peers.discard(member)
         else:
-            self.unsettled.add(member)
+            self.unsettled_peers.add(member)
 
-    def view(self, now_s: float, live: tuple[str, ...], gone: tuple[str, ...]) -> None:
-        self.unsettled.intersection_update(live)
+    def on_view_changed(self, now_s: float, live: tuple[str, ...], gone: tuple[str, ...]) -> None:
+        self.unsettled_peers.intersection_update(live)
         if gone and 2 * (len(live) + 1) <= len(live) + len(gone) + 1:
-            self.cut_off_s = now_s if self.cut_off_s is None else self.cut_off_s
-        elif self.cut_off_s is not None:
+            self.minority_since_s = now_s if self.minority_since_s is None else self.minority_since_s
+        elif self.minority_since_s is not None:
             # Those dead for `reap_after_s` leave the view; how exactly its clock and ours agree is not known.
-            if now_s - self.cut_off_s >= 0.9 * self.reap_after_s:
-                self.settled, self.beside_s = False, None
-            self.cut_off_s = None
+            if now_s - self.minority_since_s >= 0.9 * self.reap_after_s:
+                self.settled, self.others_live_since_s = False, None
+            self.minority_since_s = None
 
-    def due(self, now_s: float, live: tuple[str, ...]) -> bool:
+    def may_settle_alone(self, now_s: float, live: tuple[str, ...]) -> bool:
         """Whether it settles now without a settled member's help: none of the others is settled, or none has
         helped for `reap_after_s`."""
         if self.settled or not live:
-            self.beside_s = None
+            self.others_live_since_s = None
             return False
-        self.beside_s = now_s if self.beside_s is None else self.beside_s
-        return self.unsettled.issuperset(live) or now_s - self.beside_s >= self.reap_after_s
+        self.others_live_since_s = now_s if self.others_live_since_s is None else self.others_live_since_s
+        return self.unsettled_peers.issuperset(live) or now_s - self.others_live_since_s >= self.reap_after_s
--- a/cloverkeel/fleet/ledger/shell.py
+++ b/cloverkeel/fleet/ledger/shell.py
@@ -16,11 +16,11 @@
     Action,
     Delete,
     Event,
-    Expose,
-    Heard,
+    KeyChanged,
+    MessageReceived,
     Level,
     NotConfirmed,
-    Note,
+    LogEvent,
     Persist,
     Persisted,
     PersistFailed,
@@ -33,7 +33,7 @@
 )
 from cloverkeel.fleet.ledger.ledger import Ledger
 from cloverkeel.fleet.ledger.messages import Message, encode
-from cloverkeel.fleet.ledger.outbox import KIND, Outbox, pack, unpack
+from cloverkeel.fleet.ledger.outbox import CALL_KIND, Outbox, pack, unpack
 from cloverkeel.fleet.ledger.records import Record
 from cloverkeel.fleet.ledger.store import Loaded, Store, Writer
 from cloverkeel.fleet.membership.roster import LIVE_STATUSES
@@ -41,32 +41,32 @@
 from cloverkeel.fleet.membership.service import Membership
 
 TICK_S = 0.1
-NOTES_A_SECOND = 5
+LOG_EVENTS_PER_S = 5
 
-Answer = Acknowledged | NotConfirmed
-Shown = tuple[tuple[Record, bytes | None], ...]
+WriteResult = Acknowledged | NotConfirmed
+Siblings = tuple[tuple[Record, bytes | None], ...]
 
 
 class WriteRefused(Exception):  # noqa: N818 - what it says, not an error of the program's
     """Nothing of the write was kept; the message says why, in one line."""
 
 
-class Service:
+class LedgerService:
     """This gateway's ledger. `directory`: the state directory, whose lock this process holds and whose file
     the state store has begun. After `start` it takes part until `close`."""
 
     def __init__(self, membership: Membership, directory: str, settings: Settings) -> None:
         self.membership, self.directory, self.settings = membership, directory, settings
         self.core: Ledger | None = None
-        self.disk = 0  # the name of what it is kept on, once started
+        self.store_id = 0  # the name of what it is kept on, once started
         self.writer: Writer | None = None
-        self.outbox = Outbox(membership.calls, self._address_of, self._answered)
-        self.listeners: list[Callable[[Expose], None]] = []
-        self.writes: dict[str, asyncio.Future[Answer]] = {}
-        self.numbers = 0
-        self.ticker: asyncio.TimerHandle | None = None
+        self.outbox = Outbox(membership.calls, self._address_of, self._on_answer)
+        self.listeners: list[Callable[[KeyChanged], None]] = []
+        self.pending_writes: dict[str, asyncio.Future[WriteResult]] = {}
+        self.last_write_number = 0
+        self.tick_timer: asyncio.TimerHandle | None = None
         self.counts: collections.Counter[str] = collections.Counter()
-        self.notes, self.note_s = 0, 0.0
+        self.logged_count, self.log_window_s = 0, 0.0
         self.closed = False
         self.loop = asyncio.get_running_loop()
 
@@ -77,43 +77,45 @@
             event("ledger.dropped", directory=self.directory, reason=finding)
         # A life of its own for each start: a counter on disk could be set back with the disk.
         incarnation = secrets.randbits(62) + 1
-        name, rng, self.disk = self.membership.name, random.Random(), loaded.disk
+        name, rng, self.store_id = self.membership.name, random.Random(), loaded.store_id
         self.core = Ledger(name, incarnation, self.settings, rng, loaded.puts, loaded.context)
-        self.writer = Writer(store, self._written)
+        self.writer = Writer(store, self._post_outcome)
         event("ledger.opened", directory=self.directory, records=len(loaded.puts), incarnation=incarnation)
-        self.membership.calls.serve(KIND, self._on_call)
+        self.membership.calls.serve(CALL_KIND, self._on_call)
         self.membership.on_change(lambda _rumour, _before: self._view_changed())
         self._view_changed()
         self._tick()
 
-    def read(self, kind: str, key: str) -> tuple[Shown, Context]:
+    def read(self, kind: str, key: str) -> tuple[Siblings, Context]:
         """The siblings of a key with their payloads (tombstones: None), and the context to write under."""
-        return self._running().read(kind, key)
+        return self._started_core().read(kind, key)
 
     def keys(self, kind: str) -> list[str]:
-        return self._running().keys(kind)
+        return self._started_core().keys(kind)
 
-    def on_expose(self, listener: Callable[[Expose], None]) -> None:
+    def on_key_changed(self, listener: Callable[[KeyChanged], None]) -> None:
         """`listener` is called with the siblings of each key as they change; it must not raise."""
         self.listeners.append(listener)
 
     async def write(
         self, kind: str, key: str, payload: bytes, context: Context,
         wait: Level = Level.LOCAL, timeout_s: float = 5.0, tell: str = "",
-    ) -> Answer:  # fmt: skip
+    ) -> WriteResult:  # fmt: skip
         """Write under the context that the key was read in. `Acknowledged`: so many members hold it on disk;
         `NotConfirmed`: kept, and its level was not reached in time. Raises WriteRefused: not kept."""
-        return await self._submit(Write(self._number(), kind, key, payload, context, wait, timeout_s, tell))
+        return await self._submit(
+            Write(self._next_write_id(), kind, key, payload, context, wait, timeout_s, tell)
+        )
 
     async def delete(
         self, kind: str, key: str, context: Context, wait: Level = Level.LOCAL, timeout_s: float = 5.0
-    ) -> Answer:
+    ) -> WriteResult:
         """As `write`, of a tombstone over what the context covers."""
-        return await self._submit(Delete(self._number(), kind, key, context, wait, timeout_s))
+        return await self._submit(Delete(self._next_write_id(), kind, key, context, wait, timeout_s))
 
     def counters(self) -> dict[str, int]:
         """What has been done since the start."""
-        core = self._running()
+        core = self._started_core()
         fetches = core.intake.fetches
         return {
             **self.counts, **self.outbox.counts, **core.intake.counts,
@@ -124,49 +126,49 @@
     async def close(self, wait_s: float = 1.0) -> None:
         """Take part no more; what was handed to the disk is written within `wait_s`."""
         self.closed = True
-        if self.ticker is not None:
-            self.ticker.cancel()
+        if self.tick_timer is not None:
+            self.tick_timer.cancel()
         self.outbox.close()
         if self.writer is not None:
             await asyncio.to_thread(self.writer.close, wait_s)
-        for write in self.writes.values():
+        for write in self.pending_writes.values():
             if not write.done():
                 write.set_exception(WriteRefused("the ledger closes: not known whether it was kept"))
 
-    def _running(self) -> Ledger:
+    def _started_core(self) -> Ledger:
         assert self.core is not None, "start() first"
         return self.core
 
-    def _number(self) -> str:
-        self.numbers += 1
-        return str(self.numbers)
+    def _next_write_id(self) -> str:
+        self.last_write_number += 1
+        return str(self.last_write_number)
 
-    async def _submit(self, write: Write | Delete) -> Answer:
+    async def _submit(self, write: Write | Delete) -> WriteResult:
         if self.closed:
             raise WriteRefused("the ledger is closed")
-        answer: asyncio.Future[Answer] = self.loop.create_future()
-        self.writes[write.id] = answer
+        answer: asyncio.Future[WriteResult] = self.loop.create_future()
+        self.pending_writes[write.id] = answer
         try:
-            self._give(write)
+            self._handle(write)
             return await answer
         finally:
-            del self.writes[write.id]
+            del self.pending_writes[write.id]
 
     # Events in, actions out.
 
-    def _give(self, what: Event, to: str = "") -> list[bytes]:
+    def _handle(self, what: Event, to: str = "") -> list[bytes]:
         """Handle an event; messages for the member `to` are given back, to go with its answer."""
         back: list[bytes] = []
         if self.closed:
             return back
-        for action in self._running().handle(self.loop.time(), what):
+        for action in self._started_core().handle(self.loop.time(), what):
             if isinstance(action, Send) and action.member == to:
                 back.append(encode(action.message))
             else:
-                self._act(action)
+                self._perform(action)
         return back
 
-    def _act(self, action: Action) -> None:
+    def _perform(self, action: Action) -> None:
         match action:
             case Send(member, message):
                 self.outbox.send(member, message)
@@ -175,18 +177,18 @@
                 self.writer.write(action)
             case Acknowledged() | NotConfirmed():
                 if isinstance(action, NotConfirmed):
-                    event("ledger.not_confirmed", dot=_named(action.dot), reason=action.reason)
-                self._settle(action.id, action)
+                    event("ledger.not_confirmed", dot=_dot_text(action.dot), reason=action.reason)
+                self._resolve(action.id, action)
             case Refused(number, reason):
-                self._settle(number, WriteRefused(reason))
-            case Expose():
+                self._resolve(number, WriteRefused(reason))
+            case KeyChanged():
                 for listener in self.listeners:
                     listener(action)
-            case Note(name, fields):
-                self._note(name, dict(fields))
+            case LogEvent(name, fields):
+                self._log_limited(name, dict(fields))
 
-    def _settle(self, number: str, outcome: Answer | WriteRefused) -> None:
-        write = self.writes.get(number)
+    def _resolve(self, number: str, outcome: WriteResult | WriteRefused) -> None:
+        write = self.pending_writes.get(number)
         if write is None or write.done():
             return
         if isinstance(outcome, WriteRefused):
@@ -194,15 +196,15 @@
         else:
             write.set_result(outcome)
 
-    def _note(self, name: str, fields: dict[str, object]) -> None:
+    def _log_limited(self, name: str, fields: dict[str, object]) -> None:
         now_s = self.loop.time()
-        if now_s - self.note_s >= 1.0:
-            self.notes, self.note_s = 0, now_s
-        self.notes += 1
-        if self.notes <= NOTES_A_SECOND:
+        if now_s - self.log_window_s >= 1.0:
+            self.logged_count, self.log_window_s = 0, now_s
+        self.logged_count += 1
+        if self.logged_count <= LOG_EVENTS_PER_S:
             event(name, **fields)
 
-    def _written(self, outcome: Persisted | PersistFailed) -> None:
+    def _post_outcome(self, outcome: Persisted | PersistFailed) -> None:
         """On the writer's thread."""
         try:
             self.loop.call_soon_threadsafe(self._on_written, outcome)
@@ -211,8 +213,8 @@
 
     def _on_written(self, outcome: Persisted | PersistFailed) -> None:
         if isinstance(outcome, PersistFailed):
-            self._note("ledger.write_failed", {"directory": self.directory, "reason": outcome.reason})
-        self._give(outcome)
+            self._log_limited("ledger.write_failed", {"directory": self.directory, "reason": outcome.reason})
+        self._handle(outcome)
 
     def _on_call(self, peer: str, body: Any) -> list[bytes]:
         """A member's messages; what it is to hear at once goes with the answer. Raises ValueError."""
@@ -220,36 +222,36 @@
             messages = unpack(body)
         except ValueError as error:
             self.counts["messages_malformed"] += 1
-            self._note("ledger.malformed", {"member": peer, "reason": str(error)})
+            self._log_limited("ledger.malformed", {"member": peer, "reason": str(error)})
             raise
         back: collections.deque[bytes] = collections.deque()
         for message in messages:
-            back.extend(self._give(Heard(peer, message), to=peer))
+            back.extend(self._handle(MessageReceived(peer, message), to=peer))
         answer = pack(back)
         self.counts["answers_cut"] += len(back)  # the core asks again
         self.counts["bytes_out"] += sum(map(len, answer))
         return answer
 
-    def _answered(self, member: str, messages: list[Message]) -> None:
+    def _on_answer(self, member: str, messages: list[Message]) -> None:
         for message in messages:
-            self._give(Heard(member, message))
+            self._handle(MessageReceived(member, message))
 
     # Time and the view.
 
     def _tick(self) -> None:
-        self.ticker = self.loop.call_later(TICK_S, self._tick)
+        self.tick_timer = self.loop.call_later(TICK_S, self._tick)
         self._view_changed()  # no change is told of a member that is reaped
         if self.membership.joined.is_set():
-            self._give(Tick())
+            self._handle(Tick())
 
     def _view_changed(self) -> None:
         others = self.membership.view()
         others.pop(self.membership.name, None)
         live = tuple(sorted(name for name, r in others.items() if r.status in LIVE_STATUSES))
         gone = tuple(sorted(name for name, r in others.items() if r.status is Status.DEAD))
-        core = self._running()
+        core = self._started_core()
         if (live, gone) != (core.live, core.gone):
-            self._give(ViewChanged(live, gone))
+            self._handle(ViewChanged(live, gone))
 
     def _address_of(self, member: str) -> str | None:
         rumour = self.membership.view().get(member)
@@ -261,5 +263,5 @@
     return store, store.load()
 
 
-def _named(dot: Dot) -> str:
+def _dot_text(dot: Dot) -> str:
     return f"{dot.member}:{dot.incarnation}:{dot.counter}"
--- a/cloverkeel/fleet/ledger/store.py
+++ b/cloverkeel/fleet/ledger/store.py
@@ -22,7 +22,7 @@
 
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.ledger.interface import Persist, Persisted, PersistFailed
-from cloverkeel.fleet.ledger.records import Record, digest, fault
+from cloverkeel.fleet.ledger.records import Record, payload_hash, invalid_reason
 from cloverkeel.fleet.ledger.replica import Put
 from cloverkeel.fleet.state.file import FILE, connect, transaction
 
@@ -52,7 +52,7 @@
     puts: list[Put]
     context: Context
     findings: list[str]
-    disk: int = 0
+    store_id: int = 0
 
 
 class Store:
@@ -68,7 +68,7 @@
         except sqlite3.Error as error:
             raise StoreError(f"{path}: {error}") from None
         try:
-            self._begin()
+            self._create_tables()
         except sqlite3.Error as error:
             self.connection.close()
             raise StoreError(f"{path}: {error}") from None
@@ -76,7 +76,7 @@
             self.connection.close()
             raise
 
-    def _begin(self) -> None:
+    def _create_tables(self) -> None:
         if self.connection.execute("SELECT 1 FROM sqlite_master WHERE name = 'meta'").fetchone() is None:
             raise StoreError("the file is not begun by the state store")
         with transaction(self.connection):
@@ -104,21 +104,21 @@
         sound_heads = True
         rows = self.connection.execute("SELECT member, incarnation, counter, head, sha256 FROM ledger_record")
         for *named, head, checksum in rows.fetchall():
-            record = record_of(named, head, checksum)
+            record = decode_row(named, head, checksum)
             if record is None:
                 sound_heads = False
                 loaded.findings.append(f"record {':'.join(map(str, named))}: checksum does not match")
                 bad.append(tuple(named))
                 continue
             payload = b"" if record.deleted else payloads.get(record.sha256)
-            if not record.deleted and (payload is None or digest(payload) != record.sha256):
+            if not record.deleted and (payload is None or payload_hash(payload) != record.sha256):
                 loaded.findings.append(f"payload of {record.kind}/{record.key}: does not match its SHA-256")
                 bad.append(tuple(named))
                 lost.append(record.dot)
                 continue
             loaded.puts.append(Put(record, payload or b""))
         loaded.puts.sort(key=lambda put: put.record.dot)
-        context = self._context()
+        context = self._load_context()
         if (context is None and loaded.puts) or not sound_heads:
             loaded.findings.append("the context is made anew from the sound records")
         elif context is not None:
@@ -129,12 +129,12 @@
             loaded.context = loaded.context.merge(put.record.context)
         loaded.context = loaded.context.add(put.record.dot for put in loaded.puts)
         disk = self._meta("disk")
-        loaded.disk = int.from_bytes(disk or b"", "big")
-        if loaded.findings or not loaded.disk:
-            loaded.disk = secrets.randbits(62) + 1
+        loaded.store_id = int.from_bytes(disk or b"", "big")
+        if loaded.findings or not loaded.store_id:
+            loaded.store_id = secrets.randbits(62) + 1
             with transaction(self.connection):
                 self._delete(bad)
-                self._put_meta("disk", loaded.disk.to_bytes(8, "big"))
+                self._put_meta("disk", loaded.store_id.to_bytes(8, "big"))
                 self._put_meta("context", _encode(loaded.context))
         return loaded
 
@@ -172,7 +172,7 @@
                     row,
                 )
 
-    def _context(self) -> Context | None:
+    def _load_context(self) -> Context | None:
         value = self._meta("context")
         if value is None:
             return None
@@ -180,7 +180,7 @@
             context: Context = msgspec.msgpack.decode(value, type=Context)
         except msgspec.MsgspecError:
             return None
-        return None if context.fault() else context
+        return None if context.invalid_reason() else context
 
     def _meta(self, key: str) -> bytes | None:
         row = self.connection.execute(
@@ -200,7 +200,7 @@
     """The thread that writes batches, one at a time; `done` is called on it with what became of each."""
 
     def __init__(self, store: Store, done: Callable[[Persisted | PersistFailed], None]) -> None:
-        self.store, self.done = store, done
+        self.store, self.on_done = store, done
         self.batches: queue.SimpleQueue[Persist | None] = queue.SimpleQueue()
         self.thread = threading.Thread(target=self._run, name="ledger-writer", daemon=True)
         self.thread.start()
@@ -218,9 +218,9 @@
             try:
                 self.store.write(rows)
             except (sqlite3.Error, OSError) as error:
-                self.done(PersistFailed(rows.batch, str(error)))
+                self.on_done(PersistFailed(rows.batch, str(error)))
             else:
-                self.done(Persisted(rows.batch))
+                self.on_done(Persisted(rows.batch))
         with contextlib.suppress(sqlite3.Error):
             self.store.close()
 
@@ -229,7 +229,7 @@
     return hashlib.sha256(value).hexdigest()
 
 
-def record_of(named: list[object], head: object, sha256: object) -> Record | None:
+def decode_row(named: list[object], head: object, sha256: object) -> Record | None:
     """The record of a row, or None where the row is not sound."""
     if not isinstance(head, bytes) or checksum(head) != sha256:
         return None
@@ -238,6 +238,6 @@
     except msgspec.MsgspecError:
         return None
     dot = record.dot
-    if fault(record) is not None or named != [dot.member, dot.incarnation, dot.counter]:
+    if invalid_reason(record) is not None or named != [dot.member, dot.incarnation, dot.counter]:
         return None
     return record
--- a/cloverkeel/fleet/ledger/tombstones.py
+++ b/cloverkeel/fleet/ledger/tombstones.py
@@ -9,7 +9,9 @@
 from cloverkeel.fleet.ledger.replica import Replica
 
 
-def gone_by_now(replica: Replica, view: Iterable[str], heard: Mapping[str, Context]) -> list[Record]:
+def collectable_tombstones(
+    replica: Replica, view: Iterable[str], heard: Mapping[str, Context]
+) -> list[Record]:
     """The tombstones of keys without a live record that every member of `view` (those dead for less than
     `reap_after_s` included, this member not) has taken in by the newest context heard from it. What they
     deleted stays refused by the contexts; a sibling's tombstone says that a delete and an edit were
--- a/cloverkeel/fleet/ledger/writes.py
+++ b/cloverkeel/fleet/ledger/writes.py
@@ -4,7 +4,13 @@
 
 from cloverkeel.fleet.ledger.dots import Dot
 from cloverkeel.fleet.ledger.interface import Delete, Write
-from cloverkeel.fleet.ledger.records import PAYLOAD_MAX, RUNS_MAX, Record, digest, named_badly
+from cloverkeel.fleet.ledger.records import (
+    PAYLOAD_MAX,
+    CONTEXT_RUNS_MAX,
+    Record,
+    payload_hash,
+    invalid_name_reason,
+)
 from cloverkeel.fleet.ledger.replica import Put, Replica
 
 
@@ -16,7 +22,7 @@
     record that is still to come.
     """
     name = event.kind, event.key
-    why = named_badly(*name)
+    why = invalid_name_reason(*name)
     if why is not None:
         return why
     payload = event.payload if isinstance(event, Write) else b""
@@ -28,11 +34,11 @@
         return "its context is ahead of this member: it was read elsewhere and has not come here yet"
     if isinstance(event, Delete) and all(record.deleted for record in seen):
         return "nothing to delete under this context"
-    context = event.context.meet(replica.reading(name))
+    context = event.context.intersection(replica.key_context(name))
     for record in seen:
         context = context.merge(record.context)
-    if context.size() > RUNS_MAX:
-        return f"a context of over {RUNS_MAX} runs: the key was written too often since it was begun"
+    if context.run_count() > CONTEXT_RUNS_MAX:
+        return f"a context of over {CONTEXT_RUNS_MAX} runs: the key was written too often since it was begun"
     if isinstance(event, Delete):
         return Put(Record(*name, b"", 0, dot, context, deleted=True), b"")
-    return Put(Record(*name, digest(payload), len(payload), dot, context), payload)
+    return Put(Record(*name, payload_hash(payload), len(payload), dot, context), payload)
--- a/cloverkeel/fleet/rollout/conducting.py
+++ b/cloverkeel/fleet/rollout/conducting.py
@@ -10,8 +10,8 @@
 from cloverkeel.fleet.duties.shell import Service as Duties
 from cloverkeel.fleet.events import event
 from cloverkeel.fleet.ledger.interface import Acknowledged, Level
-from cloverkeel.fleet.ledger.shell import Answer, WriteRefused
-from cloverkeel.fleet.ledger.shell import Service as Ledger
+from cloverkeel.fleet.ledger.shell import WriteResult, WriteRefused
+from cloverkeel.fleet.ledger.shell import LedgerService as Ledger
 from cloverkeel.fleet.membership.calls import CallFailed
 from cloverkeel.fleet.rollout.analysis import counts_of
 from cloverkeel.fleet.rollout.core import (
@@ -103,7 +103,7 @@
         else:  # kept, and it may yet count: the next try stands above it
             self._give(WriteFailed(progress.place, answer.reason))
 
-    def _begin_write(self, token: int, progress: Progress) -> asyncio.Task[Answer]:
+    def _begin_write(self, token: int, progress: Progress) -> asyncio.Task[WriteResult]:
         """Under the duty's token, over what the ledger shows now: nothing newer may be there, or this process
         has been outrun. Raises NotHeldError."""
         if token != progress.token or self.served.progress.place >= progress.place:
--- a/cloverkeel/fleet/rollout/part.py
+++ b/cloverkeel/fleet/rollout/part.py
@@ -21,8 +21,8 @@
     error_answer,
 )
 from cloverkeel.fleet.events import event
-from cloverkeel.fleet.ledger.interface import Acknowledged, Expose
-from cloverkeel.fleet.ledger.shell import Service, WriteRefused
+from cloverkeel.fleet.ledger.interface import Acknowledged, KeyChanged
+from cloverkeel.fleet.ledger.shell import LedgerService, WriteRefused
 from cloverkeel.fleet.rollout.conducting import COUNTS_CALL, Conducting
 from cloverkeel.fleet.rollout.counting import Counting
 from cloverkeel.fleet.rollout.records import (
@@ -38,7 +38,7 @@
     newest,
 )
 from cloverkeel.fleet.rollout.settings import DUTY
-from cloverkeel.fleet.routes.serving import Serving, compile_hosts
+from cloverkeel.fleet.routes.serving import RouteTable, compile_hosts
 from cloverkeel.operator import Answer
 
 if TYPE_CHECKING:
@@ -55,10 +55,10 @@
 class RolloutPart:
     """`start` after membership, `conduct_by` once the duties are there; `close` before the ledger closes."""
 
-    def __init__(self, gateway: Gateway, ledger: LedgerPart, serving: Serving) -> None:
+    def __init__(self, gateway: Gateway, ledger: LedgerPart, serving: RouteTable) -> None:
         self.gateway, self.part, self.serving = gateway, ledger, serving
         self.counting = Counting(gateway)
-        self.ledger: Service | None = None
+        self.ledger: LedgerService | None = None
         self.progress = Progress()
         self.changed = asyncio.Event()  # set at each new progress, for who waits
         self.conducting: Conducting | None = None
@@ -76,7 +76,7 @@
 
     async def _begin(self, membership: Membership) -> None:
         self.ledger = await self.part.ready()
-        self.ledger.on_expose(self._exposed)
+        self.ledger.on_key_changed(self._exposed)
         membership.calls.serve(COUNTS_CALL, lambda _member, _body: self.report())
         self._read()
         self._duty_changed(self._token())
@@ -87,7 +87,7 @@
 
     # What this gateway serves
 
-    def _exposed(self, exposed: Expose) -> None:
+    def _exposed(self, exposed: KeyChanged) -> None:
         if exposed.kind == PROGRESS:
             self._read()
         elif exposed.kind == ORDER and self.conducting is not None:
@@ -101,8 +101,8 @@
             return
         before, self.progress = self.progress, found
         over = self.over()
-        if over != self.serving.over:
-            self.serving.divide(over)
+        if over != self.serving.traffic_split:
+            self.serving.set_traffic_split(over)
         self.counting.compare(self.sets() if found.spec is not None else None)
         if (found.state, found.stage) != (before.state, before.stage):
             event("rollout.serves", state=found.state, stage=found.stage, share=found.share, step=found.step)
@@ -112,7 +112,7 @@
     def follow(self, _config: Config) -> None:
         """After a SIGHUP: names may have other numbers."""
         if self.progress.spec is not None:
-            self.serving.divide(self.over())
+            self.serving.set_traffic_split(self.over())
             self.counting.compare(self.sets())
 
     def sets(self) -> tuple[HostSelector, HostSelector]:
--- a/cloverkeel/fleet/routes/changes.py
+++ b/cloverkeel/fleet/routes/changes.py
@@ -82,7 +82,7 @@
         return "the dot names no change"
     if change.context.covers(dot):
         return "the context covers the change's own dot"
-    if (why := change.context.fault()) is not None:
+    if (why := change.context.invalid_reason()) is not None:
         return why
     if not 0 < len(change.edits) + len(change.accepts) <= EDITS_MAX:
         return f"a change has 1 to {EDITS_MAX} edits"
@@ -96,12 +96,12 @@
     if len({(e.route, e.field) for e in change.edits}) < len(change.edits):
         return "a change writes one field twice"
     for edit in change.edits:
-        if not _plain(edit.value, DEPTH_MAX):
+        if not _is_plain(edit.value, DEPTH_MAX):
             return f"the value of {edit.field!r} is no plain data, or over {DEPTH_MAX} deep"
     return None
 
 
-def _plain(value: Any, deep: int) -> bool:
+def _is_plain(value: Any, deep: int) -> bool:
     """Whether every gateway can hold, encode and compare it."""
     if value is None or isinstance(value, str | bool):
         return True
@@ -110,9 +110,9 @@
     if isinstance(value, float):
         return isfinite(value)
     if isinstance(value, list | tuple):
-        return deep > 0 and all(_plain(each, deep - 1) for each in value)
+        return deep > 0 and all(_is_plain(each, deep - 1) for each in value)
     return (
         isinstance(value, dict)
         and deep > 0
-        and all(isinstance(key, str) and _plain(each, deep - 1) for key, each in value.items())
+        and all(isinstance(key, str) and _is_plain(each, deep - 1) for key, each in value.items())
     )
--- a/cloverkeel/fleet/routes/command.py
+++ b/cloverkeel/fleet/routes/command.py
@@ -19,8 +19,8 @@
 )
 from cloverkeel.fleet.membership.command import CommandError, request_operator
 
-LACKS = "routes"
-ASK_S = 22.0
+CONFIG_KEY = "routes"
+REQUEST_TIMEOUT_S = 22.0
 
 
 def register(parts: Any) -> None:
@@ -55,15 +55,15 @@
 def _apply(address: Address, arguments: argparse.Namespace) -> int:
     path = arguments.file
     source = read_file(path)
-    answer = request_json(address, f"/api/routes/apply?wait={arguments.wait}", source, lacks=LACKS)
+    answer = request_json(address, f"/api/routes/apply?wait={arguments.wait}", source, lacks=CONFIG_KEY)
     if not answer["change"]:
         behind = answer["behind"]
         more = f"; by now the plan has otherwise: {', '.join(behind[:5])}" if behind else ""
         print(f"nothing differs from the plan that the file was made from{more}")
         return 0
-    code = _said(answer, arguments.wait)
+    code = _print_outcome(answer, arguments.wait)
     try:
-        _rebase(path, source.decode(), answer["base"])
+        _write_base(path, source.decode(), answer["base"])
     except (OSError, ValueError) as error:
         why = getattr(error, "strerror", None) or error
         print(f"cloverkeel: {path}: export it anew before the next edit: its base is older than this change "
@@ -73,11 +73,11 @@
     return code
 
 
-def _rebase(path: str, text: str, base: str) -> None:
+def _write_base(path: str, text: str, base: str) -> None:
     """Put the new base into the file, whole or not at all. Raises OSError, ValueError."""
-    from cloverkeel.fleet.routes.files import rebased
+    from cloverkeel.fleet.routes.files import replace_base
 
-    made = rebased(text, base)
+    made = replace_base(text, base)
     path = os.path.realpath(path)
     fd, beside = tempfile.mkstemp(dir=os.path.dirname(path), prefix=".routes-")
     try:
@@ -99,17 +99,17 @@
         query["way"], body = "value", arguments.value.encode()
     else:
         query["way"] = "delete" if arguments.delete else "keep"
-    answer = request_json(address, f"/api/routes/resolve?{urlencode(query)}", body, lacks=LACKS)
-    return _said(answer, arguments.wait)
+    answer = request_json(address, f"/api/routes/resolve?{urlencode(query)}", body, lacks=CONFIG_KEY)
+    return _print_outcome(answer, arguments.wait)
 
 
 def _accept(address: Address, arguments: argparse.Namespace) -> int:
     query = {"change": arguments.change, "route": arguments.route, "team": arguments.team}
     target = f"/api/routes/accept?{urlencode(query | {'wait': arguments.wait})}"
-    return _said(request_json(address, target, b"", lacks=LACKS), arguments.wait)
+    return _print_outcome(request_json(address, target, b"", lacks=CONFIG_KEY), arguments.wait)
 
 
-def _said(answer: dict[str, Any], wait: str) -> int:
+def _print_outcome(answer: dict[str, Any], wait: str) -> int:
     """What became of a change, for people; 0: held as wished, 1: kept and not confirmed."""
     what = answer["change"]
     if not answer["confirmed"]:
@@ -134,18 +134,18 @@
         if not arguments.team:
             raise CommandError("--toml makes one team's file: give --team")
         query = urlencode({"team": arguments.team, "form": "toml"})
-        status, found = request_operator(*address, "GET", f"/api/routes?{query}", None, ASK_S)
+        status, found = request_operator(*address, "GET", f"/api/routes?{query}", None, REQUEST_TIMEOUT_S)
         if status != 200:
-            request_json(address, f"/api/routes?{query}", lacks=LACKS)  # for its error
+            request_json(address, f"/api/routes?{query}", lacks=CONFIG_KEY)  # for its error
         sys.stdout.write(found.decode())
         return 0
     query = f"?{urlencode({'team': arguments.team})}" if arguments.team else ""
-    answer = request_json(address, f"/api/routes{query}", lacks=LACKS)
-    print(json.dumps(answer) if arguments.json else "\n".join(lines(answer)))
+    answer = request_json(address, f"/api/routes{query}", lacks=CONFIG_KEY)
+    print(json.dumps(answer) if arguments.json else "\n".join(plan_lines(answer)))
     return 0
 
 
-def lines(answer: dict[str, Any]) -> list[str]:
+def plan_lines(answer: dict[str, Any]) -> list[str]:
     """A plan for people: what is in conflict or waits first, then the routes."""
     if not {"hash", "member", "count", "routes", "conflicts", "waiting", "held_back"} <= answer.keys():
         raise CommandError("the answer is no plan of routes")
--- a/cloverkeel/fleet/routes/dropping.py
+++ b/cloverkeel/fleet/routes/compaction.py
@@ -6,49 +6,51 @@
 
 from cloverkeel.fleet.ledger.dots import Dot
 from cloverkeel.fleet.routes.changes import DELETED, Change
-from cloverkeel.fleet.routes.owners import stand
-from cloverkeel.fleet.routes.registers import Touch, Write, newest
-from cloverkeel.fleet.routes.resolved import resolve
-from cloverkeel.fleet.routes.whole import Whole
+from cloverkeel.fleet.routes.owners import classify
+from cloverkeel.fleet.routes.registers import RouteChange, Write, newest
+from cloverkeel.fleet.routes.route_merge import merge_route
+from cloverkeel.fleet.routes.merged_routes import MergedRoutes
 
 
-def droppable(whole: Whole, held: Mapping[Dot, Change]) -> list[Dot]:
+def droppable(whole: MergedRoutes, held: Mapping[Dot, Change]) -> list[Dot]:
     """The changes that say of their routes only what two single generations, one after the other, have
     superseded, and without which each of those routes comes out as with them. By dot."""
-    old: dict[str, set[Dot]] = {name: set(_old(whole.rising(name))) for name in whole.many}
+    old: dict[str, set[Dot]] = {
+        name: set(_superseded(whole.active_changes(name))) for name in whole.many_changes
+    }
     going = {
         dot
         for dot in set().union(*old.values())
-        if all(dot in old.get(name, ()) for name in names_of(held[dot]))
+        if all(dot in old.get(name, ()) for name in routes_of(held[dot]))
     }
-    todo = dict.fromkeys(name for dot in sorted(going) for name in names_of(held[dot]))
+    todo = dict.fromkeys(name for dot in sorted(going) for name in routes_of(held[dot]))
     while todo:
         name = next(iter(todo))
         del todo[name]
-        rising = whole.rising(name)
+        rising = whole.active_changes(name)
         kept = [touch for touch in rising if touch.dot not in going]
-        if len(kept) == len(rising) or resolve(name, kept, whole.world) == whole.resolved(name):
+        if len(kept) == len(rising) or merge_route(name, kept, whole.environment) == whole.merged(name):
             continue
         for touch in rising:
             if touch.dot in going:
                 going.discard(touch.dot)
-                todo.update(dict.fromkeys(names_of(held[touch.dot])))
+                todo.update(dict.fromkeys(routes_of(held[touch.dot])))
     return sorted(going)
 
 
-def names_of(change: Change) -> dict[str, None]:
+def routes_of(change: Change) -> dict[str, None]:
     """The routes that a change touches."""
     return dict.fromkeys((*(edit.route for edit in change.edits), *(each.route for each in change.accepts)))
 
 
-def _old(rising: list[Touch]) -> Iterator[Dot]:
+def _superseded(rising: list[RouteChange]) -> Iterator[Dot]:
     """The changes all of whose writes of this route two later generations have superseded."""
-    standing = stand(rising)
+    standing = classify(rising)
     registers: dict[str, list[Write]] = {}
     for touch in standing.counted:
         for field in touch.fields:
             registers.setdefault(field, []).append(Write(touch.dot, touch.context, touch.team, None))
-        if touch.dot in standing.first:
+        if touch.dot in standing.initial_owners:
             registers.setdefault("owner", []).append(Write(touch.dot, touch.context, touch.team, None))
     for delete in standing.deletes:
         for field, writes in registers.items():
@@ -65,7 +67,7 @@
     here = {touch.dot for touch in rising}
     gone: set[Dot] = set()
     for touch in rising:
-        fields = {*touch.fields, *(("owner",) if touch.dot in standing.first else ())}
+        fields = {*touch.fields, *(("owner",) if touch.dot in standing.initial_owners else ())}
         # Someone who is kept had seen each, so that the context of the view covers it as before.
         if (
             all(field in second and second[field].context.covers(touch.dot) for field in fields)
--- a/cloverkeel/fleet/routes/conflicts.py
+++ b/cloverkeel/fleet/routes/conflicts.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 
 from cloverkeel.fleet.ledger.dots import Dot
-from cloverkeel.fleet.routes.fields import PER_CENT, encoded, share_of
-from cloverkeel.fleet.routes.interface import Choice, Conflict, Kind, RouteView, Severity, World
+from cloverkeel.fleet.routes.fields import UNITS_PER_PERCENT, canonical_bytes, share_units
+from cloverkeel.fleet.routes.interface import Choice, Conflict, ConflictKind, RouteView, Severity, Environment
 
-SEVERITY: Mapping[Kind, Severity] = {
+SEVERITY: Mapping[ConflictKind, Severity] = {
     "field": "held",
     "delete": "held",
     "overlap": "blocking",
@@ -24,12 +24,12 @@
     "room": "warning",
     "absent": "warning",
 }
-MATCH = ("owner", "classes", "callers", "path", "zones", "before")  # what an overlap rests on
-SHOWN = 5  # names in one line
+MATCH_FIELDS = ("owner", "classes", "callers", "path", "zones", "before")  # what an overlap rests on
+NAMES_SHOWN = 5  # names in one line
 
 
-def conflict(
-    kind: Kind,
+def make_conflict(
+    kind: ConflictKind,
     routes: Iterable[str],
     field: str,
     choices: Iterable[Choice],
@@ -40,29 +40,29 @@
     names = tuple(sorted(routes))
     sides = tuple(sorted(choices, key=lambda choice: choice.dot))
     teams = tuple(sorted({*owners, *(side.team for side in sides)}))
-    cause = encoded((kind, names, field, [side.dot for side in sides]))
+    cause = canonical_bytes((kind, names, field, [side.dot for side in sides]))
     name = hashlib.blake2b(cause, digest_size=8).hexdigest()
     return Conflict(name, kind, SEVERITY[kind], names, field, teams, sides, why, local)
 
 
-def by(choice: Choice) -> str:
+def side_text(choice: Choice) -> str:
     """A side of a conflict, for people."""
-    return f"{choice.team} ({shown(choice.dot)})"
+    return f"{choice.team} ({change_name(choice.dot)})"
 
 
-def shown(dot: Dot) -> str:
+def change_name(dot: Dot) -> str:
     """A change's name as people give it to `accept`: its key in the ledger."""
     return f"{dot.member}/{dot.incarnation:x}/{dot.counter}"
 
 
-def some(names: Iterable[str]) -> str:
+def first_names(names: Iterable[str]) -> str:
     """The first few names, and how many more."""
     every = sorted(names)
-    more = len(every) - SHOWN
-    return ", ".join(every[:SHOWN]) + (f" and {more} more" if more > 0 else "")
+    more = len(every) - NAMES_SHOWN
+    return ", ".join(every[:NAMES_SHOWN]) + (f" and {more} more" if more > 0 else "")
 
 
-def decisions(view: RouteView, fields: Sequence[str]) -> list[Choice]:
+def deciding_changes(view: RouteView, fields: Sequence[str]) -> list[Choice]:
     """The changes that gave these fields of a route their values, once each."""
     found = {
         view.decided[name].dot: Choice(view.decided[name].dot, view.decided[name].team)
@@ -72,43 +72,53 @@
     return list(found.values())
 
 
-def of_route(view: RouteView, world: World) -> Iterator[Conflict]:
+def route_conflicts(view: RouteView, world: Environment) -> Iterator[Conflict]:
     """The plan conflicts of one route by itself."""
-    yield from _shares(view)
-    yield from _unknown(view, world)
-    yield from _chain(view, world)
+    yield from _share_conflicts(view)
+    yield from _unknown_name_conflicts(view, world)
+    yield from _chain_conflicts(view, world)
 
 
-def _of(kind: Kind, view: RouteView, field: str, why: str, local: bool = False) -> Conflict:
-    choices = decisions(view, (field,))
-    return conflict(kind, (view.name,), field, choices, f"{view.name}: {why}", (view.owner,), local)
+def _single_route_conflict(
+    kind: ConflictKind, view: RouteView, field: str, why: str, local: bool = False
+) -> Conflict:
+    choices = deciding_changes(view, (field,))
+    return make_conflict(kind, (view.name,), field, choices, f"{view.name}: {why}", (view.owner,), local)
 
 
-def _shares(view: RouteView) -> Iterator[Conflict]:
-    total = sum(map(share_of, view.values.get("targets", ())))
-    if total > 100 * PER_CENT:
-        yield _of("shares", view, "targets", f"shares sum to {total / PER_CENT:g} %, over 100 %")
+def _share_conflicts(view: RouteView) -> Iterator[Conflict]:
+    total = sum(map(share_units, view.values.get("targets", ())))
+    if total > 100 * UNITS_PER_PERCENT:
+        yield _single_route_conflict(
+            "shares", view, "targets", f"shares sum to {total / UNITS_PER_PERCENT:g} %, over 100 %"
+        )
 
 
-def _unknown(view: RouteView, world: World) -> Iterator[Conflict]:
+def _unknown_name_conflicts(view: RouteView, world: Environment) -> Iterator[Conflict]:
     values = view.values
     for field, known in (("classes", world.classes), ("callers", world.callers), ("zones", world.zones)):
         if known is not None and field in values and (none := set(values[field]) - known):
-            yield _of("unknown", view, field, f"{field} that the settings do not have: {some(none)}")
+            yield _single_route_conflict(
+                "unknown", view, field, f"{field} that the settings do not have: {first_names(none)}"
+            )
     none = set()
     for target in values.get("targets", ()):
         for field, known in (("types", world.types), ("zones", world.zones)):
             if known is not None and field in target:
                 none.update(set(target[field]) - known)
     if none:
-        yield _of("unknown", view, "targets", f"types or zones that the settings do not have: {some(none)}")
+        yield _single_route_conflict(
+            "unknown", view, "targets", f"types or zones that the settings do not have: {first_names(none)}"
+        )
     if world.transforms is not None and "transforms" in values:
         none = set(values["transforms"]) - world.transforms.keys()
         if none:
-            yield _of("unknown", view, "transforms", f"transforms that nobody published: {some(none)}")
+            yield _single_route_conflict(
+                "unknown", view, "transforms", f"transforms that nobody published: {first_names(none)}"
+            )
 
 
-def _chain(view: RouteView, world: World) -> Iterator[Conflict]:
+def _chain_conflicts(view: RouteView, world: Environment) -> Iterator[Conflict]:
     chain = view.values.get("transforms", ())
     if world.transforms is None or len(chain) < 2:
         return
@@ -118,12 +128,15 @@
             writers.setdefault(header, []).append(name)
     twice = [f"{header} by {' and '.join(names)}" for header, names in writers.items() if len(names) > 1]
     if twice:
-        yield _of(
-            "chain", view, "transforms", f"transforms of one chain write the same header: {some(twice)}"
+        yield _single_route_conflict(
+            "chain",
+            view,
+            "transforms",
+            f"transforms of one chain write the same header: {first_names(twice)}",
         )
 
 
-def absent(view: RouteView, world: World) -> Conflict | None:
+def absent_conflict(view: RouteView, world: Environment) -> Conflict | None:
     """Groups and labels that no host of this gateway's list has just now."""
     none: set[str] = set()
     for target in view.values.get("targets", ()):
@@ -132,43 +145,46 @@
                 none.update(f"{field[:-1]} {name}" for name in target[field] if name not in known)
     if not none:
         return None
-    return _of("absent", view, "targets", f"no host on this gateway's list has {some(none)}", local=True)
+    return _single_route_conflict(
+        "absent", view, "targets", f"no host on this gateway's list has {first_names(none)}", local=True
+    )
 
 
-def overlap(a: RouteView, b: RouteView) -> Conflict:
+def overlap_conflict(a: RouteView, b: RouteView) -> Conflict:
     """Routes of two teams that match the same requests, with no order between them."""
     first, second = sorted((a, b), key=lambda view: view.name)
-    choices = {side.dot: side for view in (first, second) for side in decisions(view, MATCH)}
+    choices = {side.dot: side for view in (first, second) for side in deciding_changes(view, MATCH_FIELDS)}
     why = (
         f"{first.name} of {first.owner} and {second.name} of {second.owner} match the same requests; "
         "say `before` in one of them"
     )
-    return conflict("overlap", (a.name, b.name), "", choices.values(), why, (a.owner, b.owner))
+    return make_conflict("overlap", (a.name, b.name), "", choices.values(), why, (a.owner, b.owner))
 
 
-def cycle(views: Sequence[RouteView]) -> Conflict:
-    choices = {side.dot: side for view in views for side in decisions(view, ("before",))}
+def cycle_conflict(views: Sequence[RouteView]) -> Conflict:
+    choices = {side.dot: side for view in views for side in deciding_changes(view, ("before",))}
     names = [view.name for view in views]
-    why = f"each of {some(names)} comes before itself, through `before`"
-    return conflict("cycle", names, "before", choices.values(), why, [view.owner for view in views])
+    why = f"each of {first_names(names)} comes before itself, through `before`"
+    return make_conflict("cycle", names, "before", choices.values(), why, [view.owner for view in views])
 
 
-def room(
+def capacity_conflict(
     team: str, kind: str, parts: Mapping[str, int], room: int, views: Mapping[str, RouteView]
 ) -> Conflict:
     """`parts`: by route, the requests at once that its limit sends to hosts of this type, times the share."""
-    choices = {side.dot: side for name in parts for side in decisions(views[name], ("limit",))}
-    total = sum(parts.values()) // (100 * PER_CENT)
+    choices = {side.dot: side for name in parts for side in deciding_changes(views[name], ("limit",))}
+    total = sum(parts.values()) // (100 * UNITS_PER_PERCENT)
     why = (
-        f"limits of {team}'s routes ({some(parts)}) sum to {total} on hosts of type {kind}, which have {room}"
+        f"limits of {team}'s routes ({first_names(parts)}) sum to {total} "
+        f"on hosts of type {kind}, which have {room}"
     )
-    return conflict("room", parts, f"limit:{kind}", choices.values(), why, (team,))
+    return make_conflict("room", parts, f"limit:{kind}", choices.values(), why, (team,))
 
 
-def room_parts(view: RouteView) -> Iterator[tuple[str, int]]:
+def limits_by_type(view: RouteView) -> Iterator[tuple[str, int]]:
     """For each type that a target names alone, its part of the route's limit, in the shares' unit."""
     if (limit := view.values.get("limit")) is None:
         return
     for target in view.values.get("targets", ()):
         if len(kinds := target.get("types", ())) == 1:
-            yield kinds[0], limit * share_of(target)
+            yield kinds[0], limit * share_units(target)
--- a/cloverkeel/fleet/routes/world.py
+++ b/cloverkeel/fleet/routes/environment.py
@@ -8,13 +8,13 @@
 from typing import TYPE_CHECKING, Any
 
 from cloverkeel.config import Names
-from cloverkeel.fleet.routes.interface import World
+from cloverkeel.fleet.routes.interface import Environment
 
 if TYPE_CHECKING:
     from cloverkeel.gateway import Gateway
     from cloverkeel.transforms.activation.parts import TransformParts
 
-Published = Mapping[str, frozenset[str]]
+PublishedHeaders = Mapping[str, frozenset[str]]
 
 
 def labels_of(row: Mapping[str, Any]) -> frozenset[str]:
@@ -23,43 +23,48 @@
     return frozenset(map(str, labels)) if isinstance(labels, list) else frozenset()
 
 
-def world_of(
-    names: Names, room: Mapping[str, int], rows: Iterable[Mapping[str, Any]], published: Published | None
-) -> World:
+def environment_of(
+    names: Names,
+    room: Mapping[str, int],
+    rows: Iterable[Mapping[str, Any]],
+    published: PublishedHeaders | None,
+) -> Environment:
     """`rows`: the listed hosts as discovery gave them; with none, groups and labels are not known."""
     rows = list(rows)
-    return World(
+    return Environment(
         classes=frozenset(name.decode("utf-8", "replace") for name in names.classes),
         callers=frozenset(name.decode("utf-8", "replace") for name in names.tenants),
         zones=frozenset(names.zones),
         types=frozenset(names.kinds),
         transforms=published,
-        room=room,
+        capacity=room,
         groups=frozenset(str(row.get("group", 0)) for row in rows) if rows else None,
         labels=frozenset().union(*map(labels_of, rows)) if rows else None,
     )
 
 
-class Worlds:
+class GatewayEnvironment:
     """The world of one gateway, as it is now. `transforms`: None where the fleet publishes none."""
 
     def __init__(
         self, gateway: Gateway, room: Mapping[str, int], transforms: TransformParts | None = None
     ) -> None:
-        self.gateway, self.room, self.transforms = gateway, room, transforms
-        self.writes: dict[str, frozenset[str]] = {}  # headers, by a version's id
-        self.seen: object = None
+        self.gateway, self.capacity, self.transforms = gateway, room, transforms
+        self.headers_written: dict[str, frozenset[str]] = {}  # headers, by a version's id
+        self.last_state: object = None
 
-    async def changed(self) -> World | None:
+    async def poll_changed(self) -> Environment | None:
         """The world, where it may be another one than at the last call."""
         gateway = self.gateway
         versions = await self._versions()
         listed = (gateway.discovery.index, gateway.discovery.epoch, len(gateway.listed_hosts))
         now = (listed, gateway.names, versions)
-        if now == self.seen:
+        if now == self.last_state:
             return None
-        self.seen = now
-        return world_of(gateway.names, self.room, gateway.listed_hosts.values(), self._published(versions))
+        self.last_state = now
+        return environment_of(
+            gateway.names, self.capacity, gateway.listed_hosts.values(), self._published(versions)
+        )
 
     async def _versions(self) -> tuple[tuple[str, str], ...] | None:
         """Name and id of each published version that is to be held, once its headers are known; None while
@@ -69,21 +74,21 @@
             return None
         wanted = {id: order for id, order in activator.core.book.wanted().items() if order.source}
         for id, order in wanted.items():
-            if id not in self.writes:
-                self.writes[id] = await asyncio.to_thread(_writes, order.source)
-        self.writes = {id: self.writes[id] for id in wanted}
+            if id not in self.headers_written:
+                self.headers_written[id] = await asyncio.to_thread(_headers_written, order.source)
+        self.headers_written = {id: self.headers_written[id] for id in wanted}
         return tuple(sorted((order.name, id) for id, order in wanted.items()))
 
-    def _published(self, versions: tuple[tuple[str, str], ...] | None) -> Published | None:
+    def _published(self, versions: tuple[tuple[str, str], ...] | None) -> PublishedHeaders | None:
         if versions is None:
             return None
         found: dict[str, frozenset[str]] = {}
         for name, id in versions:
-            found[name] = found.get(name, frozenset()) | self.writes[id]
+            found[name] = found.get(name, frozenset()) | self.headers_written[id]
         return found
 
 
-def _writes(source: bytes) -> frozenset[str]:
+def _headers_written(source: bytes) -> frozenset[str]:
     """The headers that a transform may write; what cannot be parsed writes none."""
     from cloverkeel.transforms.source import SourceError, parse
 
--- a/cloverkeel/fleet/routes/fields.py
+++ b/cloverkeel/fleet/routes/fields.py
@@ -13,14 +13,19 @@
 NAMES_MAX = 1_024  # of one list
 TARGETS_MAX, TRANSFORMS_MAX, BEFORE_MAX = 64, 32, 64
 NOTE_MAX, PATH_MAX = 4_096, 1_024  # characters
-WHOLE_MAX = 2**31 - 1
-PER_CENT = 1_000  # shares are counted in thousandths of a percent: sums are exact, in any order
-ANY_KIND = ("types", "groups", "zones", "labels")  # of a target: hosts that have one of each kind named
+INTEGER_MAX = 2**31 - 1
+UNITS_PER_PERCENT = 1_000  # shares are counted in thousandths of a percent: sums are exact, in any order
+TARGET_SELECTORS = (
+    "types",
+    "groups",
+    "zones",
+    "labels",
+)  # of a target: hosts that have one of each kind named
 
 _ENCODER = msgspec.msgpack.Encoder(order="sorted")
 
 
-def encoded(value: Any) -> bytes:
+def canonical_bytes(value: Any) -> bytes:
     """The one form of a plain value, whatever the order of its maps."""
     return _ENCODER.encode(value)
 
@@ -34,7 +39,7 @@
     return value if known is None else known(value)
 
 
-def sound(field: str, value: Any) -> tuple[Any, str]:
+def canonical_or_fault(field: str, value: Any) -> tuple[Any, str]:
     """The canonical form and an empty text, or the value as it is and why the field cannot have it."""
     try:
         return canonical(field, value), ""
@@ -42,14 +47,16 @@
         return value, str(error)
 
 
-def share_of(target: Mapping[str, Any]) -> int:
+def share_units(target: Mapping[str, Any]) -> int:
     """The share of a target in canonical form, in thousandths of a percent."""
-    return int(round(target["share"] * PER_CENT))
+    return int(round(target["share"] * UNITS_PER_PERCENT))
 
 
 def route_hash(name: str, values: Mapping[str, Any], others: Mapping[str, Any]) -> int:
     """128 bits of one route of a plan."""
-    return int.from_bytes(hashlib.blake2b(encoded((name, values, others)), digest_size=16).digest(), "big")
+    return int.from_bytes(
+        hashlib.blake2b(canonical_bytes((name, values, others)), digest_size=16).digest(), "big"
+    )
 
 
 def plan_hash(total: int) -> str:
@@ -98,18 +105,22 @@
 def _share(value: Any) -> int | float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= 100:
         raise ValueError(f"a share is 0 to 100 percent, not {value!r:.40}")
-    thousandths = int(round(value * PER_CENT))
-    if abs(thousandths - value * PER_CENT) > 1e-6:
+    thousandths = int(round(value * UNITS_PER_PERCENT))
+    if abs(thousandths - value * UNITS_PER_PERCENT) > 1e-6:
         raise ValueError(f"a share has up to three decimals, not {value!r:.40}")
-    return thousandths // PER_CENT if thousandths % PER_CENT == 0 else thousandths / PER_CENT
+    return (
+        thousandths // UNITS_PER_PERCENT
+        if thousandths % UNITS_PER_PERCENT == 0
+        else thousandths / UNITS_PER_PERCENT
+    )
 
 
 def _target(value: Any) -> dict[str, Any]:
     if not isinstance(value, Mapping) or not all(isinstance(key, str) for key in value):
-        raise ValueError(f"a target is a map of {', '.join(ANY_KIND)} and share, not {value!r:.40}")
+        raise ValueError(f"a target is a map of {', '.join(TARGET_SELECTORS)} and share, not {value!r:.40}")
     target = {}
     for key, each in value.items():
-        if key not in ANY_KIND:
+        if key not in TARGET_SELECTORS:
             target[key] = each
         elif each is not None and (names := _groups(each) if key == "groups" else _names(each)):
             target[key] = names
@@ -119,12 +130,12 @@
 
 def _targets(value: Any) -> list[dict[str, Any]] | None:
     every = [_target(each) for each in _list(value, TARGETS_MAX)]
-    return sorted(every, key=encoded) if len(every) > 1 else every or None
+    return sorted(every, key=canonical_bytes) if len(every) > 1 else every or None
 
 
-def _whole(value: Any) -> int:
-    if type(value) is not int or not 1 <= value <= WHOLE_MAX:
-        raise ValueError(f"a whole number from 1 to {WHOLE_MAX} is wanted, not {value!r:.40}")
+def _positive_int(value: Any) -> int:
+    if type(value) is not int or not 1 <= value <= INTEGER_MAX:
+        raise ValueError(f"a whole number from 1 to {INTEGER_MAX} is wanted, not {value!r:.40}")
     return value
 
 
@@ -153,9 +164,9 @@
     "zones": _names,
     "path": _path,
     "targets": _targets,
-    "attempts": _whole,
-    "deadline_ms": _whole,
-    "limit": _whole,
+    "attempts": _positive_int,
+    "deadline_ms": _positive_int,
+    "limit": _positive_int,
     "transforms": _transforms,
     "before": _before,
     "owner": _name,
--- a/cloverkeel/fleet/routes/files.py
+++ b/cloverkeel/fleet/routes/files.py
@@ -18,7 +18,7 @@
 
 from cloverkeel.fleet.ledger.dots import Context
 from cloverkeel.fleet.routes.changes import DELETED, EDITS_MAX, NAME_MAX, Change, Edit
-from cloverkeel.fleet.routes.fields import ANY_KIND, FIELDS, canonical, sound
+from cloverkeel.fleet.routes.fields import TARGET_SELECTORS, FIELDS, canonical, canonical_or_fault
 from cloverkeel.fleet.routes.interface import View
 
 FILE_MAX = 256 * 1024  # bytes of a file
@@ -78,7 +78,7 @@
     base = None
     if "base" in top:
         try:
-            base = unpack(top["base"])
+            base = unpack_base(top["base"])
         except ValueError as error:
             faults.append(f"base: {error}")
     if not isinstance(routes, dict):
@@ -105,7 +105,7 @@
         return [f"{where} is no table of fields"]
     faults = []
     for key, value in fields.items():
-        why = name_fault(key) or value_fault(value) or _known_fault(key, value, before)
+        why = name_fault(key) or value_fault(value) or _field_fault(key, value, before)
         if key == DELETED:
             why = "to delete a route, leave it out of a file whose base has it"
         if why:
@@ -113,20 +113,20 @@
     return faults
 
 
-def _known_fault(key: str, value: Any, before: Fields) -> str:
+def _field_fault(key: str, value: Any, before: Fields) -> str:
     """Why a field cannot have the value. What no version here knows has to be as the base has it: a later
     version's, and no slip of the pen."""
-    if key in before and same(before[key], value):
+    if key in before and toml_equal(before[key], value):
         return ""
     if key not in FIELDS:
         return f"no field; a route has {', '.join(name for name in FIELDS if name != DELETED)}"
-    _, why = sound(key, value)
+    _, why = canonical_or_fault(key, value)
     if not why and key == "targets":
         old = before.get(key) or []
         for target in value:
-            unknown = [each for each in target if each not in (*ANY_KIND, "share")]
+            unknown = [each for each in target if each not in (*TARGET_SELECTORS, "share")]
             if unknown and target not in old:
-                return f"a target has {', '.join(ANY_KIND)} and share, not {unknown[0]!r:.40}"
+                return f"a target has {', '.join(TARGET_SELECTORS)} and share, not {unknown[0]!r:.40}"
     return why
 
 
@@ -149,11 +149,11 @@
 # A base, packed and unpacked.
 
 
-def pack(base: Base) -> str:
+def pack_base(base: Base) -> str:
     return base64.b64encode(zlib.compress(msgspec.msgpack.encode(base), 9)).decode()
 
 
-def unpack(text: object) -> Base:
+def unpack_base(text: object) -> Base:
     """Raises ValueError."""
     if not isinstance(text, str):
         raise ValueError("not a text; `routes show --toml` makes it")
@@ -165,15 +165,15 @@
         base = _BASE.decode(data)
     except (ValueError, zlib.error, msgspec.MsgspecError, RecursionError, TypeError) as error:
         raise ValueError(f"not what `routes show --toml` made: {str(error)[:120]}") from None
-    if (why := base.context.fault()) is not None:
+    if (why := base.context.invalid_reason()) is not None:
         raise ValueError(why)
     return base
 
 
-def based_on(file: TeamFile, change: Change) -> str:
+def base_after_commit(file: TeamFile, change: Change) -> str:
     """The base of a file that has been committed as this change: its author has seen that, and no more."""
     context = change.context.add((change.dot,))
-    return pack(Base(context, {name: _with_owner(file, name) for name in file.routes}))
+    return pack_base(Base(context, {name: _with_owner(file, name) for name in file.routes}))
 
 
 # What a file changes.
@@ -187,15 +187,19 @@
     for name in sorted(file.routes):
         was, now = before.get(name, {}), _with_owner(file, name)
         for key in sorted(now.keys() | was.keys()):
-            if key not in was or key not in now or not same(_form(key, was[key]), _form(key, now[key])):
-                edits.append(Edit(name, key, _form(key, now[key]) if key in now else None))
+            if (
+                key not in was
+                or key not in now
+                or not toml_equal(_canonical_or_raw(key, was[key]), _canonical_or_raw(key, now[key]))
+            ):
+                edits.append(Edit(name, key, _canonical_or_raw(key, now[key]) if key in now else None))
     edits += [Edit(name, DELETED, True) for name in sorted(before.keys() - file.routes.keys())]
     if len(edits) > EDITS_MAX:
         raise FileError([f"{len(edits)} fields differ, over {EDITS_MAX} for one change: apply it in parts"])
     return tuple(edits)
 
 
-def _form(key: str, value: Any) -> Any:
+def _canonical_or_raw(key: str, value: Any) -> Any:
     """In canonical form, where it has one: a base may be of another version."""
     try:
         return canonical(key, value)
@@ -209,38 +213,38 @@
     return {OWNER: before.get(OWNER, file.team), **file.routes[name]}
 
 
-def same(a: object, b: object) -> bool:
+def toml_equal(a: object, b: object) -> bool:
     """Equal as TOML: 1 and true are not."""
     if isinstance(a, dict) and isinstance(b, dict):
-        return a.keys() == b.keys() and all(same(value, b[key]) for key, value in a.items())
+        return a.keys() == b.keys() and all(toml_equal(value, b[key]) for key, value in a.items())
     if isinstance(a, list) and isinstance(b, list):
-        return len(a) == len(b) and all(map(same, a, b))
+        return len(a) == len(b) and all(map(toml_equal, a, b))
     return isinstance(a, bool) == isinstance(b, bool) and a == b
 
 
-def behind(file: TeamFile, view: View) -> list[str]:
+def outdated_routes(file: TeamFile, view: View) -> list[str]:
     """The file's routes that are others by now in the plan in service, or in none."""
-    now = exported(file.team, view).routes
+    now = export_base(file.team, view).routes
 
     def forms(fields: Fields) -> Fields:
-        return {key: _form(key, value) for key, value in fields.items()}
+        return {key: _canonical_or_raw(key, value) for key, value in fields.items()}
 
     return [
         name
         for name in sorted(file.routes)
-        if name not in now or not same(forms(now[name]), forms(_with_owner(file, name)))
+        if name not in now or not toml_equal(forms(now[name]), forms(_with_owner(file, name)))
     ]
 
 
 # Export.
 
 
-def exported(team: str, view: View) -> Base:
+def export_base(team: str, view: View) -> Base:
     """A team's routes as a file can hold them; a field that TOML cannot hold is left out, and stays."""
     routes: dict[str, Fields] = {}
     for name, route in view.routes.items():
         if route.owner == team:
-            fields = {key: plain(value) for key, value in {**route.others, **route.values}.items()}
+            fields = {key: to_plain(value) for key, value in {**route.unknown_fields, **route.values}.items()}
             routes[name] = {key: value for key, value in fields.items() if value_fault(value) is None}
             routes[name][OWNER] = team
     return Base(view.context, routes)
@@ -250,28 +254,28 @@
     """A team's file, with `notes` as comments at its head."""
     import tomli_w  # at a gateway nobody else needs it
 
-    base = exported(team, view)
+    base = export_base(team, view)
     shown = {
         name: {key: value for key, value in fields.items() if (key, value) != (OWNER, team)}
         for name, fields in sorted(base.routes.items())
     }
     comments = "".join(f"# {''.join(c if c.isprintable() else ' ' for c in note)}\n" for note in notes)
-    top = tomli_w.dumps({"team": team, "base": pack(base)})
+    top = tomli_w.dumps({"team": team, "base": pack_base(base)})
     return f"{comments}{top}\n{tomli_w.dumps({'route': shown})}" if shown else comments + top
 
 
-def plain(value: Any) -> Any:
+def to_plain(value: Any) -> Any:
     """A value in canonical form as lists and dicts."""
     if isinstance(value, Mapping):
-        return {key: plain(each) for key, each in value.items()}
+        return {key: to_plain(each) for key, each in value.items()}
     if isinstance(value, AbstractSet):
-        return sorted(map(plain, value))
+        return sorted(map(to_plain, value))
     if isinstance(value, list | tuple):
-        return [plain(each) for each in value]
+        return [to_plain(each) for each in value]
     return value
 
 
-def rebased(text: str, base: str) -> str:
+def replace_base(text: str, base: str) -> str:
     """A file's text with this base, all else as it is. Raises ValueError where that cannot be done."""
     before = tomllib.loads(text)
     lines = text.splitlines(keepends=True)
--- a/cloverkeel/fleet/routes/passes.py
+++ b/cloverkeel/fleet/routes/gc_pause.py
@@ -5,21 +5,21 @@
 
 import gc
 
-_holds = 0
+_pauses = 0
 
 
-def hold() -> None:
+def pause() -> None:
     """No pass until each `hold` has had its `release`."""
-    global _holds
-    _holds += 1
+    global _pauses
+    _pauses += 1
     gc.disable()
 
 
-def release(freeze: bool = False) -> None:
+def resume(freeze: bool = False) -> None:
     """`freeze`: what there is now is left out of all later passes."""
-    global _holds
+    global _pauses
     if freeze:
         gc.freeze()
-    _holds -= 1
-    if not _holds:
+    _pauses -= 1
+    if not _pauses:
         gc.enable()
--- a/cloverkeel/fleet/routes/index.py
+++ b/cloverkeel/fleet/routes/index.py
@@ -12,24 +12,24 @@
 
 from cloverkeel.fleet.routes.interface import RouteView
 
-Pair = tuple[bytes | None, bytes | None]  # class and caller; None: any
+ClassCaller = tuple[bytes | None, bytes | None]  # class and caller; None: any
 
 
 @dataclass(slots=True, frozen=True)
-class Matched:
+class MatchedRoute:
     """The route that a request takes: its number in the module's plan, and the transforms in the order in
     which they run. `chain` None: as if there were no route."""
 
     name: str
     number: int
     chain: tuple[str, ...] | None
-    zoned: bool = False  # it names zones
+    names_zones: bool = False  # it names zones
 
 
 # What a prefix leads to: its routes in order, or the segments that go on, with its own routes under HERE.
 # Plain lists and dicts: among 10,000 routes a look-up mostly waits for memory, and these are least to touch.
 _Node = dict[bytes, Any]
-HERE = b""
+OWN_ROUTES = b""
 
 
 class Index:
@@ -38,25 +38,25 @@
 
     def __init__(self, zone: str, numbers: Mapping[str, int]) -> None:
         self.zone, self.numbers = zone, numbers
-        self._trees: dict[Pair, _Node] = {}
-        self._placed: dict[str, tuple[tuple[Pair, ...], list[bytes], Matched]] = {}
-        self._behind: Mapping[str, frozenset[str]] = {}
-        self._ahead: dict[str, set[str]] = {}  # the same by those that come after
+        self._trees: dict[ClassCaller, _Node] = {}
+        self._entries: dict[str, tuple[tuple[ClassCaller, ...], list[bytes], MatchedRoute]] = {}
+        self._precedes: Mapping[str, frozenset[str]] = {}
+        self._preceded_by: dict[str, set[str]] = {}  # the same by those that come after
 
     def __len__(self) -> int:
-        return len(self._placed)
+        return len(self._entries)
 
     def __contains__(self, name: str) -> bool:
-        return name in self._placed
+        return name in self._entries
 
-    def order(self, behind: Mapping[str, frozenset[str]]) -> None:
+    def set_precedence(self, behind: Mapping[str, frozenset[str]]) -> None:
         """Go by this `View.behind` from now on."""
-        if behind is self._behind:
+        if behind is self._precedes:
             return
-        self._behind, self._ahead = behind, {}
+        self._precedes, self._preceded_by = behind, {}
         for name, others in behind.items():
             for other in others:
-                self._ahead.setdefault(other, set()).add(name)
+                self._preceded_by.setdefault(other, set()).add(name)
 
     def put(self, route: RouteView) -> None:
         """Take up a route, in place of the one of its name."""
@@ -66,24 +66,24 @@
         if zones and self.zone not in zones:
             return
         number = self.numbers[route.name]
-        matched = Matched(route.name, number, None if chain is None else tuple(chain), bool(zones))
+        matched = MatchedRoute(route.name, number, None if chain is None else tuple(chain), bool(zones))
         classes, callers = _names(values.get("classes")), _names(values.get("callers"))
         pairs = tuple((klass, caller) for klass in classes for caller in callers)
-        segments = segments_of((values.get("path") or "").encode())
+        segments = path_segments((values.get("path") or "").encode())
         for pair in pairs:
             _put(self._trees.setdefault(pair, {}), segments, matched)
-        self._placed[route.name] = pairs, segments, matched
+        self._entries[route.name] = pairs, segments, matched
 
     def remove(self, name: str) -> None:
         """Forget a route; nothing where it is not there."""
-        pairs, segments, matched = self._placed.pop(name, ((), [], None))
+        pairs, segments, matched = self._entries.pop(name, ((), [], None))
         for pair in pairs:
             assert matched is not None
             _remove(self._trees[pair], segments, matched)
             if not self._trees[pair]:
                 del self._trees[pair]
 
-    def find(self, klass: bytes, caller: bytes, path: bytes) -> Matched | None:
+    def find(self, klass: bytes, caller: bytes, path: bytes) -> MatchedRoute | None:
         """The first in order of the routes that match; `path` is without its query."""
         trees, segments = self._trees, None
         for pair in ((klass, caller), (None, caller), (klass, None), (None, None)):
@@ -91,8 +91,8 @@
             if node is None:
                 continue
             if segments is None:
-                segments = segments_of(path)
-            routes = node.get(HERE)
+                segments = path_segments(path)
+            routes = node.get(OWN_ROUTES)
             for segment in segments:
                 node = node.get(segment)
                 if node is None:
@@ -100,28 +100,32 @@
                 if type(node) is list:
                     routes = node
                     break
-                routes = node.get(HERE, routes)
+                routes = node.get(OWN_ROUTES, routes)
             if routes is not None:
-                first: Matched = routes[0]
-                return first if first.name not in self._ahead else self._first(klass, caller, segments)
+                first: MatchedRoute = routes[0]
+                return (
+                    first
+                    if first.name not in self._preceded_by
+                    else self._first_in_order(klass, caller, segments)
+                )
         return None
 
-    def _first(self, klass: bytes, caller: bytes, segments: list[bytes]) -> Matched:
+    def _first_in_order(self, klass: bytes, caller: bytes, segments: list[bytes]) -> MatchedRoute:
         """The most specific of those that match and that no other of them comes before."""
-        found = list(self._all(klass, caller, segments))
+        found = list(self._all_matches(klass, caller, segments))
         names = {matched.name for matched in found}
-        free = (matched for matched in found if names.isdisjoint(self._ahead.get(matched.name, ())))
+        free = (matched for matched in found if names.isdisjoint(self._preceded_by.get(matched.name, ())))
         return next(free, found[0])  # none is free in a cycle alone, and a plan with one is not in service
 
-    def _all(self, klass: bytes, caller: bytes, segments: list[bytes]) -> Iterator[Matched]:
+    def _all_matches(self, klass: bytes, caller: bytes, segments: list[bytes]) -> Iterator[MatchedRoute]:
         """All that match, the most specific first."""
         for pair in ((klass, caller), (None, caller), (klass, None), (None, None)):
             node: Any = self._trees.get(pair)
-            way: list[list[Matched]] = []
-            for segment in (*segments, HERE):
+            way: list[list[MatchedRoute]] = []
+            for segment in (*segments, OWN_ROUTES):
                 if not isinstance(node, dict):
                     break
-                way.append(node.get(HERE, []))
+                way.append(node.get(OWN_ROUTES, []))
                 node = node.get(segment) if segment else None
             if isinstance(node, list):
                 way.append(node)
@@ -129,46 +133,46 @@
                 yield from routes
 
 
-def _put(node: _Node, segments: list[bytes], matched: Matched) -> None:
-    *above, last = segments or (HERE,)
+def _put(node: _Node, segments: list[bytes], matched: MatchedRoute) -> None:
+    *above, last = segments or (OWN_ROUTES,)
     for segment in above:
         held = node.get(segment)
         if not isinstance(held, dict):
-            held = node[segment] = {} if held is None else {HERE: held}
+            held = node[segment] = {} if held is None else {OWN_ROUTES: held}
         node = held
     routes = node.setdefault(last, [])
     if isinstance(routes, dict):
-        routes = routes.setdefault(HERE, [])
-    insort(routes, matched, key=_rank)
+        routes = routes.setdefault(OWN_ROUTES, [])
+    insort(routes, matched, key=_sort_key)
 
 
-def _remove(node: _Node, segments: list[bytes], matched: Matched) -> None:
+def _remove(node: _Node, segments: list[bytes], matched: MatchedRoute) -> None:
     """Take it out, and what holds nothing any more with it."""
     way = [node]
     for segment in segments:
         held = way[-1][segment]
         if isinstance(held, dict):
             way.append(held)
-    place = HERE if len(way) > len(segments) else segments[-1]
+    place = OWN_ROUTES if len(way) > len(segments) else segments[-1]
     routes = way[-1][place]
-    del routes[bisect_left(routes, _rank(matched), key=_rank)]
+    del routes[bisect_left(routes, _sort_key(matched), key=_sort_key)]
     if not routes:
         del way[-1][place]
     for depth in range(len(way) - 1, 0, -1):
         if not way[depth]:
             del way[depth - 1][segments[depth - 1]]
-        elif way[depth].keys() == {HERE}:
-            way[depth - 1][segments[depth - 1]] = way[depth][HERE]
+        elif way[depth].keys() == {OWN_ROUTES}:
+            way[depth - 1][segments[depth - 1]] = way[depth][OWN_ROUTES]
         else:
             break
 
 
-def _rank(matched: Matched) -> tuple[bool, str]:
+def _sort_key(matched: MatchedRoute) -> tuple[bool, str]:
     """A route's place among those of one prefix."""
-    return not matched.zoned, matched.name
+    return not matched.names_zones, matched.name
 
 
-def segments_of(path: bytes) -> list[bytes]:
+def path_segments(path: bytes) -> list[bytes]:
     """Without empty ones: as the class of a request is read from its path."""
     return [segment for segment in path.split(b"/") if segment]
 
--- a/cloverkeel/fleet/routes/interface.py
+++ b/cloverkeel/fleet/routes/interface.py
@@ -9,13 +9,13 @@
 from cloverkeel.fleet.ledger.dots import Context, Dot
 
 Severity = Literal["blocking", "held", "warning"]
-Kind = Literal[
+ConflictKind = Literal[
     "field", "delete", "overlap", "cycle", "shares", "unknown", "chain", "bad-value", "room", "absent"
 ]
 
 
 @dataclass(slots=True, frozen=True)
-class World:
+class Environment:
     """What the merge judges by beside the changes, equal at all gateways but for `groups` and `labels`. A set
     that is None is not known, and nothing is judged by it."""
 
@@ -24,13 +24,13 @@
     zones: frozenset[str] | None = None
     types: frozenset[str] | None = None
     transforms: Mapping[str, frozenset[str]] | None = None  # name to the headers that it writes, lower case
-    room: Mapping[str, int] = field(default_factory=dict)  # requests at once, by type of host
+    capacity: Mapping[str, int] = field(default_factory=dict)  # requests at once, by type of host
     groups: frozenset[str] | None = None  # of this gateway's list of hosts just now
     labels: frozenset[str] | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Decided:
+class Decision:
     """Which change gave a field its value."""
 
     dot: Dot
@@ -45,8 +45,8 @@
     name: str
     owner: str
     values: Mapping[str, Any]
-    decided: Mapping[str, Decided]
-    others: Mapping[str, Any] = field(default_factory=dict)
+    decided: Mapping[str, Decision]
+    unknown_fields: Mapping[str, Any] = field(default_factory=dict)
 
 
 @dataclass(slots=True, frozen=True)
@@ -64,7 +64,7 @@
     gateway's list of hosts, and may differ elsewhere."""
 
     id: str
-    kind: Kind
+    kind: ConflictKind
     severity: Severity
     routes: tuple[str, ...]
     field: str
@@ -75,7 +75,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Waiting:
+class WaitingEdits:
     """A change's edits of a route of another team, which wait for the owner."""
 
     dot: Dot
@@ -91,9 +91,11 @@
 
     hash: str
     routes: Mapping[str, RouteView]
-    behind: Mapping[str, frozenset[str]]  # name to all routes that it comes before, through others too
+    precedes: Mapping[str, frozenset[str]]  # name to all routes that it comes before, through others too
     conflicts: tuple[Conflict, ...]  # by id
-    waiting: tuple[Waiting, ...]
+    waiting: tuple[WaitingEdits, ...]
     held_back: tuple[Dot, ...]  # changes that are not in service, for a blocking conflict
     context: Context  # to edit under: every dot taken in
-    touched: frozenset[str] | None = None  # names of routes that differ from the view before; None: any may
+    changed_routes: frozenset[str] | None = (
+        None  # names of routes that differ from the view before; None: any may
+    )
--- a/cloverkeel/fleet/routes/merge.py
+++ b/cloverkeel/fleet/routes/merge.py
@@ -9,166 +9,166 @@
 
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.routes.changes import Change
-from cloverkeel.fleet.routes.dropping import droppable, names_of
+from cloverkeel.fleet.routes.compaction import droppable, routes_of
 from cloverkeel.fleet.routes.fields import plan_hash
-from cloverkeel.fleet.routes.interface import Conflict, RouteView, View, Waiting, World
-from cloverkeel.fleet.routes.registers import Seen, Touch, weight
-from cloverkeel.fleet.routes.whole import Whole
+from cloverkeel.fleet.routes.interface import Conflict, RouteView, View, WaitingEdits, Environment
+from cloverkeel.fleet.routes.registers import SeenDots, RouteChange, count_dots
+from cloverkeel.fleet.routes.merged_routes import MergedRoutes
 
-SLICE = 100  # small things done in one step
-TAKEN = 40  # changes taken in in one step
-EMPTY = View(plan_hash(0), {}, {}, (), (), (), Context())
+STEP_ITEMS = 100  # small things done in one step
+STEP_CHANGES = 40  # changes taken in in one step
+EMPTY_VIEW = View(plan_hash(0), {}, {}, (), (), (), Context())
 
 
 class Merge:
     """`view`: of the last `settle` that was played to its end."""
 
-    def __init__(self, world: World) -> None:
-        self.view = EMPTY
-        self._world = world
-        self._whole = Whole(world)
-        self._held: dict[Dot, Change] = {}
-        self._incoming: dict[Dot, Change] = {}
-        self._leaving: dict[Dot, None] = {}
-        self._taking: dict[Dot, Change] = {}  # what the settle under way has taken over from the two above
-        self._dropping: dict[Dot, None] = {}
-        self._seen = Seen()
-        self._seen_anew = False
-        self._new = True
+    def __init__(self, world: Environment) -> None:
+        self.view = EMPTY_VIEW
+        self._environment = world
+        self._routes = MergedRoutes(world)
+        self._changes: dict[Dot, Change] = {}
+        self._to_add: dict[Dot, Change] = {}
+        self._to_remove: dict[Dot, None] = {}
+        self._adding: dict[Dot, Change] = {}  # what the settle under way has taken over from the two above
+        self._removing: dict[Dot, None] = {}
+        self._seen = SeenDots()
+        self._rebuild_seen = False
+        self._first_settle = True
 
     def add(self, change: Change) -> None:
         """A change of the ledger, for the next `settle`. One that is held already is passed over."""
-        self._leaving.pop(change.dot, None)
-        if change.dot not in self._held or change.dot in self._dropping:
-            self._incoming[change.dot] = change
+        self._to_remove.pop(change.dot, None)
+        if change.dot not in self._changes or change.dot in self._removing:
+            self._to_add[change.dot] = change
 
     def drop(self, dot: Dot) -> None:
         """A change that was deleted from the ledger."""
-        self._incoming.pop(dot, None)
-        if dot in self._held or dot in self._taking:
-            self._leaving[dot] = None
+        self._to_add.pop(dot, None)
+        if dot in self._changes or dot in self._adding:
+            self._to_remove[dot] = None
 
-    def set_world(self, world: World) -> None:
-        self._world = world
+    def set_environment(self, world: Environment) -> None:
+        self._environment = world
 
     def settle(self) -> Iterator[None]:
         """Steps; when it is exhausted `view` is the outcome of what was added before it began. One that is
         left off is gone on with by the next."""
-        whole = self._whole
-        self._taking.update(self._incoming)
-        self._dropping.update(self._leaving)
-        self._incoming, self._leaving = {}, {}
-        whole.turn_to(self._world)
-        yield from self._let_go()
-        yield from self._take_in()
-        yield from self._put_out(())
+        whole = self._routes
+        self._adding.update(self._to_add)
+        self._removing.update(self._to_remove)
+        self._to_add, self._to_remove = {}, {}
+        whole.set_environment(self._environment)
+        yield from self._remove_changes()
+        yield from self._add_changes()
+        yield from self._set_excluded(())
         yield from whole.settle()
-        found = {each.id: each for each in whole.found.every()}
+        found = {each.id: each for each in whole.conflict_set.all()}
         yield
-        while whole.found.blocking:
-            yield from self._step_back()
+        while whole.conflict_set.blocking:
+            yield from self._exclude_blocking()
             yield from whole.settle()
-            found |= {each.id: each for each in whole.found.every()}  # what the older plan disputes, too
+            found |= {each.id: each for each in whole.conflict_set.all()}  # what the older plan disputes, too
             yield
         conflicts = tuple(found[id] for id in sorted(found))
-        yield from self._show(conflicts, tuple(self._waiting()))
+        yield from self._publish_view(conflicts, tuple(self._all_waiting()))
 
     def droppable(self) -> list[Dot]:
         """Changes that may be deleted from the ledger; without them the view is the same."""
-        if self._whole.out or self._incoming or self._taking or self._leaving or self._dropping:
+        if self._routes.excluded or self._to_add or self._adding or self._to_remove or self._removing:
             return []
-        return droppable(self._whole, self._held)
-
-    def _take_in(self) -> Iterator[None]:
-        for at, change in enumerate(list(self._taking.values())):
-            if change.dot not in self._held:
-                for looked, (name, touch) in enumerate(_touches(change)):
-                    self._whole.touch(name, touch)
-                    if looked % SLICE == SLICE - 1:
+        return droppable(self._routes, self._changes)
+
+    def _add_changes(self) -> Iterator[None]:
+        for at, change in enumerate(list(self._adding.values())):
+            if change.dot not in self._changes:
+                for looked, (name, touch) in enumerate(_route_changes(change)):
+                    self._routes.add_change(name, touch)
+                    if looked % STEP_ITEMS == STEP_ITEMS - 1:
                         yield
-                self._seen.take(change.dot, change.context)
-                self._held[change.dot] = change
-            del self._taking[change.dot]
-            if at % TAKEN == TAKEN - 1:
+                self._seen.add(change.dot, change.context)
+                self._changes[change.dot] = change
+            del self._adding[change.dot]
+            if at % STEP_CHANGES == STEP_CHANGES - 1:
                 yield
 
-    def _let_go(self) -> Iterator[None]:
-        for dot in list(self._dropping):
-            if (change := self._held.get(dot) or self._taking.get(dot)) is not None:
-                for looked, (name, _) in enumerate(_touches(change)):
-                    self._whole.leave(name, dot)
-                    if looked % SLICE == SLICE - 1:
+    def _remove_changes(self) -> Iterator[None]:
+        for dot in list(self._removing):
+            if (change := self._changes.get(dot) or self._adding.get(dot)) is not None:
+                for looked, (name, _) in enumerate(_route_changes(change)):
+                    self._routes.remove_change(name, dot)
+                    if looked % STEP_ITEMS == STEP_ITEMS - 1:
                         yield
-                self._seen_anew = True
-                self._held.pop(dot, None)
-                self._taking.pop(dot, None)
-            self._whole.out.discard(dot)
-            del self._dropping[dot]
-        if self._seen_anew:
-            seen = Seen()
-            for at, change in enumerate(list(self._held.values())):
-                seen.take(change.dot, change.context)
-                if at % SLICE == SLICE - 1:
+                self._rebuild_seen = True
+                self._changes.pop(dot, None)
+                self._adding.pop(dot, None)
+            self._routes.excluded.discard(dot)
+            del self._removing[dot]
+        if self._rebuild_seen:
+            seen = SeenDots()
+            for at, change in enumerate(list(self._changes.values())):
+                seen.add(change.dot, change.context)
+                if at % STEP_ITEMS == STEP_ITEMS - 1:
                     yield
-            self._seen, self._seen_anew = seen, False
+            self._seen, self._rebuild_seen = seen, False
 
-    def _put_out(self, dots: Iterable[Dot]) -> Iterator[None]:
+    def _set_excluded(self, dots: Iterable[Dot]) -> Iterator[None]:
         """Have these and no others taken out."""
         new = set(dots)
-        for dot in sorted(new ^ self._whole.out):
-            self._whole.again(names_of(self._held[dot]))
+        for dot in sorted(new ^ self._routes.excluded):
+            self._routes.invalidate(routes_of(self._changes[dot]))
             yield
-        self._whole.out = new
+        self._routes.excluded = new
 
-    def _step_back(self) -> Iterator[None]:
+    def _exclude_blocking(self) -> Iterator[None]:
         """Take out the newest of the changes that touched what is in a blocking conflict, and what rests on
         them: a later change of one of their routes would leave half a route in service."""
         newest: set[Dot] = set()
-        for conflict in list(self._whole.found.blocking.values()):
-            newest.update(touch.dot for touch in self._whole.newest_of(conflict.routes))
+        for conflict in list(self._routes.conflict_set.blocking.values()):
+            newest.update(touch.dot for touch in self._routes.newest_changes(conflict.routes))
             yield
         if not newest:
             raise AssertionError("a blocking conflict of no change")
         todo = sorted(newest)
         while todo:
             dot = todo.pop()
-            for name in names_of(self._held[dot]):
-                for touch in self._whole.rising(name):
+            for name in routes_of(self._changes[dot]):
+                for touch in self._routes.active_changes(name):
                     if touch.dot not in newest and touch.context.covers(dot):
                         newest.add(touch.dot)
                         todo.append(touch.dot)
                 yield
-        yield from self._put_out(self._whole.out | newest)
+        yield from self._set_excluded(self._routes.excluded | newest)
 
-    def _waiting(self) -> Iterator[Waiting]:
-        for name in sorted(self._whole.waiting):
-            yield from self._whole.waiting[name]
+    def _all_waiting(self) -> Iterator[WaitingEdits]:
+        for name in sorted(self._routes.waiting):
+            yield from self._routes.waiting[name]
 
-    def _show(self, found: tuple[Conflict, ...], waiting: tuple[Waiting, ...]) -> Iterator[None]:
-        whole, old = self._whole, self.view
+    def _publish_view(self, found: tuple[Conflict, ...], waiting: tuple[WaitingEdits, ...]) -> Iterator[None]:
+        whole, old = self._routes, self.view
         touched: set[str] = set()
         for at, name in enumerate(whole.changed):
-            if not self._new and whole.views.get(name) != old.routes.get(name):
+            if not self._first_settle and whole.views.get(name) != old.routes.get(name):
                 touched.add(name)
-            if at % SLICE == SLICE - 1:
+            if at % STEP_ITEMS == STEP_ITEMS - 1:
                 yield
         routes: dict[str, RouteView] = dict(whole.views)
         yield
         self.view = View(
-            plan_hash(whole.total),
+            plan_hash(whole.hash_sum),
             routes,
-            dict(whole.order.behind),
+            dict(whole.order.precedes),
             found,
             waiting,
-            tuple(sorted(whole.out)),
+            tuple(sorted(whole.excluded)),
             self._seen.context(),
-            None if self._new else frozenset(touched),
+            None if self._first_settle else frozenset(touched),
         )
         whole.changed.clear()
-        self._new = False
+        self._first_settle = False
 
 
-def merged(changes: Iterable[Change], world: World) -> View:
+def merge_all(changes: Iterable[Change], world: Environment) -> View:
     """The same from nothing."""
     merge = Merge(world)
     for change in changes:
@@ -178,15 +178,18 @@
     return merge.view
 
 
-def _touches(change: Change) -> list[tuple[str, Touch]]:
-    fields: dict[str, dict[str, object]] = {name: {} for name in names_of(change)}
+def _route_changes(change: Change) -> list[tuple[str, RouteChange]]:
+    fields: dict[str, dict[str, object]] = {name: {} for name in routes_of(change)}
     accepts: dict[str, tuple[Dot, ...]] = {}
     for edit in change.edits:
         fields[edit.route][edit.field] = edit.value
     for each in change.accepts:
         accepts[each.route] = (*accepts.get(each.route, ()), each.dot)
-    heavy = weight(change.context)
+    heavy = count_dots(change.context)
     return [
-        (name, Touch(change.dot, change.context, heavy, change.team, fields[name], accepts.get(name, ())))
+        (
+            name,
+            RouteChange(change.dot, change.context, heavy, change.team, fields[name], accepts.get(name, ())),
+        )
         for name in fields
     ]
--- /dev/null
+++ b/cloverkeel/fleet/routes/merged_routes.py
@@ -0,0 +1,236 @@
+"""All routes as merged from the changes held, without those taken out, and what is wrong between them.
+
+Kept under edits: what a change touches is worked out anew, and no more. The outcome is a function of the
+changes, of those taken out, and of the world.
+"""
+
+from __future__ import annotations
+
+from bisect import bisect_left, insort
+from collections.abc import Iterable, Iterator
+from dataclasses import replace
+
+from cloverkeel.fleet.ledger.dots import Dot
+from cloverkeel.fleet.routes import conflicts
+from cloverkeel.fleet.routes.fields import UNITS_PER_PERCENT
+from cloverkeel.fleet.routes.interface import Conflict, RouteView, WaitingEdits, Environment
+from cloverkeel.fleet.routes.order import RouteOrder
+from cloverkeel.fleet.routes.overlaps import Overlaps, match_rule
+from cloverkeel.fleet.routes.owners import classify
+from cloverkeel.fleet.routes.registers import RouteChange, newest, causal_key
+from cloverkeel.fleet.routes.route_merge import EMPTY_ROUTE, MergedRoute, merge_route
+
+HASH_MODULUS = 2**128
+STEP_ROUTES = 8  # routes resolved in one step
+STEP_CONFLICTS = 100  # conflicts looked at in one step
+Cause = tuple[str, ...]  # what a conflict is kept under: its route, pair or cycle
+
+
+class ConflictSet:
+    """The conflicts there are, by cause, and in the order of their ids."""
+
+    def __init__(self) -> None:
+        self.blocking: dict[str, Conflict] = {}
+        self._by_cause: dict[Cause, tuple[Conflict, ...]] = {}
+        self._by_id: dict[str, Conflict] = {}
+        self._ids: list[str] = []
+
+    def put(self, cause: Cause, found: Iterable[Conflict] = ()) -> None:
+        for each in self._by_cause.pop(cause, ()):
+            del self._by_id[each.id], self._ids[bisect_left(self._ids, each.id)]
+            self.blocking.pop(each.id, None)
+        if new := tuple(found):
+            self._by_cause[cause] = new
+        for each in new:
+            self._by_id[each.id] = each
+            insort(self._ids, each.id)
+            if each.severity == "blocking":
+                self.blocking[each.id] = each
+
+    def all(self) -> tuple[Conflict, ...]:
+        return tuple(map(self._by_id.__getitem__, self._ids))
+
+
+class MergedRoutes:
+    """`views`: the routes; `total`: the sum of their hashes; `changed`: names whose view is another since the
+    caller cleared it."""
+
+    def __init__(self, world: Environment) -> None:
+        self.conflict_set = ConflictSet()
+        self.views: dict[str, RouteView] = {}
+        self.hash_sum = 0
+        self.changed: dict[str, None] = {}
+        self.waiting: dict[str, tuple[WaitingEdits, ...]] = {}
+        self.excluded: set[Dot] = set()
+        self.environment = world
+        self.order = RouteOrder()
+        self.many_changes: dict[str, None] = {}  # routes that over two changes touch
+        self._route_changes: dict[str, list[RouteChange]] = {}
+        self._merged: dict[str, MergedRoute] = {}
+        self._overlaps = Overlaps(self.order)
+        self._dirty: dict[str, None] = {}
+        self._cycles: dict[str, tuple[str, ...]] = {}
+        self._cycles_dirty = False
+        self._limits: dict[tuple[str, str], dict[str, int]] = {}  # owner and type, to the parts of its routes
+        self._list_dependent: dict[str, None] = {}  # routes whose targets name groups or labels
+        self._list_dirty: dict[str, None] = {}  # those to be held against the list anew
+        self._capacity_dirty: dict[tuple[str, str], None] = {}  # whose conflict is to be worked out
+
+    def add_change(self, name: str, touch: RouteChange) -> None:
+        held = self._route_changes.setdefault(name, [])
+        at = bisect_left(held, causal_key(touch), key=causal_key)
+        if at == len(held) or held[at].dot != touch.dot:
+            held.insert(at, touch)
+            self._dirty[name] = None
+            if len(held) > 2:
+                self.many_changes[name] = None
+
+    def remove_change(self, name: str, dot: Dot) -> None:
+        held = [each for each in self._route_changes.get(name, ()) if each.dot != dot]
+        self._dirty[name] = None
+        if len(held) <= 2:
+            self.many_changes.pop(name, None)
+        if held:
+            self._route_changes[name] = held
+        else:
+            self._route_changes.pop(name, None)
+
+    def invalidate(self, names: Iterable[str]) -> None:
+        """Work these routes out anew."""
+        self._dirty.update(dict.fromkeys(names))
+
+    def set_environment(self, world: Environment) -> None:
+        """Judge by another world: all routes anew, or those alone that name groups and labels of the list."""
+        old, self.environment = self.environment, world
+        if replace(old, groups=None, labels=None) != replace(world, groups=None, labels=None):
+            self.invalidate(self._route_changes)
+            self._capacity_dirty.update(dict.fromkeys(self._limits))
+        if (old.groups, old.labels) != (world.groups, world.labels):
+            self._list_dirty.update(self._list_dependent)
+
+    def active_changes(self, name: str) -> list[RouteChange]:
+        """What touches a route and is not taken out, by `registers.order`."""
+        held = self._route_changes.get(name, [])
+        return [touch for touch in held if touch.dot not in self.excluded] if self.excluded else held
+
+    def merged(self, name: str) -> MergedRoute:
+        return self._merged.get(name, EMPTY_ROUTE)
+
+    def settle(self) -> Iterator[None]:
+        """Steps. Left off, it goes on with the next call."""
+        for at, name in enumerate(list(self._dirty)):
+            rising = self.active_changes(name)
+            self._store(name, merge_route(name, rising, self.environment) if rising else EMPTY_ROUTE)
+            del self._dirty[name]
+            if at % STEP_ROUTES == STEP_ROUTES - 1 or len(rising) > STEP_ROUTES:
+                yield
+        yield from self.order.settle()
+        self._overlaps.invalidate(self.order.changed)
+        self.order.changed.clear()
+        yield from self._overlaps.settle()
+        for at, pair in enumerate(list(self._overlaps.changed)):
+            self._update_overlap(*pair)
+            del self._overlaps.changed[pair]
+            if at % STEP_CONFLICTS == STEP_CONFLICTS - 1:
+                yield
+        for at, name in enumerate(list(self._list_dirty)):
+            view = self.views.get(name)
+            none = None if view is None else conflicts.absent_conflict(view, self.environment)
+            self.conflict_set.put(("absent", "", name), () if none is None else (none,))
+            del self._list_dirty[name]
+            if at % STEP_CONFLICTS == STEP_CONFLICTS - 1:
+                yield
+        self._settle_cycles()
+        for (
+            crowd
+        ) in self._capacity_dirty:  # all first: a route that went to another owner has one id with both
+            self.conflict_set.put(("room", "", *crowd))
+        for crowd in self._capacity_dirty:
+            self._update_capacity(*crowd)
+        self._capacity_dirty.clear()
+
+    def newest_changes(self, names: Iterable[str]) -> list[RouteChange]:
+        """Of the changes that count or accept on these routes, those that no other of them had seen."""
+        touches: dict[Dot, RouteChange] = {}
+        for name in names:
+            held = classify(rising := self.active_changes(name))
+            moving = {touch.dot for touch in (*held.counted, *held.accepts)}
+            touches.update((touch.dot, touch) for touch in rising if touch.dot in moving)
+        return newest(sorted(touches.values(), key=causal_key))
+
+    def _store(self, name: str, new: MergedRoute) -> None:
+        old = self.merged(name)
+        if old == new:
+            return
+        if new is EMPTY_ROUTE:
+            self._merged.pop(name, None)
+        else:
+            self._merged[name] = new
+        if new.waiting:
+            self.waiting[name] = new.waiting
+        else:
+            self.waiting.pop(name, None)
+        if new.conflicts or old.conflicts:
+            self.conflict_set.put((name,), new.conflicts)
+        if old.view == new.view:
+            return
+        self.changed[name] = None
+        self.hash_sum = (self.hash_sum - old.hash + new.hash) % HASH_MODULUS
+        if old.view is not None:
+            self._remove_limits(old.view)
+        self._list_dirty[name] = None
+        if new.view is None:
+            del self.views[name]
+            self._list_dependent.pop(name, None)
+            self._overlaps.put(name, None)
+            self.order.put(name, None)
+            return
+        self.views[name] = new.view
+        self._add_limits(new.view)
+        self._overlaps.put(name, match_rule(new.view))
+        self.order.put(name, new.view.values.get("before", ()))
+        for other in self._overlaps.pairs.get(name, ()):
+            self._overlaps.changed[(name, other) if name < other else (other, name)] = None
+        self._cycles_dirty |= name in self._cycles
+        if any("groups" in target or "labels" in target for target in new.view.values.get("targets", ())):
+            self._list_dependent[name] = None
+        else:
+            self._list_dependent.pop(name, None)
+
+    def _update_overlap(self, a: str, b: str) -> None:
+        if b in self._overlaps.pairs.get(a, ()):
+            self.conflict_set.put((a, b), (conflicts.overlap_conflict(self.views[a], self.views[b]),))
+        else:
+            self.conflict_set.put((a, b))
+
+    def _settle_cycles(self) -> None:
+        if self.order.cycles == self._cycles and not self._cycles_dirty:
+            return
+        for old in set(self._cycles.values()):
+            self.conflict_set.put(("cycle", "", *old))
+        for cycle in set(self.order.cycles.values()):
+            found = conflicts.cycle_conflict([self.views[name] for name in cycle])
+            self.conflict_set.put(("cycle", "", *cycle), (found,))
+        self._cycles, self._cycles_dirty = dict(self.order.cycles), False
+
+    def _remove_limits(self, view: RouteView) -> None:
+        for kind, _ in conflicts.limits_by_type(view):
+            self._limits[view.owner, kind].pop(view.name, None)
+            self._capacity_dirty[view.owner, kind] = None
+
+    def _add_limits(self, view: RouteView) -> None:
+        for kind, part in conflicts.limits_by_type(view):
+            parts = self._limits.setdefault((view.owner, kind), {})
+            parts[view.name] = parts.get(view.name, 0) + part
+            self._capacity_dirty[view.owner, kind] = None
+
+    def _update_capacity(self, owner: str, kind: str) -> None:
+        parts = self._limits[owner, kind]
+        most = self.environment.capacity.get(kind)
+        over = most is not None and sum(parts.values()) > most * 100 * UNITS_PER_PERCENT
+        found = (
+            (conflicts.capacity_conflict(owner, kind, parts, most, self.views),)
+            if over and most is not None
+            else ()
+        )
+        self.conflict_set.put(("room", "", owner, kind), found)
--- a/cloverkeel/fleet/routes/order.py
+++ b/cloverkeel/fleet/routes/order.py
@@ -7,18 +7,18 @@
 
 from collections.abc import Iterator, Sequence
 
-SLICE = 100  # routes of one step
+STEP_ROUTES = 100  # routes of one step
 
 
-class Order:
+class RouteOrder:
     """`behind`: name to all routes that it comes before; where there are none, it has no entry."""
 
     def __init__(self) -> None:
-        self.behind: dict[str, frozenset[str]] = {}
+        self.precedes: dict[str, frozenset[str]] = {}
         self.cycles: dict[str, tuple[str, ...]] = {}  # each route of a cycle to all of its routes
         self.changed: dict[str, None] = {}  # routes whose `behind` is another since the caller cleared this
         self._before: dict[str, Sequence[str]] = {}  # of the routes that there are
-        self._into: dict[str, dict[str, None]] = {}  # name to the routes that name it
+        self._named_by: dict[str, dict[str, None]] = {}  # name to the routes that name it
         self._dirty: dict[str, None] = {}
 
     def put(self, name: str, before: Sequence[str] | None) -> None:
@@ -27,16 +27,16 @@
         if old == before:
             return
         for other in old or ():
-            self._into[other].pop(name, None)
-            if not self._into[other]:
-                del self._into[other]
+            self._named_by[other].pop(name, None)
+            if not self._named_by[other]:
+                del self._named_by[other]
         if before is None:
             del self._before[name]
         else:
             self._before[name] = before
         for other in before or ():
-            self._into.setdefault(other, {})[name] = None
-        if old or before or name in self._into:
+            self._named_by.setdefault(other, {})[name] = None
+        if old or before or name in self._named_by:
             self._dirty[name] = None
 
     def settle(self) -> Iterator[None]:
@@ -46,38 +46,38 @@
         reached = list(self._dirty)
         affected = dict(self._dirty)
         for at, name in enumerate(reached):
-            for source in self._into.get(name, ()):
+            for source in self._named_by.get(name, ()):
                 if source not in affected:
                     affected[source] = None
                     reached.append(source)
-            if at % SLICE == SLICE - 1:
+            if at % STEP_ROUTES == STEP_ROUTES - 1:
                 yield
         left = dict(affected)
         for at, name in enumerate(affected):
             closure = self._closure(name, left)
             del left[name]
-            if closure != self.behind.get(name, frozenset()):
+            if closure != self.precedes.get(name, frozenset()):
                 self.changed[name] = None
                 if closure:
-                    self.behind[name] = closure
+                    self.precedes[name] = closure
                 else:
-                    del self.behind[name]
-            if at % SLICE == SLICE - 1:
+                    del self.precedes[name]
+            if at % STEP_ROUTES == STEP_ROUTES - 1:
                 yield
         for at, name in enumerate(affected):
-            if at % SLICE == SLICE - 1:
+            if at % STEP_ROUTES == STEP_ROUTES - 1:
                 yield
-            if name in self.behind.get(name, ()):
+            if name in self.precedes.get(name, ()):
                 self.cycles[name] = tuple(
-                    sorted(other for other in self.behind[name] if name in self.behind.get(other, ()))
+                    sorted(other for other in self.precedes[name] if name in self.precedes.get(other, ()))
                 )
             else:
                 self.cycles.pop(name, None)
         self._dirty.clear()
 
-    def between(self, a: str, b: str) -> bool:
+    def are_ordered(self, a: str, b: str) -> bool:
         """Whether one of them is before the other."""
-        return b in self.behind.get(a, ()) or a in self.behind.get(b, ())
+        return b in self.precedes.get(a, ()) or a in self.precedes.get(b, ())
 
     def _closure(self, name: str, left: dict[str, None]) -> frozenset[str]:
         """What `name` comes before; the closures of routes in `left` are not known yet."""
@@ -91,5 +91,5 @@
             if other in left:
                 todo += self._before[other]
             else:
-                found |= self.behind.get(other, frozenset())
+                found |= self.precedes.get(other, frozenset())
         return frozenset(found)
--- a/cloverkeel/fleet/routes/overlaps.py
+++ b/cloverkeel/fleet/routes/overlaps.py
@@ -11,16 +11,16 @@
 from itertools import product
 
 from cloverkeel.fleet.routes.interface import RouteView
-from cloverkeel.fleet.routes.order import Order
+from cloverkeel.fleet.routes.order import RouteOrder
 
 ANY, ALL, WIDE = "", "\x00all", "\x00wide"  # names are printable and not empty, so that these are none
-WIDE_FROM = 64  # pairs of class and caller: a route with more is held once, and judged at each look-up
-SLICE = 200  # routes looked at in one step
-Key = tuple[str, str, str]
+WIDE_MIN_PAIRS = 64  # pairs of class and caller: a route with more is held once, and judged at each look-up
+STEP_ROUTES = 200  # routes looked at in one step
+BucketKey = tuple[str, str, str]
 
 
 @dataclass(slots=True, frozen=True)
-class Match:
+class MatchRule:
     """Which requests a route matches, and whose it is. Empty sets: any. `paths`: its path's prefixes, with
     itself last; the first is that of any path."""
 
@@ -30,7 +30,7 @@
     zones: frozenset[str]
     paths: tuple[str, ...]
 
-    def clashes(self, other: Match) -> bool:
+    def may_overlap(self, other: MatchRule) -> bool:
         """Whether they are of two teams and both match some request, but for what their paths say."""
         return (
             self.owner != other.owner
@@ -40,56 +40,56 @@
         )
 
 
-def match_of(view: RouteView) -> Match:
+def match_rule(view: RouteView) -> MatchRule:
     values = view.values
     paths = [""]
     for segment in values.get("path", "").split("/")[1:]:
         paths.append(f"{paths[-1]}/{segment}")
     classes, callers, zones = (frozenset(values.get(name, ())) for name in ("classes", "callers", "zones"))
-    return Match(view.owner, classes, callers, zones, tuple(paths))
+    return MatchRule(view.owner, classes, callers, zones, tuple(paths))
 
 
 @dataclass(slots=True)
 class _Node:
     count: int = 0  # routes here and below
     names: dict[str, None] = field(default_factory=dict)
-    below: dict[str, _Node] = field(default_factory=dict)  # by path
+    children: dict[str, _Node] = field(default_factory=dict)  # by path
 
 
 class Overlaps:
     """`pairs`: each route to those that it overlaps with no order between them."""
 
-    def __init__(self, order: Order) -> None:
+    def __init__(self, order: RouteOrder) -> None:
         self.pairs: dict[str, set[str]] = {}
         self.changed: dict[
             tuple[str, str], None
         ] = {}  # pairs that came or went, until the caller clears this
         self._order = order
-        self._matches: dict[str, Match] = {}
-        self._at: dict[Key, dict[str, None]] = {}
+        self._rules: dict[str, MatchRule] = {}
+        self._buckets: dict[BucketKey, dict[str, None]] = {}
         self._root = _Node()
         self._dirty: dict[str, None] = {}
 
-    def put(self, name: str, match: Match | None) -> None:
+    def put(self, name: str, match: MatchRule | None) -> None:
         """None: there is no such route."""
-        old = self._matches.get(name)
+        old = self._rules.get(name)
         if old == match:
             return
         self._dirty[name] = None
         if old is not None:
-            for key in _keys(old):
-                del self._at[key][name]
-                if not self._at[key]:
-                    del self._at[key]
-            self._walk(old, name, -1)
-            del self._matches[name]
+            for key in _bucket_keys(old):
+                del self._buckets[key][name]
+                if not self._buckets[key]:
+                    del self._buckets[key]
+            self._update_tree(old, name, -1)
+            del self._rules[name]
         if match is not None:
-            for key in _keys(match):
-                self._at.setdefault(key, {})[name] = None
-            self._walk(match, name, 1)
-            self._matches[name] = match
+            for key in _bucket_keys(match):
+                self._buckets.setdefault(key, {})[name] = None
+            self._update_tree(match, name, 1)
+            self._rules[name] = match
 
-    def again(self, names: dict[str, None]) -> None:
+    def invalidate(self, names: dict[str, None]) -> None:
         """Their order to others may be another."""
         self._dirty.update(names)
 
@@ -97,44 +97,44 @@
         """Steps. Left off, it goes on with the next call."""
         cost = 0
         for at, name in enumerate(list(self._dirty)):
-            cost += self._below(self._matches[name]) if name in self._matches else 0
-            if at % SLICE == SLICE - 1:
+            cost += self._count_below(self._rules[name]) if name in self._rules else 0
+            if at % STEP_ROUTES == STEP_ROUTES - 1:
                 yield
-        if cost > 4 * len(self._matches) and len(self._dirty) > 1:
-            yield from self._all()
+        if cost > 4 * len(self._rules) and len(self._dirty) > 1:
+            yield from self._find_all()
             return
         for name in list(self._dirty):
             found: set[str] = set()
-            if (match := self._matches.get(name)) is not None:
+            if (match := self._rules.get(name)) is not None:
                 for at, other in enumerate(self._candidates(match)):
-                    if match.clashes(self._matches[other]) and not self._order.between(name, other):
+                    if match.may_overlap(self._rules[other]) and not self._order.are_ordered(name, other):
                         found.add(other)
-                    if at % SLICE == SLICE - 1:
+                    if at % STEP_ROUTES == STEP_ROUTES - 1:
                         yield
-            self._replace(name, found)
+            self._set_pairs(name, found)
             del self._dirty[name]
             yield
 
-    def _all(self) -> Iterator[None]:
+    def _find_all(self) -> Iterator[None]:
         """All pairs, each found from the longer path; cheaper than a look below each of many short ones."""
         pairs: dict[str, set[str]] = {}
         looked = 0
-        for name, match in self._matches.items():
-            for other in self._above(match):
-                if match.clashes(self._matches[other]) and not self._order.between(name, other):
+        for name, match in self._rules.items():
+            for other in self._at_prefixes(match):
+                if match.may_overlap(self._rules[other]) and not self._order.are_ordered(name, other):
                     pairs.setdefault(name, set()).add(other)
                     pairs.setdefault(other, set()).add(name)
-                if (looked := looked + 1) % SLICE == 0:
+                if (looked := looked + 1) % STEP_ROUTES == 0:
                     yield
-            if (looked := looked + 4) % SLICE < 4:
+            if (looked := looked + 4) % STEP_ROUTES < 4:
                 yield
         for at, name in enumerate({**self.pairs, **pairs}):
-            self._replace(name, pairs.get(name, set()))
-            if at % SLICE == SLICE - 1:
+            self._set_pairs(name, pairs.get(name, set()))
+            if at % STEP_ROUTES == STEP_ROUTES - 1:
                 yield
         self._dirty.clear()
 
-    def _replace(self, name: str, found: set[str]) -> None:
+    def _set_pairs(self, name: str, found: set[str]) -> None:
         old = self.pairs.get(name, set())
         for other in sorted(old ^ found):
             self.changed[(name, other) if name < other else (other, name)] = None
@@ -150,35 +150,35 @@
         else:
             self.pairs.pop(name, None)
 
-    def _candidates(self, match: Match) -> Iterator[str]:
-        yield from self._above(match)
+    def _candidates(self, match: MatchRule) -> Iterator[str]:
+        yield from self._at_prefixes(match)
         node: _Node | None = self._root
         for path in match.paths[1:]:
-            node = node.below.get(path) if node is not None else None
-        todo = list(node.below.values()) if node is not None else []
+            node = node.children.get(path) if node is not None else None
+        todo = list(node.children.values()) if node is not None else []
         while todo:
             node = todo.pop()
             yield from node.names
-            todo += node.below.values()
+            todo += node.children.values()
 
-    def _above(self, match: Match) -> Iterator[str]:
+    def _at_prefixes(self, match: MatchRule) -> Iterator[str]:
         """Those that may match the same class and caller, by a path that is a prefix of this, or this."""
-        pairs = _looked(match)
+        pairs = _lookup_pairs(match)
         for path in match.paths:
             for klass, caller in pairs:
-                if (names := self._at.get((klass, caller, path))) is not None:
+                if (names := self._buckets.get((klass, caller, path))) is not None:
                     yield from names
 
-    def _below(self, match: Match) -> int:
+    def _count_below(self, match: MatchRule) -> int:
         node = self._root
         for path in match.paths[1:]:
-            node = node.below[path]
+            node = node.children[path]
         return node.count
 
-    def _walk(self, match: Match, name: str, change: int) -> None:
+    def _update_tree(self, match: MatchRule, name: str, change: int) -> None:
         nodes = [self._root]
         for path in match.paths[1:]:
-            nodes.append(nodes[-1].below.setdefault(path, _Node()))
+            nodes.append(nodes[-1].children.setdefault(path, _Node()))
         for node in nodes:
             node.count += change
         if change > 0:
@@ -186,25 +186,25 @@
             return
         del nodes[-1].names[name]
         for node, path in zip(reversed(nodes[:-1]), reversed(match.paths), strict=False):
-            if node.below[path].count:
+            if node.children[path].count:
                 break
-            del node.below[path]
+            del node.children[path]
 
 
-def _wide(match: Match) -> bool:
-    return (len(match.classes) or 1) * (len(match.callers) or 1) > WIDE_FROM
+def _is_wide(match: MatchRule) -> bool:
+    return (len(match.classes) or 1) * (len(match.callers) or 1) > WIDE_MIN_PAIRS
 
 
-def _keys(match: Match) -> list[Key]:
+def _bucket_keys(match: MatchRule) -> list[BucketKey]:
     path = match.paths[-1]
-    if _wide(match):
+    if _is_wide(match):
         return [(WIDE, WIDE, path), (ALL, ALL, path)]
     pairs = product((*(match.classes or (ANY,)), ALL), (*(match.callers or (ANY,)), ALL))
     return [(klass, caller, path) for klass, caller in pairs]
 
 
-def _looked(match: Match) -> list[tuple[str, str]]:
-    if _wide(match):
+def _lookup_pairs(match: MatchRule) -> list[tuple[str, str]]:
+    if _is_wide(match):
         return [(ALL, ALL)]
     classes = (*match.classes, ANY) if match.classes else (ALL,)
     callers = (*match.callers, ANY) if match.callers else (ALL,)
--- a/cloverkeel/fleet/routes/part.py
+++ b/cloverkeel/fleet/routes/part.py
@@ -19,26 +19,26 @@
 from cloverkeel.fleet.ledger.interface import Acknowledged, Level
 from cloverkeel.fleet.ledger.part import LedgerPart
 from cloverkeel.fleet.ledger.shell import WriteRefused
-from cloverkeel.fleet.ledger.reader import peek
+from cloverkeel.fleet.ledger.reader import read_payloads
 from cloverkeel.fleet.routes import files
 from cloverkeel.fleet.routes.changes import KIND, Accept, Edit, key_of
-from cloverkeel.fleet.routes.interface import View, World
+from cloverkeel.fleet.routes.interface import View, Environment
 from cloverkeel.fleet.routes.merge import Merge
-from cloverkeel.fleet.routes.resolving import How, dot_of, edits_of, faults
+from cloverkeel.fleet.routes.resolution import Resolution, parse_change_name, resolution_edits, edit_faults
 from cloverkeel.fleet.routes.settings import RoutesSettings
-from cloverkeel.fleet.routes.shell import Routes, before, in_slices
-from cloverkeel.fleet.routes.status import notes, pieces, what_became
-from cloverkeel.fleet.routes.world import Worlds
+from cloverkeel.fleet.routes.shell import RoutesService, preload, run_in_slices
+from cloverkeel.fleet.routes.status import file_notes, json_pieces, change_outcome
+from cloverkeel.fleet.routes.environment import GatewayEnvironment
 from cloverkeel.operator import Answer
 
 if TYPE_CHECKING:
     from cloverkeel.gateway import Gateway
     from cloverkeel.transforms.activation.parts import TransformParts
 
-FIRST_S = 1.0
-TOML = (b"Content-Type", b"application/toml")
-PIECES = 64  # of an answer, between turns of the loop
-Made = tuple[str, tuple[Edit, ...], tuple[Accept, ...], Context]  # team, edits, acceptances, context
+FIRST_PLAN_WAIT_S = 1.0
+TOML_CONTENT_TYPE = (b"Content-Type", b"application/toml")
+PIECES_PER_TURN = 64  # of an answer, between turns of the loop
+ChangeContent = tuple[str, tuple[Edit, ...], tuple[Accept, ...], Context]  # team, edits, acceptances, context
 
 
 class RoutesPart:
@@ -53,37 +53,37 @@
         serve: Callable[[View], None],
     ) -> None:
         self.settings, self.gateway, self.ledger, self.serve = settings, gateway, ledger, serve
-        self.worlds = Worlds(gateway, settings.room, transforms)
-        self.routes: Routes | None = None
-        self.beginning: asyncio.Task[None] | None = None
-        self.first: asyncio.Task[None] | None = None  # of the tasks, that which has the first plan
+        self.environment_source = GatewayEnvironment(gateway, settings.room, transforms)
+        self.routes: RoutesService | None = None
+        self.start_task: asyncio.Task[None] | None = None
+        self.first_plan_task: asyncio.Task[None] | None = None  # of the tasks, that which has the first plan
 
     async def start(self, take_over: bool) -> None:
         """Takes part once the ledger does. The first plan is waited for up to FIRST_S, so that the first
         clients find it: in an upgrade (`take_over`), where the process before holds the ledger until it ends,
         the plan of what its file has now."""
         loop = asyncio.get_running_loop()
-        self.beginning = loop.create_task(self._begin())
-        self.first = loop.create_task(self._before()) if take_over else self.beginning
-        await asyncio.wait([self.first], timeout=FIRST_S)
+        self.start_task = loop.create_task(self._start_merging())
+        self.first_plan_task = loop.create_task(self._preload_plan()) if take_over else self.start_task
+        await asyncio.wait([self.first_plan_task], timeout=FIRST_PLAN_WAIT_S)
 
-    async def _before(self) -> None:
-        held = await asyncio.to_thread(peek, self.ledger.keeper.directory, KIND)
+    async def _preload_plan(self) -> None:
+        held = await asyncio.to_thread(read_payloads, self.ledger.keeper.directory, KIND)
         # What is published is in the ledger, too: nothing is judged by it meanwhile.
-        world = await Worlds(self.gateway, self.settings.room).changed()
-        merge = Merge(world or World())
-        await in_slices(before(merge, held))
+        world = await GatewayEnvironment(self.gateway, self.settings.room).poll_changed()
+        merge = Merge(world or Environment())
+        await run_in_slices(preload(merge, held))
         if self.routes is None or self.routes.view is None:
             self.serve(merge.view)
 
-    async def _begin(self) -> None:
+    async def _start_merging(self) -> None:
         ledger = await self.ledger.ready()
-        self.routes = Routes(ledger, self.worlds, lambda: Merge(World()), self.serve)
+        self.routes = RoutesService(ledger, self.environment_source, lambda: Merge(Environment()), self.serve)
         self.routes.start()
-        await self.routes.merged.wait()
+        await self.routes.merge_done.wait()
 
     def close(self) -> None:
-        for task in (self.beginning, self.first):
+        for task in (self.start_task, self.first_plan_task):
             if task is not None:
                 task.cancel()
         if self.routes is not None:
@@ -105,7 +105,7 @@
             "routes_waiting": len(view.waiting),
             "routes_held_back": len(view.held_back),
             "routes_merge_us": routes.merge_us,
-            "routes_slice_most_us": routes.slice_us,
+            "routes_slice_most_us": routes.longest_slice_us,
         }
 
     # Operators' calls.
@@ -122,13 +122,13 @@
         except ValueError as error:
             return error_answer(400, error)
         if form == "toml":
-            text = await asyncio.to_thread(lambda: files.export(team, view, notes(team, view)))
-            return Answer(200, text.encode(), TOML)
+            text = await asyncio.to_thread(lambda: files.export(team, view, file_notes(team, view)))
+            return Answer(200, text.encode(), TOML_CONTENT_TYPE)
         made = []
-        parts = pieces(view, routes.held, routes.membership.name, team, form == "brief")
+        parts = json_pieces(view, routes.changes, routes.membership.name, team, form == "brief")
         for number, piece in enumerate(parts):
             made.append(piece)
-            if number % PIECES == PIECES - 1:
+            if number % PIECES_PER_TURN == PIECES_PER_TURN - 1:
                 await asyncio.sleep(0)
         return Answer(200, b"".join(made), JSON_CONTENT_TYPE)
 
@@ -137,12 +137,12 @@
         if (routes := self.routes) is None:
             return LEDGER_NOT_STARTED
 
-        async def make(view: View) -> tuple[Made, files.TeamFile]:
+        async def make(view: View) -> tuple[ChangeContent, files.TeamFile]:
             file = await asyncio.to_thread(files.parse, body)
             edits = files.difference(file)
             self._check(view, edits)
             base = file.base.context if file.base is not None else Context()
-            return (file.team, edits, (), routes.context_of(base, edits)), file
+            return (file.team, edits, (), routes.commit_context(base, edits)), file
 
         return await self._commit(query, make)
 
@@ -150,7 +150,7 @@
         """`id`, `team`, `way` (take, value, delete, keep), `take` and `wait` in the query; a value as TOML in
         the body."""
 
-        async def make(view: View) -> tuple[Made, None]:
+        async def make(view: View) -> tuple[ChangeContent, None]:
             id, team, take = (
                 query_value(query, "id"),
                 query_value(query, "team"),
@@ -164,7 +164,7 @@
             found = next((conflict for conflict in view.conflicts if conflict.id == id), None)
             if found is None:
                 raise ValueError(f"there is no conflict {id:.40}")
-            edits = edits_of(found, How(way, int(take), body.decode("utf-8", "replace")), view)
+            edits = resolution_edits(found, Resolution(way, int(take), body.decode("utf-8", "replace")), view)
             self._check(view, edits)
             return (team, edits, (), view.context), None
 
@@ -173,9 +173,9 @@
     async def accept(self, query: bytes, body: bytes) -> Answer:
         """`change`, `route`, `team` and `wait` in the query."""
 
-        async def make(view: View) -> tuple[Made, None]:
+        async def make(view: View) -> tuple[ChangeContent, None]:
             dot, route, team = (
-                dot_of(query_value(query, "change")),
+                parse_change_name(query_value(query, "change")),
                 query_value(query, "route"),
                 query_value(query, "team"),
             )
@@ -190,8 +190,8 @@
 
     def _check(self, view: View, edits: tuple[Edit, ...]) -> None:
         """Raises ValueError."""
-        world = self.routes.world if self.routes is not None else None
-        if found := faults(view, edits, self.gateway.listed_hosts.values(), world or World()):
+        world = self.routes.environment if self.routes is not None else None
+        if found := edit_faults(view, edits, self.gateway.listed_hosts.values(), world or Environment()):
             raise ValueError("\n".join(found[: files.FAULTS_MAX]))
 
     async def _commit(self, query: bytes, make: Callable[[View], Any]) -> Answer:
@@ -203,8 +203,8 @@
             wait: Level = query_level(query)
             (team, edits, accepts, context), file = await make(view)
             if not edits and not accepts:
-                behind = files.behind(file, view) if file is not None else []
-                return _answered({"change": "", "confirmed": True, "edits": 0, "behind": behind})
+                behind = files.outdated_routes(file, view) if file is not None else []
+                return _json_answer({"change": "", "confirmed": True, "edits": 0, "behind": behind})
             change, answer = await routes.commit(team, edits, accepts, context, wait, LEVEL_TIMEOUT_S)
         except ValueError as error:
             return error_answer(400, error)
@@ -218,12 +218,12 @@
             "confirmed": confirmed,
             "held": answer.held if isinstance(answer, Acknowledged) else None,
             "reason": "" if isinstance(answer, Acknowledged) else answer.reason,
-            **what_became(change.dot, routes.view or view),
+            **change_outcome(change.dot, routes.view or view),
         }
         if file is not None:
-            said["base"] = await asyncio.to_thread(files.based_on, file, change)
-        return _answered(said, 200 if confirmed else 202)
+            said["base"] = await asyncio.to_thread(files.base_after_commit, file, change)
+        return _json_answer(said, 200 if confirmed else 202)
 
 
-def _answered(said: dict[str, Any], status: int = 200) -> Answer:
+def _json_answer(said: dict[str, Any], status: int = 200) -> Answer:
     return Answer(status, json.dumps(said).encode(), JSON_CONTENT_TYPE)
--- a/cloverkeel/fleet/routes/registers.py
+++ b/cloverkeel/fleet/routes/registers.py
@@ -13,15 +13,15 @@
 import msgspec
 
 from cloverkeel.fleet.ledger.dots import Actor, Context, Dot, Runs
-from cloverkeel.fleet.routes.fields import encoded, sound
+from cloverkeel.fleet.routes.fields import canonical_bytes, canonical_or_fault
 
 
-class Touch(msgspec.Struct, frozen=True, eq=False):
+class RouteChange(msgspec.Struct, frozen=True, eq=False):
     """What one change says of one route. `weight`: how many dots its context covers."""
 
     dot: Dot
     context: Context
-    weight: int
+    seen_count: int
     team: str
     fields: dict[str, Any]
     accepts: tuple[Dot, ...] = ()
@@ -36,38 +36,38 @@
     value: Any
 
 
-def order(touch: Touch) -> tuple[int, Dot]:
+def causal_key(touch: RouteChange) -> tuple[int, Dot]:
     """Causes come before effects; ties are the same everywhere."""
-    return touch.weight, touch.dot
+    return touch.seen_count, touch.dot
 
 
-def weight(context: Context) -> int:
+def count_dots(context: Context) -> int:
     return sum(
         runs[1] - runs[0] + 1 if len(runs) == 2 else sum(runs[1::2]) - sum(runs[::2]) + len(runs) // 2
         for runs in context.runs.values()
     )
 
 
-Seeing = TypeVar("Seeing", Touch, Write)
+HasContext = TypeVar("HasContext", RouteChange, Write)
 
 
-def newest(rising: Sequence[Seeing]) -> list[Seeing]:
+def newest(rising: Sequence[HasContext]) -> list[HasContext]:
     """Those, of some in rising order, that no other had seen; the one that had seen the most first."""
     if len(rising) == 1:
         return [rising[0]]
-    live: list[Seeing] = []
+    live: list[HasContext] = []
     for write in reversed(rising):
         if not any(each.context.covers(write.dot) for each in live):
             live.append(write)
     return live
 
 
-def agree(field: str, writes: Iterable[Write]) -> bool:
+def values_equal(field: str, writes: Iterable[Write]) -> bool:
     """Whether all have one value."""
-    return len({encoded(sound(field, write.value)[0]) for write in writes}) < 2
+    return len({canonical_bytes(canonical_or_fault(field, write.value)[0]) for write in writes}) < 2
 
 
-def agreed(field: str, rising: Sequence[Write], live: Sequence[Write]) -> Write | None:
+def agreed_write(field: str, rising: Sequence[Write], live: Sequence[Write]) -> Write | None:
     """The newest write that all `live` ones had seen; where several stand side by side with different
     values, the newest that all of those had seen, and so on. None: there is none."""
     while True:
@@ -75,17 +75,17 @@
         if not rising:
             return None
         live = newest(rising)
-        if agree(field, live):
+        if values_equal(field, live):
             return live[0]
 
 
-class Seen:
+class SeenDots:
     """Every dot taken in so far, kept in place: a change costs what its own context costs."""
 
     def __init__(self) -> None:
         self._runs: dict[Actor, Runs] = {}
 
-    def take(self, dot: Dot, context: Context) -> None:
+    def add(self, dot: Dot, context: Context) -> None:
         for actor, theirs in context.runs.items():
             self._join(actor, theirs)
         self._join(dot.actor, (dot.counter, dot.counter))
--- a/cloverkeel/fleet/routes/resolving.py
+++ b/cloverkeel/fleet/routes/resolution.py
@@ -9,16 +9,16 @@
 from cloverkeel.fleet.ledger.dots import Dot
 from cloverkeel.fleet.ledger.records import MEMBER_MAX
 from cloverkeel.fleet.routes.changes import DELETED, Edit
-from cloverkeel.fleet.routes.conflicts import of_route
-from cloverkeel.fleet.routes.fields import canonical, sound
+from cloverkeel.fleet.routes.conflicts import route_conflicts
+from cloverkeel.fleet.routes.fields import canonical, canonical_or_fault
 from cloverkeel.fleet.routes.files import value_fault
-from cloverkeel.fleet.routes.interface import Conflict, RouteView, View, World
-from cloverkeel.fleet.routes.world import labels_of
+from cloverkeel.fleet.routes.interface import Conflict, RouteView, View, Environment
+from cloverkeel.fleet.routes.environment import labels_of
 
 BEFORE = "before"
 
 
-class How(NamedTuple):
+class Resolution(NamedTuple):
     """One of `routes resolve`'s ways. `take`: the number, from 1, of a side as `show` lists them."""
 
     way: str  # take, value, delete or keep
@@ -26,7 +26,7 @@
     value: str = ""  # TOML
 
 
-def dot_of(text: str) -> Dot:
+def parse_change_name(text: str) -> Dot:
     """A change's name, as shown: member/incarnation/number, the middle one in hex. Raises ValueError."""
     try:
         member, incarnation, counter = text.rsplit("/", 2)
@@ -38,7 +38,7 @@
     return dot
 
 
-def sides(conflict: Conflict) -> list[str]:
+def side_labels(conflict: Conflict) -> list[str]:
     """What `take` chooses among, a line each; none where a conflict is resolved otherwise."""
     if conflict.kind == "overlap":
         first, second = conflict.routes
@@ -46,15 +46,15 @@
     return [] if conflict.kind not in ("field", "delete") else [""] * len(conflict.choices)
 
 
-def edits_of(conflict: Conflict, how: How, view: View) -> tuple[Edit, ...]:
+def resolution_edits(conflict: Conflict, how: Resolution, view: View) -> tuple[Edit, ...]:
     """The edits that resolve it, once written under the view's context. Raises ValueError."""
     route = conflict.routes[0]
     if how.way == "take":
-        return (_taken(conflict, how.take, view),)
+        return (_edit_for_side(conflict, how.take, view),)
     if how.way == "value":
         if conflict.kind not in ("field", "shares", "unknown", "chain", "bad-value") or not conflict.field:
             raise ValueError(f"a {conflict.kind} conflict has no one value: apply a file that ends it")
-        return (Edit(route, conflict.field, _value(conflict.field, how.value)),)
+        return (Edit(route, conflict.field, _parse_value(conflict.field, how.value)),)
     if len(conflict.routes) > 1:
         raise ValueError(f"{how.way} is for a conflict of one route, not of {len(conflict.routes)}")
     if how.way == "keep" and conflict.kind != "delete":
@@ -62,8 +62,8 @@
     return (Edit(route, DELETED, how.way == "delete"),)
 
 
-def _taken(conflict: Conflict, number: int, view: View) -> Edit:
-    count = len(sides(conflict))
+def _edit_for_side(conflict: Conflict, number: int, view: View) -> Edit:
+    count = len(side_labels(conflict))
     if not count:
         raise ValueError(f"a {conflict.kind} conflict has no sides: give a value, or apply a file")
     if not 1 <= number <= count:
@@ -79,7 +79,7 @@
     return Edit(conflict.routes[0], conflict.field, value)
 
 
-def _value(field: str, text: str) -> Any:
+def _parse_value(field: str, text: str) -> Any:
     try:
         value = tomllib.loads(f"value = {text}")["value"]
     except (tomllib.TOMLDecodeError, RecursionError, ValueError):
@@ -89,34 +89,36 @@
     return canonical(field, value)
 
 
-def faults(view: View, edits: Iterable[Edit], rows: Iterable[Mapping[str, Any]], world: World) -> list[str]:
+def edit_faults(
+    view: View, edits: Iterable[Edit], rows: Iterable[Mapping[str, Any]], world: Environment
+) -> list[str]:
     """What is wrong with these edits whatever others write, a line each: values that would block their route
     by themselves, and a route that leaves a class without hosts. `rows`: hosts as discovery gave them."""
     edits = list(edits)
     written = {(edit.route, edit.field) for edit in edits}
     found = []
-    routes = _after(view, edits)
+    routes = _values_after(view, edits)
     for name, values in routes.items():
         kept = {field: value for field, value in values.items() if value is not None}
         made = RouteView(name, str(values.get("owner", "")), kept, {})
-        for conflict in () if values.get(DELETED) is True else of_route(made, world):
+        for conflict in () if values.get(DELETED) is True else route_conflicts(made, world):
             if conflict.severity == "blocking" and (name, conflict.field) in written:
                 found.append(f"route {conflict.why}")
-    return found + _stranded(routes, list(rows))
+    return found + _without_hosts(routes, list(rows))
 
 
-def _after(view: View, edits: Iterable[Edit]) -> dict[str, dict[str, Any]]:
+def _values_after(view: View, edits: Iterable[Edit]) -> dict[str, dict[str, Any]]:
     """The values of the routes that are edited, as the plan in service would have them."""
     routes: dict[str, dict[str, Any]] = {}
     for edit in edits:
         known = view.routes.get(edit.route)
         values = routes.setdefault(edit.route, dict(known.values) if known is not None else {})
-        value, why = sound(edit.field, edit.value)
+        value, why = canonical_or_fault(edit.field, edit.value)
         values[edit.field] = None if why else value
     return routes
 
 
-def _stranded(routes: Mapping[str, Mapping[str, Any]], rows: list[Mapping[str, Any]]) -> list[str]:
+def _without_hosts(routes: Mapping[str, Mapping[str, Any]], rows: list[Mapping[str, Any]]) -> list[str]:
     """Routes that all requests of a class take and that name no listed host; none with no list."""
     found = []
     for name, values in routes.items():
@@ -125,13 +127,13 @@
         if not rows or not targets or narrow or values.get(DELETED) is True:
             continue
         rest = sum(target["share"] for target in targets) < 100
-        if not any(rest or any(_names(target, row) for target in targets) for row in rows):
+        if not any(rest or any(_target_matches(target, row) for target in targets) for row in rows):
             classes = ", ".join(values.get("classes") or ()) or "every class"
             found.append(f"route {name}: no listed host is in its targets: {classes} would be without hosts")
     return found
 
 
-def _names(target: Mapping[str, Any], row: Mapping[str, Any]) -> bool:
+def _target_matches(target: Mapping[str, Any], row: Mapping[str, Any]) -> bool:
     has = {
         "types": {str(row.get("type", ""))},
         "groups": {str(row.get("group", 0))},
