--- a/cloverkeel/fleet/routes/resolved.py
+++ b/cloverkeel/fleet/routes/route_merge.py
@@ -9,35 +9,35 @@
 from cloverkeel.fleet.ledger.dots import Dot
 from cloverkeel.fleet.routes import conflicts
 from cloverkeel.fleet.routes.changes import DELETED
-from cloverkeel.fleet.routes.fields import FIELDS, route_hash, sound
-from cloverkeel.fleet.routes.interface import Choice, Conflict, Decided, RouteView, Waiting, World
-from cloverkeel.fleet.routes.owners import OWNER, Standing, stand, writes_fields
-from cloverkeel.fleet.routes.registers import Touch, Write, agree, agreed, newest
+from cloverkeel.fleet.routes.fields import FIELDS, route_hash, canonical_or_fault
+from cloverkeel.fleet.routes.interface import Choice, Conflict, Decision, RouteView, WaitingEdits, Environment
+from cloverkeel.fleet.routes.owners import OWNER, Classification, classify, writes_fields
+from cloverkeel.fleet.routes.registers import RouteChange, Write, values_equal, agreed_write, newest
 
 
 @dataclass(slots=True, frozen=True)
-class Resolved:
+class MergedRoute:
     """`view`: None where the route is deleted, has no owner agreed on, or a value that it cannot have.
     `hash`: 0 then."""
 
     view: RouteView | None = None
     hash: int = 0
     conflicts: tuple[Conflict, ...] = ()
-    waiting: tuple[Waiting, ...] = ()
+    waiting: tuple[WaitingEdits, ...] = ()
 
 
-NOTHING = Resolved()
+EMPTY_ROUTE = MergedRoute()
 
 
-def resolve(name: str, rising: Sequence[Touch], world: World) -> Resolved:
+def merge_route(name: str, rising: Sequence[RouteChange], world: Environment) -> MergedRoute:
     """`rising`: all changes that touch the route, by `registers.order`."""
-    held = stand(rising)
-    registers = fields_of(held)
+    held = classify(rising)
+    registers = field_writes(held)
     found: list[Conflict] = []
     values: dict[str, Any] = {}
     others: dict[str, Any] = {}
-    decided: dict[str, Decided] = {}
-    deciding: dict[Dot, Decided] = {}  # one for each change, not for each field
+    decided: dict[str, Decision] = {}
+    deciding: dict[Dot, Decision] = {}  # one for each change, not for each field
     owners: list[str] = []
     in_plan = any(field != DELETED for field in registers)
     for field in sorted(registers):
@@ -45,64 +45,68 @@
         live = newest(rising_writes)
         chosen: Write | None = live[0]
         if field == DELETED:
-            found += _deletes(name, held, live)
-        elif len(live) > 1 and not agree(field, live):
-            chosen = agreed(field, rising_writes, live)
-            found.append(_field(name, field, live, chosen))
+            found += _delete_conflicts(name, held, live)
+        elif len(live) > 1 and not values_equal(field, live):
+            chosen = agreed_write(field, rising_writes, live)
+            found.append(_field_conflict(name, field, live, chosen))
         if field == OWNER:
             owners = sorted({str(write.value) for write in ([chosen] if chosen else live)})
             in_plan = in_plan and chosen is not None
         chosen = chosen or live[0]
-        value, why = sound(field, chosen.value)
+        value, why = canonical_or_fault(field, chosen.value)
         if why:  # the route is judged no further: without the value it would match what it was not meant to
             in_plan = False
             side = Choice(chosen.dot, chosen.team, value)
-            found.append(conflicts.conflict("bad-value", (name,), field, (side,), f"{name}: {field}: {why}"))
+            found.append(
+                conflicts.make_conflict("bad-value", (name,), field, (side,), f"{name}: {field}: {why}")
+            )
         elif value is not None and field != DELETED:
             (values if field in FIELDS else others)[field] = value
             if (by := deciding.get(chosen.dot)) is None:
-                by = deciding[chosen.dot] = Decided(chosen.dot, chosen.team)
+                by = deciding[chosen.dot] = Decision(chosen.dot, chosen.team)
             decided[field] = by
-    waiting = tuple(_waiting(name, held, registers, owners)) if held.pending else ()
+    waiting = tuple(_waiting_edits(name, held, registers, owners)) if held.pending else ()
     if not in_plan or not owners:
-        return Resolved(None, 0, tuple(found), waiting) if found or waiting else NOTHING
+        return MergedRoute(None, 0, tuple(found), waiting) if found or waiting else EMPTY_ROUTE
     view = RouteView(name, owners[0], values, decided, others)
-    found += conflicts.of_route(view, world)
-    return Resolved(view, route_hash(name, values, others), tuple(found), waiting)
+    found += conflicts.route_conflicts(view, world)
+    return MergedRoute(view, route_hash(name, values, others), tuple(found), waiting)
 
 
-def fields_of(held: Standing) -> dict[str, list[Write]]:
+def field_writes(held: Classification) -> dict[str, list[Write]]:
     """The writes of each field that count and that no delete took away, in rising order."""
     registers: dict[str, list[Write]] = {}
     for touch in held.counted:
-        gone = bool(held.deletes) and held.gone(touch.dot)
+        gone = bool(held.deletes) and held.is_deleted(touch.dot)
         for field, value in touch.fields.items():
             if not gone or field == DELETED:
                 registers.setdefault(field, []).append(Write(touch.dot, touch.context, touch.team, value))
-        if not gone and (owner := held.first.get(touch.dot)) is not None:
+        if not gone and (owner := held.initial_owners.get(touch.dot)) is not None:
             registers.setdefault(OWNER, []).append(Write(touch.dot, touch.context, touch.team, owner))
     if OWNER not in registers:  # it went with a delete that was accepted after these were written
         for touch in held.counted:
-            if writes_fields(touch) and not held.gone(touch.dot):
+            if writes_fields(touch) and not held.is_deleted(touch.dot):
                 registers.setdefault(OWNER, []).append(
                     Write(touch.dot, touch.context, touch.team, touch.team)
                 )
     return registers
 
 
-def _field(name: str, field: str, live: Sequence[Write], chosen: Write | None) -> Conflict:
+def _field_conflict(name: str, field: str, live: Sequence[Write], chosen: Write | None) -> Conflict:
     sides = [Choice(write.dot, write.team, write.value) for write in live]
-    teams = " and ".join(conflicts.by(side) for side in sorted(sides, key=lambda side: side.dot))
+    teams = " and ".join(conflicts.side_text(side) for side in sorted(sides, key=lambda side: side.dot))
     if chosen is not None:
-        stands = f"that of {chosen.team} ({conflicts.shown(chosen.dot)}), which both had seen, stands"
+        stands = f"that of {chosen.team} ({conflicts.change_name(chosen.dot)}), which both had seen, stands"
     elif field == OWNER:
         stands = "with none agreed on, the route is not in service"
     else:
-        stands = f"with none agreed on, that of {conflicts.by(sides[0])} stands"
-    return conflicts.conflict("field", (name,), field, sides, f"{name}: {field} differs: {teams}; {stands}")
+        stands = f"with none agreed on, that of {conflicts.side_text(sides[0])} stands"
+    return conflicts.make_conflict(
+        "field", (name,), field, sides, f"{name}: {field} differs: {teams}; {stands}"
+    )
 
 
-def _deletes(name: str, held: Standing, live: Sequence[Write]) -> list[Conflict]:
+def _delete_conflicts(name: str, held: Classification, live: Sequence[Write]) -> list[Conflict]:
     """The conflict of deletes that nobody has resolved yet with what was written beside them."""
     dots = {write.dot for write in live}
     disputes = [(delete, beside) for delete, beside in held.disputes if delete.dot in dots]
@@ -112,25 +116,27 @@
     for _, beside in disputes:
         for touch in beside:
             sides.setdefault(touch.dot, Choice(touch.dot, touch.team, dict(touch.fields)))
-    gone = " and ".join(conflicts.by(sides[dot]) for dot in sorted(delete.dot for delete, _ in disputes))
-    kept = conflicts.some(
-        conflicts.by(sides[dot]) for dot in {touch.dot for _, beside in disputes for touch in beside}
+    gone = " and ".join(
+        conflicts.side_text(sides[dot]) for dot in sorted(delete.dot for delete, _ in disputes)
+    )
+    kept = conflicts.first_names(
+        conflicts.side_text(sides[dot]) for dot in {touch.dot for _, beside in disputes for touch in beside}
     )
     why = f"{name}: deleted by {gone} beside edits by {kept}; the route stands"
-    return [conflicts.conflict("delete", (name,), DELETED, sides.values(), why)]
+    return [conflicts.make_conflict("delete", (name,), DELETED, sides.values(), why)]
 
 
-def _waiting(
-    name: str, held: Standing, registers: Mapping[str, Sequence[Write]], owners: Sequence[str]
-) -> list[Waiting]:
-    found: list[Waiting] = []
+def _waiting_edits(
+    name: str, held: Classification, registers: Mapping[str, Sequence[Write]], owners: Sequence[str]
+) -> list[WaitingEdits]:
+    found: list[WaitingEdits] = []
     for touch in held.pending:
         fields = {
             field: value
             for field, value in touch.fields.items()
             if not any(write.context.covers(touch.dot) for write in registers.get(field, ()))
         }
-        if fields and not held.gone(touch.dot):
+        if fields and not held.is_deleted(touch.dot):
             owner = ", ".join(owners) or str(touch.fields.get(OWNER, ""))
-            found.append(Waiting(touch.dot, touch.team, name, owner, fields))
+            found.append(WaitingEdits(touch.dot, touch.team, name, owner, fields))
     return found
--- a/cloverkeel/fleet/routes/status.py
+++ b/cloverkeel/fleet/routes/status.py
@@ -9,14 +9,16 @@
 
 from cloverkeel.fleet.ledger.dots import Dot
 from cloverkeel.fleet.routes.changes import Change, key_of
-from cloverkeel.fleet.routes.files import plain
-from cloverkeel.fleet.routes.interface import Conflict, RouteView, View, Waiting
-from cloverkeel.fleet.routes.resolving import sides
+from cloverkeel.fleet.routes.files import to_plain
+from cloverkeel.fleet.routes.interface import Conflict, RouteView, View, WaitingEdits
+from cloverkeel.fleet.routes.resolution import side_labels
 
 _encode = msgspec.json.Encoder().encode
 
 
-def pieces(view: View, changes: Mapping[str, Change], member: str, team: str, brief: bool) -> Iterator[bytes]:
+def json_pieces(
+    view: View, changes: Mapping[str, Change], member: str, team: str, brief: bool
+) -> Iterator[bytes]:
     """One JSON object: hash, member, count, conflicts, waiting, held back, and the routes unless `brief`.
     `team`: of whom routes, conflicts and waiting edits are told, "*" of all; `changes`: by their names."""
 
@@ -24,7 +26,7 @@
         return team == "*" or team in teams
 
     lists: dict[str, Iterator[dict[str, Any]]] = {
-        "held_back": (_held(key_of(dot), changes) for dot in view.held_back),
+        "held_back": (_held_back(key_of(dot), changes) for dot in view.held_back),
         "conflicts": (_conflict(each) for each in view.conflicts if concerns(*each.teams)),
         "waiting": (_waiting(each) for each in view.waiting if concerns(each.team, *each.owner.split(", "))),
     }
@@ -39,7 +41,7 @@
     yield b"}"
 
 
-def _held(name: str, changes: Mapping[str, Change]) -> dict[str, Any]:
+def _held_back(name: str, changes: Mapping[str, Change]) -> dict[str, Any]:
     change = changes.get(name)  # None: deleted meanwhile
     routes = sorted({edit.route for edit in change.edits}) if change is not None else []
     return {"change": name, "team": change.team if change is not None else "", "routes": routes}
@@ -47,7 +49,7 @@
 
 def _route(route: RouteView) -> dict[str, Any]:
     decided = {key: {"change": key_of(by.dot), "team": by.team} for key, by in sorted(route.decided.items())}
-    values, others = plain(route.values), plain(route.others)
+    values, others = to_plain(route.values), to_plain(route.unknown_fields)
     return {"name": route.name, "owner": route.owner, "values": values, "others": others, "decided": decided}
 
 
@@ -62,24 +64,24 @@
         "why": conflict.why,
         "local": conflict.local,
         "choices": [
-            {"change": key_of(side.dot), "team": side.team, "value": plain(side.value)}
+            {"change": key_of(side.dot), "team": side.team, "value": to_plain(side.value)}
             for side in conflict.choices
         ],
-        "sides": sides(conflict),
+        "sides": side_labels(conflict),
     }
 
 
-def _waiting(waiting: Waiting) -> dict[str, Any]:
+def _waiting(waiting: WaitingEdits) -> dict[str, Any]:
     return {
         "change": key_of(waiting.dot),
         "team": waiting.team,
         "route": waiting.route,
         "owner": waiting.owner,
-        "fields": plain(waiting.fields),
+        "fields": to_plain(waiting.fields),
     }
 
 
-def what_became(dot: Dot, view: View) -> dict[str, Any]:
+def change_outcome(dot: Dot, view: View) -> dict[str, Any]:
     """Of a change: the plan that took it in, what holds it back, the conflicts it is in, the owners it waits
     for. `merged` is false where the view does not know it yet."""
     return {
@@ -93,7 +95,7 @@
     }
 
 
-def notes(team: str, view: View) -> list[str]:
+def file_notes(team: str, view: View) -> list[str]:
     """Lines for the head of a team's file: what its reader has to know, for an edit of it follows them."""
     found = [
         f"conflict {each.id} ({each.kind}, {each.severity}): {each.why}"
--- a/cloverkeel/fleet/start.py
+++ b/cloverkeel/fleet/start.py
@@ -70,16 +70,16 @@
         self.routes: RoutesPart | None = None
         if config.routes is not None and self.ledger is not None:
             from cloverkeel.fleet.routes.part import RoutesPart
-            from cloverkeel.fleet.routes.serving import Serving
+            from cloverkeel.fleet.routes.serving import RouteTable
 
-            serving = gateway.routes = Serving(gateway)
-            self.routes = RoutesPart(config.routes, gateway, self.ledger, self.transforms, serving.take)
+            serving = gateway.routes = RouteTable(gateway)
+            self.routes = RoutesPart(config.routes, gateway, self.ledger, self.transforms, serving.update)
         self.rollout: RolloutPart | None = None
         if config.rollout is not None and self.ledger is not None:
             from cloverkeel.fleet.rollout.part import RolloutPart
-            from cloverkeel.fleet.routes.serving import Serving
+            from cloverkeel.fleet.routes.serving import RouteTable
 
-            self.rollout = RolloutPart(gateway, self.ledger, gateway.routes or Serving(gateway))
+            self.rollout = RolloutPart(gateway, self.ledger, gateway.routes or RouteTable(gateway))
 
     def attach_duties(self, duties: DutiesPart) -> None:
         """The duties under which this gateway may conduct a rollout."""
--- a/cloverkeel/front/requests.py
+++ b/cloverkeel/front/requests.py
@@ -16,7 +16,7 @@
 from cloverkeel.streams import Upload
 
 if TYPE_CHECKING:
-    from cloverkeel.fleet.routes.serving import Serving
+    from cloverkeel.fleet.routes.serving import RouteTable
     from cloverkeel.transforms.active import ActiveSet, Refused
 
 NO_TENANT = -1  # for a caller that the settings do not name; 0 would charge its requests to the first tenant
@@ -93,7 +93,7 @@
     path: bytes,
     writer: ResponseWriter,
     active_set: ActiveSet | None = None,
-    routes: Serving | None = None,
+    routes: RouteTable | None = None,
 ) -> Call:
     """Converts a request to a `Call`.
 
--- a/cloverkeel/gateway.py
+++ b/cloverkeel/gateway.py
@@ -56,7 +56,7 @@
 from cloverkeel.telemetry import Result, Telemetry
 
 if TYPE_CHECKING:
-    from cloverkeel.fleet.routes.serving import Serving
+    from cloverkeel.fleet.routes.serving import RouteTable
     from cloverkeel.transforms.active import ActiveSet
 
 NO_METRICS: Mapping[str, int] = {}
@@ -89,7 +89,7 @@
         self.known = config.known
         self.warm, self.store_counters = warm, kept  # what the state store had, and what it has done
         self.transforms: ActiveSet | None = None  # replaced whole; a call keeps the one it came under
-        self.routes: Serving | None = None  # of many teams; None: requests have no route
+        self.routes: RouteTable | None = None  # of many teams; None: requests have no route
         self.on_attempt_ended: Callable[[int, Outcome, int], None] | None = (
             None  # server, how it ended, latency_us
         )
@@ -145,7 +145,7 @@
         self.discovery.stop_sending_s = config.settings.stop_sending_within_us / 1e6
         self.discovery.change_address(config.discovery)
         if self.routes is not None:
-            self.routes.follow()
+            self.routes.reconfigure()
 
     def close(self) -> None:
         self.closed = True
--- a/cloverkeel/transforms/activation/parts.py
+++ b/cloverkeel/transforms/activation/parts.py
@@ -16,7 +16,7 @@
 )
 from cloverkeel.fleet.ledger.interface import Acknowledged
 from cloverkeel.fleet.ledger.part import LedgerPart
-from cloverkeel.fleet.ledger.shell import Answer as LedgerAnswer
+from cloverkeel.fleet.ledger.shell import WriteResult as LedgerAnswer
 from cloverkeel.fleet.ledger.shell import WriteRefused
 from cloverkeel.operator import Answer
 from cloverkeel.transforms.activation.configuration import FleetSettings
--- a/cloverkeel/transforms/activation/shell.py
+++ b/cloverkeel/transforms/activation/shell.py
@@ -10,8 +10,8 @@
 from caperdrift.policy.breaker import State
 
 from cloverkeel.fleet.events import event
-from cloverkeel.fleet.ledger.interface import Acknowledged, Expose, Level
-from cloverkeel.fleet.ledger.shell import Answer, Service, Shown, WriteRefused
+from cloverkeel.fleet.ledger.interface import Acknowledged, KeyChanged, Level
+from cloverkeel.fleet.ledger.shell import WriteResult, LedgerService, Siblings, WriteRefused
 from cloverkeel.fleet.membership.roster import LIVE_STATUSES
 from cloverkeel.fleet.membership.updates import Status
 from cloverkeel.tasks import BackgroundTasks
@@ -42,7 +42,7 @@
 class Activator:
     """Made once `ledger` has started; `close` before it closes."""
 
-    def __init__(self, ledger: Service, settings: Settings, engine: Engine) -> None:
+    def __init__(self, ledger: LedgerService, settings: Settings, engine: Engine) -> None:
         self.ledger, self.engine = ledger, engine
         engine.tripped = lambda id, is_open: self.give(Tripped(id, is_open))
         self.membership = ledger.membership
@@ -50,7 +50,7 @@
         shown = [
             _recorded(kind, key, ledger.read(kind, key)[0]) for kind in KINDS for key in ledger.keys(kind)
         ]
-        self.core = Activation(self.membership.name, life, ledger.disk, settings, random.Random(), shown)
+        self.core = Activation(self.membership.name, life, ledger.store_id, settings, random.Random(), shown)
         # What the process followed before it took the file over runs on, without a gap.
         self.core.staged |= dict.fromkeys(engine.staged, "")
         self.loop = asyncio.get_running_loop()
@@ -61,7 +61,7 @@
         self.runs: tuple[dict[str, str], dict[str, str]] = {}, {}  # versions, and those before candidates
 
     def start(self) -> None:
-        self.ledger.on_expose(self._on_expose)
+        self.ledger.on_key_changed(self._on_expose)
         self.membership.on_change(lambda _rumour, _before: self._look())
         for id, installed in self.engine.staged.items():
             if installed.breaker.state is not State.CLOSED:
@@ -76,7 +76,7 @@
 
     # For developers.
 
-    async def publish(self, source: bytes, wait: Level, timeout_s: float) -> tuple[Order, str, Answer]:
+    async def publish(self, source: bytes, wait: Level, timeout_s: float) -> tuple[Order, str, WriteResult]:
         """Have a file run by all: the order, the file's SHA-256, and how far it is held. Raises ValueError
         where the file cannot be published, WriteRefused where the ledger did not keep it."""
         if len(source) > SOURCE_MAX:
@@ -91,7 +91,7 @@
         order, answer = await self._order(name, "publish", source, wait, timeout_s)
         return order, compiled.sha256, answer
 
-    async def rollback(self, name: str, wait: Level, timeout_s: float) -> tuple[Order, Answer]:
+    async def rollback(self, name: str, wait: Level, timeout_s: float) -> tuple[Order, WriteResult]:
         """Take out the candidate, or else what is active. Raises ValueError where there is neither, and
         WriteRefused."""
         slot = self.core.book.epoch.slot(name)
@@ -101,7 +101,7 @@
 
     async def _order(
         self, name: str, verb: Literal["publish", "rollback"], source: bytes, wait: Level, timeout_s: float
-    ) -> tuple[Order, Answer]:
+    ) -> tuple[Order, WriteResult]:
         number = self.core.book.next_number(name)
         order = Order(name, secrets.token_hex(8), number, verb, source)
         context = self.ledger.read(ORDER, order.key)[1]
@@ -170,7 +170,7 @@
             reason = type(error).__name__
         self.give(Staged(action.id, reason))
 
-    def _on_expose(self, shown: Expose) -> None:
+    def _on_expose(self, shown: KeyChanged) -> None:
         if shown.kind in KINDS:
             self.give(_recorded(shown.kind, shown.key, shown.records))
 
@@ -198,5 +198,5 @@
             self.give(view)
 
 
-def _recorded(kind: str, key: str, records: Shown) -> Recorded:
+def _recorded(kind: str, key: str, records: Siblings) -> Recorded:
     return Recorded(kind, key, tuple(payload for _, payload in records if payload is not None))
--- a/faultlab/lookups.py
+++ b/faultlab/lookups.py
@@ -24,7 +24,7 @@
 from cloverkeel.fleet.ledger.dots import Context
 from cloverkeel.fleet.routes.index import Index
 from cloverkeel.fleet.routes.interface import RouteView, View
-from cloverkeel.fleet.routes.serving import Serving
+from cloverkeel.fleet.routes.serving import RouteTable
 from cloverkeel.front.requests import ResponseWriter, Request, build_call
 from cloverkeel.gateway import Gateway
 from faultlab.report import Parts, positive, report
@@ -153,7 +153,7 @@
         routes[edited.name] = edited
         next_view = view(dict(routes), frozenset({edited.name}))
         began = time.process_time()
-        made.take(next_view)
+        made.update(next_view)
         edits.append(1e3 * (time.process_time() - began))
     return {
         "build": round(sum(turns), 1), "build_turns": len(turns), "longest_turn": round(max(turns), 2),
@@ -161,16 +161,16 @@
     }  # fmt: skip
 
 
-def served(size: int, turns: list[float] | None = None) -> Serving:
+def served(size: int, turns: list[float] | None = None) -> RouteTable:
     """`turns` hears what each turn of the loop cost, in milliseconds."""
     waiting: list[Callable[[], None]] = []
     gateway = SimpleNamespace(
         names=NAMES, settings=SimpleNamespace(zone=0), closed=False, post=lambda event: event(),
         loop=SimpleNamespace(call_soon=waiting.append),
     )  # fmt: skip
-    made = Serving(cast(Gateway, gateway))
+    made = RouteTable(cast(Gateway, gateway))
     first = view({each.name: each for each in map(route, range(size))}, None)
-    waiting.append(lambda: made.take(first))
+    waiting.append(lambda: made.update(first))
     while waiting:
         began = time.process_time()
         waiting.pop()()
--- a/faultlab/routes/baseline.py
+++ b/faultlab/routes/baseline.py
@@ -13,8 +13,8 @@
 
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.routes.changes import DELETED, Change, Edit
-from cloverkeel.fleet.routes.interface import View, World
-from cloverkeel.fleet.routes.merge import merged
+from cloverkeel.fleet.routes.interface import View, Environment
+from cloverkeel.fleet.routes.merge import merge_all
 
 from faultlab.routes import draw
 
@@ -27,7 +27,7 @@
     """Shares of all edits, over so many trials."""
     rng = random.Random(f"baseline {seed}")
     names = names_of(teams)
-    world = World(
+    world = Environment(
         frozenset(names.classes), frozenset(names.callers), frozenset(names.zones), frozenset(names.types),
         {"mark": frozenset({"x-mark"}), "mark-two": frozenset({"x-mark"}), "trim": frozenset({"x-trim"})},
         {}, frozenset(names.groups), frozenset(names.labels),
@@ -36,13 +36,13 @@
     lost = edits = unnoticed = 0
     for _ in range(trials):
         base = agreed(names)
-        view = merged([base], world)
+        view = merge_all([base], world)
         commits = drawn(rng, names, view)
         changes = [
             Change(dot=Dot(f"m{n}", 1, 1), context=view.context, team=team, edits=its)
             for n, (team, its, _) in enumerate(commits)
         ]
-        after = merged([base, *changes], world)
+        after = merge_all([base, *changes], world)
         for change in changes:
             for edit in change.edits:
                 fates[fate(change, edit, after)] += 1
@@ -122,7 +122,7 @@
         return False
     if edit.field == "owner":
         return bool(route.owner == edit.value)
-    found = route.values.get(edit.field, route.others.get(edit.field))
+    found = route.values.get(edit.field, route.unknown_fields.get(edit.field))
     return bool(edit.field in route.decided or found == edit.value or edit.value in (None, []))
 
 
@@ -132,7 +132,8 @@
 def written(view: View, edits: tuple[Edit, ...]) -> File:
     """The whole file as a team writes it."""
     found: File = {
-        name: {**route.values, **route.others, "owner": route.owner} for name, route in view.routes.items()
+        name: {**route.values, **route.unknown_fields, "owner": route.owner}
+        for name, route in view.routes.items()
     }
     for edit in edits:
         if edit.field == DELETED:
--- a/faultlab/routes/costs.py
+++ b/faultlab/routes/costs.py
@@ -14,16 +14,16 @@
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.routes.changes import Change, Edit
 from cloverkeel.fleet.routes.index import Index
-from cloverkeel.fleet.routes.interface import World
-from cloverkeel.fleet.routes.merge import Merge, merged
+from cloverkeel.fleet.routes.interface import Environment
+from cloverkeel.fleet.routes.merge import Merge, merge_all
 
 PER_CHANGE = 100  # routes of one file
 TEAMS = 10
 LOOKUPS = 5_000
 
 
-def world() -> World:
-    return World(frozenset({"search", "transfer"}), None, frozenset({"a"}), frozenset({"m"}), {}, {})
+def world() -> Environment:
+    return Environment(frozenset({"search", "transfer"}), None, frozenset({"a"}), frozenset({"m"}), {}, {})
 
 
 def changes(routes: int) -> list[Change]:
@@ -77,7 +77,7 @@
     rebuilds = []
     for _ in range(max(1, min(3, rounds))):
         began = time.thread_time()
-        view = merged(all_changes, world())
+        view = merge_all(all_changes, world())
         rebuilds.append(1e3 * (time.thread_time() - began))
     sliced = Merge(world())
     for change in all_changes:
@@ -110,9 +110,9 @@
     found: dict[str, Any] = {}
     for size in sizes:
         rng = random.Random(f"lookups {seed}")
-        view = merged(changes(size), world())
+        view = merge_all(changes(size), world())
         index = Index("a", {name: number + 1 for number, name in enumerate(view.routes)})
-        index.order(view.behind)
+        index.set_precedence(view.precedes)
         for route in view.routes.values():
             index.put(route)
         asked = [path(rng.randrange(size)).encode() + b"/x" for _ in range(LOOKUPS)]
--- a/faultlab/routes/fleet.py
+++ b/faultlab/routes/fleet.py
@@ -13,12 +13,12 @@
 
 from cloverkeel.fleet.ledger.dots import Context
 from cloverkeel.fleet.ledger.interface import Persist
-from cloverkeel.fleet.ledger.reader import peek
-from cloverkeel.fleet.ledger.records import Record, digest
+from cloverkeel.fleet.ledger.reader import read_payloads
+from cloverkeel.fleet.ledger.records import Record, payload_hash
 from cloverkeel.fleet.ledger.replica import Put
 from cloverkeel.fleet.ledger.store import Store
 from cloverkeel.fleet.routes.changes import DELETED, KIND, Change, decode, encode, key_of
-from cloverkeel.fleet.routes.files import unpack
+from cloverkeel.fleet.routes.files import unpack_base
 
 from faultlab.gateways import POLL_S, Gateways
 from faultlab.routes.draw import as_toml
@@ -118,7 +118,7 @@
     def changes(self, name: str) -> dict[str, Change]:
         """What a gateway's disk holds, by key."""
         directory = self.gateways[name].state_dir
-        return {key: decode(payload) for key, payload in peek(str(directory), KIND)}
+        return {key: decode(payload) for key, payload in read_payloads(str(directory), KIND)}
 
 
 def leave(directory: str, change: Change) -> None:
@@ -128,7 +128,7 @@
     store = Store(directory)
     try:
         loaded = store.load()
-        record = Record(KIND, key, digest(payload), len(payload), change.dot, Context())
+        record = Record(KIND, key, payload_hash(payload), len(payload), change.dot, Context())
         store.write(Persist(1, (Put(record, payload),), (), loaded.context.add((change.dot,))))
     finally:
         store.close()
@@ -215,7 +215,7 @@
 
 def seen(base: str) -> Context:
     """What the writer under a base has seen."""
-    return unpack(base).context
+    return unpack_base(base).context
 
 
 SHIFT = """import time
--- a/faultlab/storm/cluster/activation.py
+++ b/faultlab/storm/cluster/activation.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from cloverkeel.fleet.ledger.dots import Context, Dot
-from cloverkeel.fleet.ledger.interface import Acknowledged, Expose, Level, ViewChanged, Write
+from cloverkeel.fleet.ledger.interface import Acknowledged, KeyChanged, Level, ViewChanged, Write
 from cloverkeel.fleet.ledger.interface import Action as LedgerAction
 from cloverkeel.fleet.ledger.interface import Delete as LedgerDelete
 from cloverkeel.fleet.ledger.interface import Event as LedgerEvent
@@ -136,7 +136,7 @@
 
     def _act(self, member: Member, action: LedgerAction) -> None:
         super()._act(member, action)
-        if isinstance(action, Expose):
+        if isinstance(action, KeyChanged):
             payloads = tuple(payload for _, payload in action.records if payload is not None)
             self.tell(self.brains[member.name], Recorded(action.kind, action.key, payloads))
         elif isinstance(action, Acknowledged):
--- a/faultlab/storm/cluster/ledger.py
+++ b/faultlab/storm/cluster/ledger.py
@@ -18,8 +18,8 @@
     Action,
     Delete,
     Event,
-    Expose,
-    Heard,
+    KeyChanged,
+    MessageReceived,
     Level,
     Persist,
     Persisted,
@@ -190,7 +190,7 @@
                     view = 1 + sum(map(len, member.view))
                     needed = view if level is Level.ALL else max(view, self.settings.size) // 2 + 1
                 self.truth.acknowledged(dot, needed)
-            case Expose(kind, key, records, _):
+            case KeyChanged(kind, key, records, _):
                 self.truth.exposed(member.disk.seen, (kind, key), records)
 
     def _disk(self, member: Member, life: int, disk: Disk, rows: Persist) -> None:
@@ -232,7 +232,7 @@
 
     def _arrive(self, member: Member, other: Member, life: int, body: bytes) -> None:
         if other.core is not None and other.life == life and other.side == member.side:
-            self.give(other, Heard(member.name, _decoded(body)))
+            self.give(other, MessageReceived(member.name, _decoded(body)))
 
     # Load.
 
@@ -262,9 +262,9 @@
         assert first is not None
         return all(
             c is not None
-            and c.replica.digests.root() == first.replica.digests.root()
+            and c.replica.bucket_hashes.root() == first.replica.bucket_hashes.root()
             and c.settling.settled
-            and c.planned is None
+            and c.persisting is None
             and not c.staged
             for c in cores
         )
--- a/faultlab/storm/cluster/ledger_truth.py
+++ b/faultlab/storm/cluster/ledger_truth.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable
 
 from cloverkeel.fleet.ledger.dots import Actor, Dot
-from cloverkeel.fleet.ledger.records import Record, digest
+from cloverkeel.fleet.ledger.records import Record, payload_hash
 
 Name = tuple[str, str]
 
@@ -59,7 +59,7 @@
         now = frozenset(record.dot for record, _ in records)
         before = seen.shown[name]
         for record, payload in records:
-            if payload is not None and digest(payload) != record.sha256:
+            if payload is not None and payload_hash(payload) != record.sha256:
                 self.violated(f"{record.dot} shown with a payload that does not match")
         for dot in now - before:
             if dot in seen.dots[name]:
--- a/faultlab/storm/cluster/routes.py
+++ b/faultlab/storm/cluster/routes.py
@@ -12,11 +12,11 @@
 from dataclasses import dataclass, field
 
 from cloverkeel.fleet.ledger.dots import Context, Dot
-from cloverkeel.fleet.ledger.interface import Action, Delete, Expose, Level, Settings, Write
+from cloverkeel.fleet.ledger.interface import Action, Delete, KeyChanged, Level, Settings, Write
 from cloverkeel.fleet.ledger.records import Record
 from cloverkeel.fleet.routes.changes import KIND, Change, decode, encode, key_of
-from cloverkeel.fleet.routes.interface import View, World
-from cloverkeel.fleet.routes.merge import Merge, merged
+from cloverkeel.fleet.routes.interface import View, Environment
+from cloverkeel.fleet.routes.merge import Merge, merge_all
 
 from faultlab.routes.draw import Commit, Names
 from faultlab.storm.cluster.ledger import Cluster, Member
@@ -29,11 +29,11 @@
 HEADERS = {"mark": frozenset({"x-mark"}), "mark-two": frozenset({"x-mark"}), "trim": frozenset({"x-trim"})}
 
 
-def world_of(number: int, groups: frozenset[str] | None = None) -> World:
+def world_of(number: int, groups: frozenset[str] | None = None) -> Environment:
     """The fleet's settings, and its transforms at the `number`-th change: one more published each time."""
     names = Names()
     known = dict(list(HEADERS.items())[: max(1, number + 1)])
-    return World(
+    return Environment(
         frozenset(names.classes), frozenset(names.callers), frozenset(names.zones), frozenset(names.types),
         known, {"m": 60, "s": 50}, groups, frozenset(names.labels),
     )  # fmt: skip
@@ -68,7 +68,7 @@
     """`merge` makes a member's merge: another one than the product's shows that the search can fail."""
 
     def __init__(
-        self, seed: int, members: int, tick_s: float = 0.1, make: Callable[[World], Merge] = Merge
+        self, seed: int, members: int, tick_s: float = 0.1, make: Callable[[Environment], Merge] = Merge
     ) -> None:
         self.make = make
         self.readers: dict[str, Reader] = {}
@@ -106,7 +106,7 @@
 
     def _act(self, member: Member, action: Action) -> None:
         super()._act(member, action)
-        if isinstance(action, Expose) and action.kind == KIND:
+        if isinstance(action, KeyChanged) and action.kind == KIND:
             reader = self.readers[member.name]
             self._take(reader, action.key, action.records)
             self._settle(reader)
@@ -164,7 +164,7 @@
         if first and self.rng.random() < REBUILDS:
             changes = list(reader.held.values())
             self.rng.shuffle(changes)
-            anew = merged(changes, world_of(reader.world, reader.groups))
+            anew = merge_all(changes, world_of(reader.world, reader.groups))
             if outcome(anew) != outcome(view):
                 self.routes.violated(f"{me}: merged from nothing, its {len(changes)} changes come to another")
 
@@ -172,7 +172,7 @@
         """It hears of the newest world, as a gateway does of a transform that was published."""
         if self.runs(reader) and reader.world != self.world:
             reader.world = self.world
-            reader.merge.set_world(world_of(self.world, reader.groups))
+            reader.merge.set_environment(world_of(self.world, reader.groups))
             reader.stale = True
             self._settle(reader)
 
@@ -207,7 +207,7 @@
         if len(old) < SMALL_DROP:
             return
         kept = [change for dot, change in reader.held.items() if dot not in set(old)]
-        after = merged(kept, world_of(reader.world, reader.groups))
+        after = merge_all(kept, world_of(reader.world, reader.groups))
         if outcome(reader.merge.view) != outcome(after):
             self.routes.violated(f"{member.name} drops {old} and its plan is another")
         for dot in old:
--- a/faultlab/storm/cluster/routes_history.py
+++ b/faultlab/storm/cluster/routes_history.py
@@ -12,7 +12,7 @@
 from collections.abc import Callable
 
 from cloverkeel.fleet.ledger.interface import Level
-from cloverkeel.fleet.routes.interface import World
+from cloverkeel.fleet.routes.interface import Environment
 from cloverkeel.fleet.routes.merge import Merge
 
 from faultlab.routes.draw import Names, commit
@@ -39,7 +39,7 @@
     members: int | None = None,
     steps: int | None = None,
     tick_s: float = TICK_S,
-    make: Callable[[World], Merge] = Merge,
+    make: Callable[[Environment], Merge] = Merge,
 ) -> Played:
     """One random history of 5 to 20 members (or so many), mostly of the fewer."""
     rng = random.Random(seed)
--- a/faultlab/storm/cluster/routes_truth.py
+++ b/faultlab/storm/cluster/routes_truth.py
@@ -27,7 +27,7 @@
         tuple(sorted((w.dot, w.route, w.owner, repr(sorted(w.fields.items()))) for w in view.waiting)),
         tuple(sorted(view.held_back)),
         repr([(name, view.routes[name]) for name in sorted(view.routes)]),
-        repr([(name, sorted(view.behind[name])) for name in sorted(view.behind) if view.behind[name]]),
+        repr([(name, sorted(view.precedes[name])) for name in sorted(view.precedes) if view.precedes[name]]),
     )
 
 
@@ -156,7 +156,7 @@
             return bool(route.owner == value)
         decided = route.decided.get(field)
         if decided is None:
-            found = route.values.get(field, route.others.get(field))
+            found = route.values.get(field, route.unknown_fields.get(field))
             return bool(found == value or value in (None, []))
         return any(
             e.value == value for e in held[decided.dot].edits if (e.route, e.field) == (route.name, field)
@@ -166,7 +166,7 @@
 
     def _agreed(self, who: str, view: View) -> None:
         """No blocking conflict is in it, looked for here pair by pair."""
-        for name, behind in view.behind.items():
+        for name, behind in view.precedes.items():
             if name in behind:
                 self.violated(f"{who}: {name} comes before itself")
         for name, route in view.routes.items():
@@ -176,7 +176,7 @@
                 self.violated(f"{who}: {name} names what nobody knows: {route.values}")
         for a, b in itertools.combinations(sorted(view.routes), 2):
             one, two = view.routes[a], view.routes[b]
-            ordered = b in view.behind.get(a, ()) or a in view.behind.get(b, ())
+            ordered = b in view.precedes.get(a, ()) or a in view.precedes.get(b, ())
             if one.owner != two.owner and not ordered and meet(one.values, two.values):
                 self.violated(f"{who}: {a} and {b} match the same requests, of two teams, without order")
 
--- a/tests/routes_histories.py
+++ b/tests/routes_histories.py
@@ -10,14 +10,14 @@
 
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.routes.changes import Accept, Change, Edit
-from cloverkeel.fleet.routes.interface import View, World
+from cloverkeel.fleet.routes.interface import View, Environment
 from cloverkeel.fleet.routes.merge import Merge
 
-WORLD = World(
+WORLD = Environment(
     classes=frozenset({"read", "write"}),
     types=frozenset({"m1", "m2"}),
     transforms={"t1": frozenset({"x-a"}), "t2": frozenset({"x-a", "x-b"}), "t3": frozenset({"x-c"})},
-    room={"m2": 10},
+    capacity={"m2": 10},
     groups=frozenset({"1"}),
 )
 ROUTES, TEAMS, GATEWAYS = ("a", "b", "c"), ("red", "blue", "green"), 3
@@ -95,4 +95,4 @@
 
 def plain(view: View) -> View:
     """All of it that two gateways must have alike."""
-    return replace(view, touched=None)
+    return replace(view, changed_routes=None)
--- a/tests/test_gateway_routes.py
+++ b/tests/test_gateway_routes.py
@@ -8,7 +8,7 @@
 import pytest
 
 from cloverkeel.config import parse
-from cloverkeel.fleet.routes.serving import Serving
+from cloverkeel.fleet.routes.serving import RouteTable
 from cloverkeel.transforms.active import ActiveSet, Installed
 from cloverkeel.transforms.engine import compile
 from cloverkeel.transforms.source import parse as parse_source
@@ -43,9 +43,9 @@
 @on_loop
 async def test_requests_go_to_the_hosts_of_their_route_and_others_to_all() -> None:
     async with peer() as old, peer() as new, running(routed(old, new)) as run:
-        serving = run.gateway.routes = Serving(run.gateway)
+        serving = run.gateway.routes = RouteTable(run.gateway)
         canary = route("canary", classes=["search"], callers=["zeta"], targets=[{"labels": ["new"]}])
-        serving.take(view(canary, route("rest", path="/search", targets=[{"groups": [0]}])))
+        serving.update(view(canary, route("rest", path="/search", targets=[{"groups": [0]}])))
         for _ in range(8):
             assert (await run.ask(request(x_caller="zeta"))).status == 200
         assert (len(old.seen), len(new.seen)) == (0, 8)
@@ -60,8 +60,8 @@
 @on_loop
 async def test_a_limit_refuses_and_a_shorter_deadline_ends_the_wait() -> None:
     async with peer(lambda exchange: None) as host, running(routed(host)) as run:
-        serving = run.gateway.routes = Serving(run.gateway)
-        serving.take(view(route("r", limit=1, deadline_ms=200)))
+        serving = run.gateway.routes = RouteTable(run.gateway)
+        serving.update(view(route("r", limit=1, deadline_ms=200)))
         client = await run.connect()
         client.send(request())
         await until(lambda: host.seen)
@@ -79,21 +79,21 @@
         names = ("a", "b", "c")
         active = ActiveSet(*map(transform, names), *(transform(f"{n}-back", "response") for n in names))
         run.gateway.transforms = active
-        serving = run.gateway.routes = Serving(run.gateway)
+        serving = run.gateway.routes = RouteTable(run.gateway)
         chain = ["c", "gone", "a", "c-back", "a-back"]
         first = route("r", classes=["search"], transforms=chain)
-        serving.take(view(first, route("none", classes=["transfer"], transforms=[])))
+        serving.update(view(first, route("none", classes=["transfer"], transforms=[])))
         client = await run.connect()
         client.send(request())
         other = await run.connect()
         await until(lambda: host.seen)
-        serving.take(view(touched=None))  # a plan without any: what is under way is not touched
+        serving.update(view(touched=None))  # a plan without any: what is under way is not touched
         run.gateway.transforms = None
         host.seen[0].answer(reply())
         answer = await client.answer()
         assert _values(host.seen[0].message.headers) == "a" and _values(answer.headers) == "a-back"
         run.gateway.transforms = active
-        serving.take(view(first, route("none", classes=["transfer"], transforms=[])))
+        serving.update(view(first, route("none", classes=["transfer"], transforms=[])))
         host.script = answers(reply())
         assert "x-by" not in (await other.ask(request("transfer"))).headers
         assert "x-by" not in host.seen[-1].message.headers
@@ -117,8 +117,8 @@
 @on_loop
 async def test_after_a_reconfiguration_routes_go_by_the_new_numbers() -> None:
     async with peer() as old, peer() as new, running(routed(old, new)) as run:
-        serving = run.gateway.routes = Serving(run.gateway)
-        serving.take(view(route("r", targets=[{"types": ["m9"]}])))
+        serving = run.gateway.routes = RouteTable(run.gateway)
+        serving.update(view(route("r", targets=[{"types": ["m9"]}])))
         assert (await run.ask(request())).status == 503
         other = routed(old, new)
         other["settings"]["shapes"] = ["m", "m9"]
@@ -133,6 +133,6 @@
 @on_loop
 async def test_without_a_plan_no_request_has_a_route(routes: bool) -> None:
     async with peer() as host, running(routed(host)) as run:
-        run.gateway.routes = Serving(run.gateway) if routes else None
+        run.gateway.routes = RouteTable(run.gateway) if routes else None
         assert (await run.ask(request())).status == 200
         assert set(run.gateway.balancer.pending_by_route) == {0}
--- a/tests/test_ledger_core.py
+++ b/tests/test_ledger_core.py
@@ -13,7 +13,7 @@
     Action,
     Delete,
     Event,
-    Heard,
+    MessageReceived,
     Level,
     NotConfirmed,
     Persist,
@@ -29,7 +29,7 @@
 from cloverkeel.fleet.ledger.ledger import Ledger
 from cloverkeel.fleet.ledger.limits import Limits
 from cloverkeel.fleet.ledger.messages import Digest, Fetch, Heads, Held, Piece
-from cloverkeel.fleet.ledger.records import Record, digest
+from cloverkeel.fleet.ledger.records import Record, payload_hash
 from cloverkeel.fleet.ledger.replica import Put
 from faultlab.storm.cluster.ledger import TICK_S, Cluster
 from faultlab.storm.cluster.ledger_history import play
@@ -86,9 +86,11 @@
     heads = [s for s in of(Send, actions) if isinstance(s.message, Heads) and s.message.confirm]
     assert {s.member for s in heads} == {"b", "c"} and not of(Acknowledged, actions)
     dot = core.read(*KEY)[0][0][0].dot
-    assert not of(Acknowledged, run(core, Heard("b", Held((dot,)))))
-    assert not of(Acknowledged, run(core, Heard("stranger", Held((dot,)))))
-    assert of(Acknowledged, run(core, Heard("c", Held((dot,))))) == [Acknowledged("w", dot, Level.QUORUM, 3)]
+    assert not of(Acknowledged, run(core, MessageReceived("b", Held((dot,)))))
+    assert not of(Acknowledged, run(core, MessageReceived("stranger", Held((dot,)))))
+    assert of(Acknowledged, run(core, MessageReceived("c", Held((dot,))))) == [
+        Acknowledged("w", dot, Level.QUORUM, 3)
+    ]
 
 
 def test_what_a_quiet_member_says_does_not_grow_with_the_fleet() -> None:
@@ -115,16 +117,16 @@
     run(one, ViewChanged(("b",)))
     run(two, ViewChanged(("a",)))
     write(one, b"x")
-    run(two, Heard("a", Heads((one.read(*KEY)[0][0][0],), payloads=(b"x",))))
+    run(two, MessageReceived("a", Heads((one.read(*KEY)[0][0][0],), payloads=(b"x",))))
     two.replica.context = two.replica.context.add((Dot("c", 5, 1),))  # superseded before it came here
     one.settling.settled = two.settling.settled = True
     said = [send.message for send in of(Send, one.handle(5.0, Tick()))]
     (asked,) = [message for message in said if isinstance(message, Digest)]
-    assert asked.summary and not asked.context.runs
-    (told,) = of(Send, run(two, Heard("a", asked)))
-    (reply,) = of(Send, run(one, Heard("b", told.message)))
-    assert of(Send, run(two, Heard("a", reply.message))) == []
-    assert one.replica.context == two.replica.context and one.heard_contexts["b"] == one.replica.context
+    assert asked.context_hash and not asked.context.runs
+    (told,) = of(Send, run(two, MessageReceived("a", asked)))
+    (reply,) = of(Send, run(one, MessageReceived("b", told.message)))
+    assert of(Send, run(two, MessageReceived("a", reply.message))) == []
+    assert one.replica.context == two.replica.context and one.peer_contexts["b"] == one.replica.context
 
 
 def test_a_level_not_reached_says_so_and_the_write_is_kept() -> None:
@@ -142,8 +144,8 @@
     write(other, b"theirs")
     head = other.read(*KEY)[0][0][0]
     run(core, ViewChanged(("b",)))
-    run(core, Heard("b", Heads((head,))))
-    persist = of(Persist, core.handle(0.0, Heard("b", Piece(head.sha256, 0, 6, b"theirs"))))[0]
+    run(core, MessageReceived("b", Heads((head,))))
+    persist = of(Persist, core.handle(0.0, MessageReceived("b", Piece(head.sha256, 0, 6, b"theirs"))))[0]
     core.handle(0.0, Write("w", "kind", "mine", b"x", Context()))
     again = of(Persist, core.handle(0.0, PersistFailed(persist.batch, "no space")))
     actions = core.handle(0.0, PersistFailed(again[0].batch, "no space"))
@@ -165,16 +167,16 @@
     core = ledger()
     run(core, ViewChanged(("liar", "c")))
     payload = bytes(40_000)
-    head = Record(*KEY, digest(payload), len(payload), Dot("c", 1, 1), Context())
-    (first,) = of(Send, run(core, Heard("liar", Heads((head,)))))
+    head = Record(*KEY, payload_hash(payload), len(payload), Dot("c", 1, 1), Context())
+    (first,) = of(Send, run(core, MessageReceived("liar", Heads((head,)))))
     assert first == Send("liar", Fetch(head.sha256, 0, 32_768))
-    (second,) = of(Send, run(core, Heard("liar", Piece(head.sha256, 0, 40_000, payload[:32_768]))))
-    actions = run(core, Heard("liar", Piece(head.sha256, 32_768, 40_000, b"!" * 7_232)))
+    (second,) = of(Send, run(core, MessageReceived("liar", Piece(head.sha256, 0, 40_000, payload[:32_768]))))
+    actions = run(core, MessageReceived("liar", Piece(head.sha256, 32_768, 40_000, b"!" * 7_232)))
     assert core.intake.fetches.mismatched == 1 and payloads(core) == []
     assert of(Send, actions) == [Send("c", Fetch(head.sha256, 0, 32_768))]
-    run(core, Heard("c", Piece(head.sha256, 0, 40_000, payload[:32_768])))
-    run(core, Heard("liar", Piece(head.sha256, 32_768, 40_000, b"!" * 7_232)))  # not the one asked
-    run(core, Heard("c", Piece(head.sha256, 32_768, 40_000, payload[32_768:])))
+    run(core, MessageReceived("c", Piece(head.sha256, 0, 40_000, payload[:32_768])))
+    run(core, MessageReceived("liar", Piece(head.sha256, 32_768, 40_000, b"!" * 7_232)))  # not the one asked
+    run(core, MessageReceived("c", Piece(head.sha256, 32_768, 40_000, payload[32_768:])))
     assert payloads(core) == [payload]
 
 
@@ -186,17 +188,19 @@
     assert isinstance(told.message, Heads) and told.message.payloads == (b"small",)
     false = Heads(told.message.records, payloads=(b"!mall",))
     sha256 = told.message.records[0].sha256
-    assert of(Send, run(core, Heard("b", false))) == [Send("b", Fetch(sha256, 0, 5))] and not payloads(core)
-    run(core, Heard("b", told.message))  # while it is fetched
-    assert payloads(core) == [b"small"] and not core.intake.fetches.wanted
+    assert of(Send, run(core, MessageReceived("b", false))) == [
+        Send("b", Fetch(sha256, 0, 5))
+    ] and not payloads(core)
+    run(core, MessageReceived("b", told.message))  # while it is fetched
+    assert payloads(core) == [b"small"] and not core.intake.fetches.transfers
 
 
 def test_what_came_since_the_last_tick_is_passed_on_in_one_message_but_to_who_told_of_it() -> None:
     core = ledger(fanout=2)
     run(core, ViewChanged(("b", "c")))
-    records = [Record("kind", f"key{n}", digest(b""), 0, Dot("b", 1, n), Context()) for n in (1, 2)]
+    records = [Record("kind", f"key{n}", payload_hash(b""), 0, Dot("b", 1, n), Context()) for n in (1, 2)]
     for record in records:
-        assert not of(Send, run(core, Heard("b", Heads((record,), fresh=True, payloads=(b"",)))))
+        assert not of(Send, run(core, MessageReceived("b", Heads((record,), fresh=True, payloads=(b"",)))))
     (passed,) = [send for send in of(Send, run(core, Tick())) if isinstance(send.message, Heads)]
     assert passed == Send("c", Heads(tuple(records), fresh=True, payloads=(b"",)))
     assert not [send for send in of(Send, run(core, Tick(), 0.1)) if isinstance(send.message, Heads)]
@@ -205,7 +209,7 @@
 def test_a_local_write_is_told_at_once_to_the_member_that_waits_for_it() -> None:
     core = ledger()
     run(core, ViewChanged(("b", "c", "d")))
-    (told,) = of(Send, write(core, b"x", tell="c"))
+    (told,) = of(Send, write(core, b"x", notify="c"))
     assert told.member == "c" and isinstance(told.message, Heads) and not told.message.confirm
     passed = [send.member for send in of(Send, run(core, Tick())) if isinstance(send.message, Heads)]
     assert sorted(passed) == ["b", "c", "d"]
@@ -216,9 +220,9 @@
     run(core, ViewChanged(("b", "c")))
     for writer, many in (("b", 8), ("c", 2)):
         for n in range(many):
-            record = Record("kind", f"{writer}{n}", digest(b""), 0, Dot(writer, 1, n + 1), Context())
-            run(core, Heard(writer, Heads((record,))))
-            run(core, Heard(writer, Piece(digest(b""), 0, 0, b"")))
+            record = Record("kind", f"{writer}{n}", payload_hash(b""), 0, Dot(writer, 1, n + 1), Context())
+            run(core, MessageReceived(writer, Heads((record,))))
+            run(core, MessageReceived(writer, Piece(payload_hash(b""), 0, 0, b"")))
     assert core.keys("kind") == ["b0", "b1", "b2", "c0", "c1"]
     assert core.intake.counts["over_limits"] == 5
     assert len(core.intake.fetches.pending) == 0
@@ -250,15 +254,15 @@
     write(core, b"x")
     old = core.read(*KEY)[0][0][0]
     run(core, Delete("d", *KEY, core.read(*KEY)[1]))
-    said = Digest(core.replica.digests.root(), core.replica.context, settled=True)
-    run(core, Heard("b", said))
+    said = Digest(core.replica.bucket_hashes.root(), core.replica.context, settled=True)
+    run(core, MessageReceived("b", said))
     run(core, Tick(), 1.0)
     assert payloads(core) == [None]  # c, dead for less than reap_after_s, may not have it
-    run(core, Heard("c", said))
+    run(core, MessageReceived("c", said))
     run(core, Tick(), 2.0)
     assert payloads(core) == []
-    run(core, Heard("b", Heads((old,), fresh=True)))
-    assert payloads(core) == [] and not core.intake.fetches.wanted
+    run(core, MessageReceived("b", Heads((old,), fresh=True)))
+    assert payloads(core) == [] and not core.intake.fetches.transfers
 
 
 def rows(many: int) -> list[Put]:
@@ -267,7 +271,9 @@
     for n in range(many):
         payload = b"payload %d" % n
         dot = Dot(f"w{n % 10}", 1, n // 10 + 1)
-        made.append(Put(Record("kind", f"key{n}", digest(payload), len(payload), dot, Context()), payload))
+        made.append(
+            Put(Record("kind", f"key{n}", payload_hash(payload), len(payload), dot, Context()), payload)
+        )
     return made
 
 
--- a/tests/test_ledger_merge.py
+++ b/tests/test_ledger_merge.py
@@ -10,7 +10,7 @@
 
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.ledger.messages import Digest, Heads, Want, decode, encode
-from cloverkeel.fleet.ledger.records import Record, digest, read_context, siblings
+from cloverkeel.fleet.ledger.records import Record, payload_hash, read_context, siblings
 
 dots = st.builds(Dot, st.sampled_from("abc"), st.integers(1, 2), st.integers(1, 12))
 sets = st.frozensets(dots, max_size=30)
@@ -26,12 +26,12 @@
     a: frozenset[Dot], b: frozenset[Dot], dot: Dot
 ) -> None:
     first, second = Context().add(a), Context().add(sorted(b))
-    assert held(first) == a and first.fault() is None
+    assert held(first) == a and first.invalid_reason() is None
     assert first.merge(second) == second.merge(first) == Context().add(a | b).merge(first)
     assert held(first.merge(second)) == a | b
     assert first.includes(second) == (b <= a)
     assert held(first.without(dot)) == a - {dot}
-    assert held(first.meet(second)) == a & b and first.meet(second).fault() is None
+    assert held(first.intersection(second)) == a & b and first.intersection(second).invalid_reason() is None
     message = Digest(b"root", first, settled=True)
     assert decode(encode(message)) == message
 
@@ -42,7 +42,7 @@
     for n in range(writes):
         part = siblings(rng.sample(records, rng.randint(0, len(records))))
         dot = Dot(rng.choice("abc"), 1, n + 1)
-        records.append(Record("k", "key", digest(b"%d" % n), 1, dot, read_context(part)))
+        records.append(Record("k", "key", payload_hash(b"%d" % n), 1, dot, read_context(part)))
     return records
 
 
@@ -68,8 +68,10 @@
         encode(Digest(b"", Context({("a", 1): (5, 2)}), True)),
         encode(Digest(b"", Context({("a", 1): (1, 2, 3, 4)}), True)),
         encode(Heads((Record("k", "key", b"short", 1, Dot("a", 1, 1), Context()),))),
-        encode(Heads((Record("k", "a\nb", digest(b""), 0, Dot("a", 1, 1), Context()),))),
-        encode(Heads((Record("k", "key", digest(b""), 0, Dot("a", 1, 1), Context({("a", 1): (1, 1)})),))),
+        encode(Heads((Record("k", "a\nb", payload_hash(b""), 0, Dot("a", 1, 1), Context()),))),
+        encode(
+            Heads((Record("k", "key", payload_hash(b""), 0, Dot("a", 1, 1), Context({("a", 1): (1, 1)})),))
+        ),
     ],
 )
 def test_what_is_no_message_is_refused_in_one_line(body: bytes) -> None:
--- a/tests/test_ledger_shell.py
+++ b/tests/test_ledger_shell.py
@@ -11,8 +11,8 @@
 import pytest
 
 from cloverkeel.fleet.ledger.dots import Context
-from cloverkeel.fleet.ledger.interface import Acknowledged, Expose, Level, NotConfirmed, Settings
-from cloverkeel.fleet.ledger.shell import Service, WriteRefused
+from cloverkeel.fleet.ledger.interface import Acknowledged, KeyChanged, Level, NotConfirmed, Settings
+from cloverkeel.fleet.ledger.shell import LedgerService, WriteRefused
 from cloverkeel.fleet.ledger.store import StoreError
 from cloverkeel.fleet.membership.calls import CallFailed
 from cloverkeel.fleet.membership.service import Membership
@@ -24,20 +24,20 @@
 KEY = ("kind", "key")
 
 
-async def service(membership: Membership, directory: Path) -> Service:
+async def service(membership: Membership, directory: Path) -> LedgerService:
     directory.mkdir(exist_ok=True)
     fd = StateStore.take_lock(str(directory))
     assert fd is not None
     state, _ = StateStore.open(str(directory), fd, StoreCounters(), time.time())
     state.prepare()
     state.close()
-    made = Service(membership, str(directory), Settings(digest_s=0.5))
+    made = LedgerService(membership, str(directory), Settings(digest_s=0.5))
     await made.start()
     return made
 
 
 @asynccontextmanager
-async def fleet(tmp_path: Path) -> AsyncIterator[list[Service]]:
+async def fleet(tmp_path: Path) -> AsyncIterator[list[LedgerService]]:
     first = await member("m0")
     members = [first, await member("m1", first.address), await member("m2", first.address)]
     services = [await service(m, tmp_path / m.name) for m in members]
@@ -51,7 +51,7 @@
             each.close()
 
 
-def payloads(made: Service) -> list[bytes | None]:
+def payloads(made: LedgerService) -> list[bytes | None]:
     return [payload for _, payload in made.read(*KEY)[0]]
 
 
@@ -59,8 +59,8 @@
 async def test_a_write_reaches_every_disk_and_concurrent_ones_are_both_kept(tmp_path: Path) -> None:
     async with fleet(tmp_path) as services:
         first, second, third = services
-        shown: list[Expose] = []
-        third.on_expose(shown.append)
+        shown: list[KeyChanged] = []
+        third.on_key_changed(shown.append)
         large = bytes(range(256)) * 1024
         answer = await first.write(*KEY, large, Context(), Level.ALL)
         assert isinstance(answer, Acknowledged) and answer.held == 3
@@ -112,5 +112,5 @@
 async def test_without_a_state_file_no_ledger_begins(tmp_path: Path) -> None:
     alone = await member("m0")
     with pytest.raises(StoreError):
-        await Service(alone, str(tmp_path), Settings()).start()
+        await LedgerService(alone, str(tmp_path), Settings()).start()
     alone.close()
--- a/tests/test_ledger_store.py
+++ b/tests/test_ledger_store.py
@@ -13,7 +13,7 @@
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.ledger.interface import Persist, Persisted, PersistFailed
 from cloverkeel.fleet.ledger.reader import Reader
-from cloverkeel.fleet.ledger.records import Record, digest
+from cloverkeel.fleet.ledger.records import Record, payload_hash
 from cloverkeel.fleet.ledger.replica import Put
 from cloverkeel.fleet.ledger.store import Store, StoreError, Writer
 from cloverkeel.fleet.state import FILE, StoreCounters, verify
@@ -32,7 +32,7 @@
 
 
 def put(counter: int, payload: bytes | None) -> Put:
-    named = (b"", 0) if payload is None else (digest(payload), len(payload))
+    named = (b"", 0) if payload is None else (payload_hash(payload), len(payload))
     dot = Dot("a", 2**62 - 1, counter)
     return Put(Record("k", f"key{counter}", *named, dot, Context(), payload is None), payload or b"")
 
@@ -82,15 +82,15 @@
     directory: str, damage: str, left: list[int], covered: list[int], finding: str
 ) -> None:
     store = Store(directory)
-    named = store.load().disk
+    named = store.load().store_id
     store.write(batch([put(1, b"x"), put(2, b"y"), put(3, b"z")]))
-    assert store.load().disk == named > 0
+    assert store.load().store_id == named > 0
     store.close()
     store, counters, context, findings = reopened(directory, damage)
     assert counters == left
     assert context == Context().add(Dot("a", 2**62 - 1, n) for n in covered)
     assert finding in findings[0]
-    assert store.load().disk not in (0, named)  # what it forgot it may have promised by
+    assert store.load().store_id not in (0, named)  # what it forgot it may have promised by
     store.write(batch([put(2, b"y")]))
     assert store.load().findings == []
 
@@ -100,7 +100,7 @@
         Store(str(tmp_path / "nowhere"))
     Store(directory).close()
     with pytest.raises(StoreError, match="schema"):
-        later = "'" + digest(b"2").hex() + "'"
+        later = "'" + payload_hash(b"2").hex() + "'"
         reopened(directory, f"UPDATE ledger_meta SET value = x'32', sha256 = {later} WHERE key = 'schema'")
 
 
--- a/tests/test_routes_conflicts.py
+++ b/tests/test_routes_conflicts.py
@@ -13,10 +13,10 @@
 
 from cloverkeel.fleet.ledger.dots import Dot
 from cloverkeel.fleet.routes.changes import Accept, Edit
-from cloverkeel.fleet.routes.interface import Conflict, View, World
-from cloverkeel.fleet.routes.merge import Merge, merged
-from cloverkeel.fleet.routes.order import Order
-from cloverkeel.fleet.routes.overlaps import Overlaps, match_of
+from cloverkeel.fleet.routes.interface import Conflict, View, Environment
+from cloverkeel.fleet.routes.merge import Merge, merge_all
+from cloverkeel.fleet.routes.order import RouteOrder
+from cloverkeel.fleet.routes.overlaps import Overlaps, match_rule
 from tests.routes_histories import WORLD, History, histories, plain, play
 
 
@@ -31,8 +31,8 @@
             self.hear(gateway, 1 - gateway)
         return self.view()
 
-    def view(self, world: World = WORLD) -> View:
-        return merged(self.changes, world)
+    def view(self, world: Environment = WORLD) -> View:
+        return merge_all(self.changes, world)
 
 
 def kinds(view: View) -> list[tuple[str, tuple[str, ...]]]:
@@ -195,7 +195,7 @@
     assert view.held_back == (dot,) and set(view.routes) == {"a"}
     site.write(1, "blue", "b", before=["a"])
     view = site.heal()
-    assert view.conflicts == () and view.behind == {"b": frozenset({"a"})}
+    assert view.conflicts == () and view.precedes == {"b": frozenset({"a"})}
     site.write(0, "red", "a", classes=["write"], zones=["z"])
     site.write(0, "blue", "b", before=None, classes=["read"])
     assert site.heal().conflicts == ()
@@ -218,13 +218,13 @@
     before = site.view().hash
     site.write(0, "red", "a", later={"k": [1]})
     view = site.view()
-    assert view.hash != before and view.routes["a"].others == {"later": {"k": [1]}}
+    assert view.hash != before and view.routes["a"].unknown_fields == {"later": {"k": [1]}}
 
 
 WORLDS = (
     WORLD,
-    World(),
-    replace(WORLD, classes=frozenset({"read"}), room={}),
+    Environment(),
+    replace(WORLD, classes=frozenset({"read"}), capacity={}),
     replace(WORLD, groups=frozenset({"2"}), labels=frozenset()),
 )
 
@@ -232,21 +232,21 @@
 @settings(max_examples=60, deadline=None)
 @given(histories(), st.lists(st.sampled_from(WORLDS), min_size=1, max_size=3))
 def test_a_world_that_changes_gives_what_the_rebuild_under_it_gives(
-    history: History, worlds: list[World]
+    history: History, worlds: list[Environment]
 ) -> None:
     merge = Merge(WORLD)
     for change in history.changes:
         merge.add(change)
     play(merge)
     for world in worlds:
-        merge.set_world(world)
-        assert plain(play(merge)) == plain(merged(history.changes, world))
+        merge.set_environment(world)
+        assert plain(play(merge)) == plain(merge_all(history.changes, world))
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.randoms(use_true_random=False))
 def test_overlaps_and_order_kept_under_edits_are_those_of_every_pair(chance: random.Random) -> None:
-    order = Order()
+    order = RouteOrder()
     overlaps = Overlaps(order)
     names = [f"r{number}" for number in range(12)]
     every = [f"k{number}" for number in range(70)]
@@ -264,17 +264,17 @@
             values["before"] = chance.sample(names, chance.randrange(3))
             site = Site()
             site.write(0, chance.choice(("red", "blue")), name, **values)
-            if (view := site.view(World()).routes.get(name)) is None:  # before itself
+            if (view := site.view(Environment()).routes.get(name)) is None:  # before itself
                 continue
             views[name] = view
-            overlaps.put(name, match_of(views[name]))
+            overlaps.put(name, match_rule(views[name]))
             order.put(name, views[name].values.get("before", ()))
         for part in (order, overlaps):
-            overlaps.again(order.changed)
+            overlaps.invalidate(order.changed)
             for _ in part.settle():
                 pass
         reach = {name: _reach(name, views) for name in views}
-        assert order.behind == {name: found for name, found in reach.items() if found}
+        assert order.precedes == {name: found for name, found in reach.items() if found}
         pairs = {name: {b for b in views if _clash(views, reach, name, b)} for name in views}
         assert overlaps.pairs == {name: found for name, found in pairs.items() if found}
 
--- a/tests/test_routes_files.py
+++ b/tests/test_routes_files.py
@@ -16,11 +16,11 @@
 from cloverkeel.fleet.routes.files import (
     BASE_MAX,
     FileError,
-    based_on,
+    base_after_commit,
     difference,
     export,
     parse,
-    rebased,
+    replace_base,
 )
 from cloverkeel.fleet.routes.interface import RouteView, View
 
@@ -62,7 +62,7 @@
         Edit("a", "limit", 1), Edit("a", "owner", "cards"), Edit("b", "owner", "x"),
     )  # fmt: skip
     change = Change(dot=Dot("g1", 3, 1), context=Context(), team="cards", edits=edits)
-    again = rebased(text, based_on(file, change))
+    again = replace_base(text, base_after_commit(file, change))
     assert again.startswith('# mine\nteam = "cards"  # us\nbase = "') and again.endswith(
         text[text.index("[") :]
     )
@@ -72,7 +72,7 @@
     assert later.base is not None and later.base.context.covers(change.dot)
     second = Change(dot=Dot("g1", 3, 2), context=later.base.context, team="cards", edits=difference(later))
     assert decode(encode(second)) == second
-    assert rebased(again, "new") == again.replace(based_on(file, change), "new")
+    assert replace_base(again, "new") == again.replace(base_after_commit(file, change), "new")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_routes_found.py
+++ b/tests/test_routes_found.py
@@ -8,8 +8,8 @@
 
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.routes.changes import DELETED, Accept, Change, Edit
-from cloverkeel.fleet.routes.interface import World
-from cloverkeel.fleet.routes.merge import Merge, merged
+from cloverkeel.fleet.routes.interface import Environment
+from cloverkeel.fleet.routes.merge import Merge, merge_all
 
 OVER = [{"groups": ["0"], "share": 60}, {"groups": ["1"], "share": 60}]
 
@@ -29,7 +29,7 @@
 def test_a_dispute_whose_resolution_is_held_back_is_told() -> None:
     red, blue = change(1, "red", owner="red", note="a"), change(2, "blue", owner="blue", path="/b")
     both = change(3, "red", (red, blue), owner="red", targets=OVER)
-    view = merged([red, blue, both], World())
+    view = merge_all([red, blue, both], Environment())
     assert view.held_back == (both.dot,) and "r" not in view.routes
     assert {(c.kind, c.field) for c in view.conflicts} == {("shares", "targets"), ("field", "owner")}
 
@@ -38,7 +38,7 @@
     red = change(1, "red", owner="red", path="/a")
     blue = change(2, "blue", (red,), note="from blue")
     accept = change(3, "red", (red, blue), blue, targets=OVER)
-    view = merged([red, blue, accept], World())
+    view = merge_all([red, blue, accept], Environment())
     assert view.held_back == (accept.dot,) and "note" not in view.routes["r"].values
     assert [(w.dot, dict(w.fields)) for w in view.waiting] == [(blue.dot, {"note": "from blue"})]
 
@@ -49,13 +49,13 @@
     edit = change(3, "red", (red, gone), note="after")
     accept = change(4, "red", (red, gone, edit), gone)
     after = change(5, "red", (red, gone, edit, accept), limit=3)
-    view = merged([red, gone, edit, accept, after], World())
+    view = merge_all([red, gone, edit, accept, after], Environment())
     assert view.routes["r"].owner == "red" and not view.waiting and not view.conflicts
     assert dict(view.routes["r"].values) == {"owner": "red", "note": "after", "limit": 3}
 
 
 def test_a_crowded_route_that_goes_to_another_owner_keeps_its_conflict() -> None:
-    world, targets = World(room={"m": 1}), [{"types": ["m"], "share": 100}]
+    world, targets = Environment(capacity={"m": 1}), [{"types": ["m"], "share": 100}]
     merge = Merge(world)
     made = change(1, "red", owner="red", path="/r", limit=5, targets=targets)
     other = replaced(change(2, "blue", owner="blue", path="/q", limit=5, targets=targets), "q")
@@ -69,7 +69,7 @@
         for _ in merge.settle():
             pass
     (crowded,) = merge.view.conflicts
-    assert crowded.kind == "room" and crowded == merged([made, other, moved, gone], world).conflicts[0]
+    assert crowded.kind == "room" and crowded == merge_all([made, other, moved, gone], world).conflicts[0]
 
 
 def replaced(change: Change, route: str) -> Change:
--- a/tests/test_routes_index.py
+++ b/tests/test_routes_index.py
@@ -18,9 +18,9 @@
 from cloverkeel.host_entries import name_id, parse_entry
 from cloverkeel.fleet.ledger.dots import Context
 from cloverkeel.fleet.routes.fields import canonical
-from cloverkeel.fleet.routes.index import Index, Matched, segments_of
+from cloverkeel.fleet.routes.index import Index, MatchedRoute, path_segments
 from cloverkeel.fleet.routes.interface import RouteView, View
-from cloverkeel.fleet.routes.serving import AT_ONCE, Serving, compile_route
+from cloverkeel.fleet.routes.serving import INLINE_MAX, RouteTable, compile_route
 from faultlab import lookups
 from faultlab.__main__ import main
 from tests.sockets import on_loop, until
@@ -48,7 +48,7 @@
     return index
 
 
-def name_of(matched: Matched | None) -> str | None:
+def name_of(matched: MatchedRoute | None) -> str | None:
     return matched.name if matched is not None else None
 
 
@@ -64,10 +64,10 @@
     routes: list[RouteView], before: Mapping[str, frozenset[str]], klass: str, caller: str, path: str
 ) -> str | None:
     """Of all routes that match, those that none of them comes before; of these the most specific."""
-    asked = segments_of(path.encode())
+    asked = path_segments(path.encode())
 
     def prefix(each: RouteView) -> list[bytes]:
-        return segments_of((each.values.get("path") or "").encode())
+        return path_segments((each.values.get("path") or "").encode())
 
     def matches(each: RouteView) -> bool:
         v = each.values
@@ -104,7 +104,7 @@
         nexts = [f"r{after}" for before, after in pairs if before == first < after]
         behind[f"r{first}"] = frozenset(nexts).union(*(behind[name] for name in nexts))
     index = filled(*routes, *routes)  # put twice
-    index.order(behind)
+    index.set_precedence(behind)
     left = [each for n, each in enumerate(routes) if n not in gone]
     expected = slowly(left, behind, klass, caller, path)
     for number in gone:
@@ -174,9 +174,9 @@
         self.seen.append(len(self.serving.index))
 
 
-def serving() -> tuple[Any, Serving]:
+def serving() -> tuple[Any, RouteTable]:
     gateway: Any = Gateway()
-    gateway.serving = Serving(gateway)
+    gateway.serving = RouteTable(gateway)
     return gateway, gateway.serving
 
 
@@ -184,21 +184,21 @@
 async def test_views_follow_each_other_and_a_route_keeps_its_number() -> None:
     gateway, served = serving()
     first = view(route("a", classes=["pay"]), route("b", path="/b"), route("far", zones=["z2"]))
-    served.take(first)
+    served.update(first)
     a, b = served.find(b"pay", b"", b"/pay"), served.find(b"x", b"", b"/b")
     assert a is not None and b is not None and set(gateway.plans[-1]) == {a.number, b.number}
     other = route("a", classes=["pay"], attempts=1, transforms=[])
     was = gateway.plans[-1]
-    served.take(view(other, route("c", path="/c"), touched={"a", "b", "c"}))
+    served.update(view(other, route("c", path="/c"), touched={"a", "b", "c"}))
     again, c = served.find(b"pay", b"", b"/pay"), served.find(b"x", b"", b"/c/d")
     assert again is not None and again.number == a.number and (a.chain, again.chain) == (None, ())
     assert c is not None and c.number not in was and served.find(b"x", b"", b"/b") is None
     assert gateway.plans[-1] == {a.number: Route(max_attempts=1), c.number: Route()}
     assert set(was) == {a.number, b.number}  # what the module held did not change under it
     gateway.settings.zone = 1
-    served.follow()
+    served.reconfigure()
     assert set(served.numbers) == {"a", "c"} and gateway.plans[-1] == gateway.plans[-2]
-    served.take(view(touched=None))
+    served.update(view(touched=None))
     assert served.find(b"pay", b"", b"/pay") is None and gateway.plans[-1] == {} and not served.numbers
 
 
@@ -206,16 +206,16 @@
 async def test_many_routes_are_built_aside_and_come_into_service_at_once() -> None:
     gateway, served = serving()
     many = [route(f"r{n:04}", path=f"/p/{n}", targets=[{"groups": [str(n)]}]) for n in range(4_000)]
-    served.take(view(*many))
+    served.update(view(*many))
     assert served.building is not None and served.find(b"x", b"", b"/p/7") is None and not gateway.plans
     more = [*many, route("new", path="/new")]
-    served.take(view(*more, touched={"new"}))  # while the first is being built
-    served.take(view(*more[1:], touched={"r0000"}))
+    served.update(view(*more, touched={"new"}))  # while the first is being built
+    served.update(view(*more[1:], touched={"r0000"}))
     await until(lambda: len(gateway.plans) == 2)
     assert gateway.seen == [4_000, 4_000] and [len(plan) for plan in gateway.plans] == gateway.seen
     assert served.find(b"x", b"", b"/new") and served.find(b"x", b"", b"/p/0") is None
-    fewer = more[1 : -AT_ONCE - 1]
-    served.take(view(*fewer, touched={each.name for each in more if each not in fewer}))
+    fewer = more[1 : -INLINE_MAX - 1]
+    served.update(view(*fewer, touched={each.name for each in more if each not in fewer}))
     await until(lambda: len(gateway.plans) == 3)
     assert gateway.seen[-1] == len(fewer) == len(served.numbers)
 
--- a/tests/test_routes_merge.py
+++ b/tests/test_routes_merge.py
@@ -11,7 +11,7 @@
 
 from cloverkeel.fleet.ledger.dots import Dot
 from cloverkeel.fleet.routes.interface import View
-from cloverkeel.fleet.routes.merge import Merge, merged
+from cloverkeel.fleet.routes.merge import Merge, merge_all
 
 
 @settings(max_examples=100, deadline=None)
@@ -26,7 +26,7 @@
         if chance.random() < 0.4:
             for _ in islice(merge.settle(), chance.randrange(12)):  # some are left off half-way
                 pass
-    assert plain(play(merge)) == plain(merged(history.changes, WORLD))
+    assert plain(play(merge)) == plain(merge_all(history.changes, WORLD))
 
 
 @settings(max_examples=60, deadline=None)
@@ -37,9 +37,9 @@
     for at, change in enumerate(history.changes):
         merge.add(change)
         after = play(merge)
-        assert plain(after) == plain(merged(history.changes[: at + 1], WORLD))
+        assert plain(after) == plain(merge_all(history.changes[: at + 1], WORLD))
         names = {*before.routes, *after.routes}
-        assert after.touched == frozenset(
+        assert after.changed_routes == frozenset(
             each for each in names if before.routes.get(each) != after.routes.get(each)
         )
         before = after
@@ -72,7 +72,7 @@
             route = view.routes.get(edit.route)
             if route is None and ((edit.route, "owner") in disputed or edit.route in held):
                 continue  # shown as not in service, or what ended that is held back
-            values = {} if route is None else {**route.others, **route.values}
+            values = {} if route is None else {**route.unknown_fields, **route.values}
             if edit.field == "deleted":
                 made_anew = any(e.route == edit.route and e.field != "deleted" for e in change.edits)
                 kept = edit.value is not True or route is None or made_anew
@@ -86,14 +86,14 @@
 @settings(max_examples=100, deadline=None)
 @given(histories())
 def test_an_edit_is_never_gone(history: History) -> None:
-    view = merged(history.changes, WORLD)
+    view = merge_all(history.changes, WORLD)
     assert lost(history, view) == []
 
 
 @settings(max_examples=100, deadline=None)
 @given(histories())
 def test_no_side_of_a_field_conflict_had_seen_another(history: History) -> None:
-    view, by_dot = merged(history.changes, WORLD), {change.dot: change for change in history.changes}
+    view, by_dot = merge_all(history.changes, WORLD), {change.dot: change for change in history.changes}
     for conflict in view.conflicts:
         sides = [by_dot[choice.dot] for choice in conflict.choices if conflict.kind == "field"]
         assert not any(one.context.covers(two.dot) for one in sides for two in sides)
@@ -103,9 +103,14 @@
 @settings(max_examples=100, deadline=None)
 @given(histories())
 def test_a_change_is_in_service_whole_or_not_at_all(history: History) -> None:
-    view = merged(history.changes, WORLD)
-    kept = merged([change for change in history.changes if change.dot not in view.held_back], WORLD)
-    assert (kept.hash, kept.routes, kept.behind, kept.held_back) == (view.hash, view.routes, view.behind, ())
+    view = merge_all(history.changes, WORLD)
+    kept = merge_all([change for change in history.changes if change.dot not in view.held_back], WORLD)
+    assert (kept.hash, kept.routes, kept.precedes, kept.held_back) == (
+        view.hash,
+        view.routes,
+        view.precedes,
+        (),
+    )
     assert not any(conflict.severity == "blocking" for conflict in kept.conflicts)
 
 
@@ -120,4 +125,6 @@
     for dot in dots:
         merge.drop(dot)
     assert plain(play(merge)) == plain(before)
-    assert plain(merged([each for each in history.changes if each.dot not in dots], WORLD)) == plain(before)
+    assert plain(merge_all([each for each in history.changes if each.dot not in dots], WORLD)) == plain(
+        before
+    )
--- a/tests/test_routes_shell.py
+++ b/tests/test_routes_shell.py
@@ -15,15 +15,15 @@
 from cloverkeel.config import parse
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.ledger.interface import Acknowledged, Level
-from cloverkeel.fleet.ledger.shell import Service
+from cloverkeel.fleet.ledger.shell import LedgerService
 from cloverkeel.fleet.routes import shell as routes_shell
 from cloverkeel.fleet.routes.changes import DELETED, KIND, Change, Edit, encode, key_of
-from cloverkeel.fleet.routes.interface import Choice, Conflict, RouteView, View, World
+from cloverkeel.fleet.routes.interface import Choice, Conflict, RouteView, View, Environment
 from cloverkeel.fleet.routes.merge import Merge
-from cloverkeel.fleet.routes.resolving import How, dot_of, edits_of, faults
-from cloverkeel.fleet.routes.shell import Routes
-from cloverkeel.fleet.routes.telling import LINES_MAX, Telling, teller
-from cloverkeel.fleet.routes.world import Worlds, world_of
+from cloverkeel.fleet.routes.resolution import Resolution, parse_change_name, resolution_edits, edit_faults
+from cloverkeel.fleet.routes.shell import RoutesService
+from cloverkeel.fleet.routes.conflict_log import LINES_MAX, ConflictLog, logging_member
+from cloverkeel.fleet.routes.environment import GatewayEnvironment, environment_of
 from cloverkeel.transforms.activation.records import Order
 from tests.sockets import configuration, on_loop, until
 from tests.test_ledger_shell import fleet
@@ -32,16 +32,16 @@
 class Fixed:
     """A world that is told once."""
 
-    def __init__(self, world: World) -> None:
-        self.world: World | None = world
+    def __init__(self, world: Environment) -> None:
+        self.world: Environment | None = world
 
-    async def changed(self) -> World | None:
+    async def poll_changed(self) -> Environment | None:
         world, self.world = self.world, None
         return world
 
 
 @asynccontextmanager
-async def merging(tmp_path: Path) -> AsyncIterator[tuple[list[Routes], list[Service]]]:
+async def merging(tmp_path: Path) -> AsyncIterator[tuple[list[RoutesService], list[LedgerService]]]:
     async with fleet(tmp_path) as services:
         made = [begun(service) for service in services]
         try:
@@ -52,24 +52,24 @@
                 each.close()
 
 
-def begun(service: Service, world: World = World()) -> Routes:  # noqa: B008
-    made = Routes(service, Fixed(world), lambda: Merge(World()), lambda view: None)
+def begun(service: LedgerService, world: Environment = Environment()) -> RoutesService:  # noqa: B008
+    made = RoutesService(service, Fixed(world), lambda: Merge(Environment()), lambda view: None)
     made.start()
     return made
 
 
-async def write(routes: Routes, team: str, context: Context, *edits: Edit) -> Change:
+async def write(routes: RoutesService, team: str, context: Context, *edits: Edit) -> Change:
     change, answer = await routes.commit(team, edits, (), context, Level.ALL, 5.0)
     assert isinstance(answer, Acknowledged)
     return change
 
 
-def at(routes: Routes) -> View:
+def at(routes: RoutesService) -> View:
     assert routes.view is not None
     return routes.view
 
 
-async def agreed(all_: list[Routes], *dots: Dot) -> View:
+async def agreed(all_: list[RoutesService], *dots: Dot) -> View:
     """The view, once all have taken in these changes and have the same plan and conflicts."""
     await until(lambda: all(at(each).context.covers(dot) for each in all_ for dot in dots))
     assert len({(at(each).hash, tuple(c.id for c in at(each).conflicts)) for each in all_}) == 1
@@ -86,7 +86,7 @@
 ) -> None:
     async with fleet(tmp_path) as services:
         served: list[View] = []
-        routes = Routes(services[0], Fixed(World()), lambda: Merge(World()), served.append)
+        routes = RoutesService(services[0], Fixed(Environment()), lambda: Merge(Environment()), served.append)
         settling = services[0].core.settling  # type: ignore[union-attr]
         await until(lambda: settling.settled)
         settling.settled = False
@@ -98,7 +98,7 @@
         assert "r" in at(routes).routes and len(served) == 1
         settling.settled = True
         await until(lambda: len(served) == 2)
-        assert "r" in served[1].routes and served[1].touched is None
+        assert "r" in served[1].routes and served[1].changed_routes is None
         routes.close()
 
 
@@ -118,7 +118,7 @@
         view = await agreed(all_, one.dot, two.dot)
         assert dict(view.routes["r"].values) == {"limit": 1, "note": "more", "owner": "pay"}
         (conflict,) = view.conflicts
-        edits = edits_of(conflict, How("take", 2), view)
+        edits = resolution_edits(conflict, Resolution("take", 2), view)
         assert edits == (Edit("r", "limit", conflict.choices[1].value),)
         last = await write(third, "pay", view.context, *edits)
         assert (await agreed(all_, last.dot)).conflicts == ()
@@ -142,11 +142,11 @@
         first = all_[0]
         made = await write(first, "pay", Context(), *new("r", "pay", limit=1))
         fresh = new("other", "cards", limit=1)
-        assert first.context_of(Context(), fresh).covers(made.dot)
-        assert first.context_of(Context(), new("r", "cards")) == Context()
-        later = await write(first, "cards", first.context_of(Context(), fresh), *fresh)
+        assert first.commit_context(Context(), fresh).covers(made.dot)
+        assert first.commit_context(Context(), new("r", "cards")) == Context()
+        later = await write(first, "cards", first.commit_context(Context(), fresh), *fresh)
         seen = Context().add((made.dot,))
-        assert first.context_of(seen, (Edit("r", DELETED, True),)).covers(later.dot)
+        assert first.commit_context(seen, (Edit("r", DELETED, True),)).covers(later.dot)
 
 
 @on_loop
@@ -173,8 +173,8 @@
 async def test_what_is_superseded_twice_is_dropped_by_the_first_member_and_the_plan_stays(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(routes_shell, "DROP_S", 0.0)
-    monkeypatch.setattr(routes_shell, "LOOK_S", 0.01)
+    monkeypatch.setattr(routes_shell, "DROP_INTERVAL_S", 0.0)
+    monkeypatch.setattr(routes_shell, "POLL_S", 0.01)
     monkeypatch.setattr(routes_shell, "DROP_MIN", 2)
     async with merging(tmp_path) as (all_, services):
         first, second, _ = all_
@@ -182,7 +182,7 @@
         for limit in range(2, 9):
             made = await write(second, "pay", at(second).context, Edit("r", "limit", limit))
         await until(lambda: first.counts["dropped"])
-        await until(lambda: all(len(each.held) <= 5 for each in all_))
+        await until(lambda: all(len(each.changes) <= 5 for each in all_))
         view = await agreed(all_, made.dot)
         assert view.routes["r"].values["limit"] == 8 and not second.counts["dropped"]
         again = begun(services[2])
@@ -191,7 +191,7 @@
         again.close()
 
 
-WORLD = World(classes=frozenset({"transfer"}))
+WORLD = Environment(classes=frozenset({"transfer"}))
 SIDES = (Choice(Dot("a", 1, 1), "pay", 5), Choice(Dot("b", 1, 1), "pay", 7))
 
 
@@ -207,37 +207,45 @@
 @pytest.mark.parametrize(
     ("found", "how", "edits"),
     [
-        (conflict("field", "r"), How("take", 2), [Edit("r", "limit", 7)]),
-        (conflict("field", "r"), How("value", value="9"), [Edit("r", "limit", 9)]),
-        (conflict("delete", "r", field=DELETED), How("keep"), [Edit("r", DELETED, False)]),
-        (conflict("delete", "r", field=DELETED), How("delete"), [Edit("r", DELETED, True)]),
-        (conflict("overlap", "a", "b", field=""), How("take", 1), [Edit("a", "before", ["b", "c"])]),
-        (conflict("overlap", "a", "b", field=""), How("take", 2), [Edit("b", "before", ["a"])]),
-        (conflict("unknown", "r", field="zones"), How("value", value='["x"]'), [Edit("r", "zones", ["x"])]),
-        (conflict("field", "r"), How("take", 3), "take is 1 to 2"),
-        (conflict("field", "r"), How("value", value="]"), "not TOML"),
-        (conflict("field", "r"), How("value", value="0"), "a whole number from 1"),
-        (conflict("field", "r"), How("keep"), "keep is for a delete conflict"),
-        (conflict("overlap", "a", "b", field=""), How("delete"), "delete is for a conflict of one route"),
-        (conflict("room", "a", "b", field="limit:m"), How("value", value="1"), "has no one value"),
-        (conflict("cycle", "a", "b", field="before"), How("take", 1), "has no sides"),
+        (conflict("field", "r"), Resolution("take", 2), [Edit("r", "limit", 7)]),
+        (conflict("field", "r"), Resolution("value", value="9"), [Edit("r", "limit", 9)]),
+        (conflict("delete", "r", field=DELETED), Resolution("keep"), [Edit("r", DELETED, False)]),
+        (conflict("delete", "r", field=DELETED), Resolution("delete"), [Edit("r", DELETED, True)]),
+        (conflict("overlap", "a", "b", field=""), Resolution("take", 1), [Edit("a", "before", ["b", "c"])]),
+        (conflict("overlap", "a", "b", field=""), Resolution("take", 2), [Edit("b", "before", ["a"])]),
+        (
+            conflict("unknown", "r", field="zones"),
+            Resolution("value", value='["x"]'),
+            [Edit("r", "zones", ["x"])],
+        ),
+        (conflict("field", "r"), Resolution("take", 3), "take is 1 to 2"),
+        (conflict("field", "r"), Resolution("value", value="]"), "not TOML"),
+        (conflict("field", "r"), Resolution("value", value="0"), "a whole number from 1"),
+        (conflict("field", "r"), Resolution("keep"), "keep is for a delete conflict"),
+        (
+            conflict("overlap", "a", "b", field=""),
+            Resolution("delete"),
+            "delete is for a conflict of one route",
+        ),
+        (conflict("room", "a", "b", field="limit:m"), Resolution("value", value="1"), "has no one value"),
+        (conflict("cycle", "a", "b", field="before"), Resolution("take", 1), "has no sides"),
     ],
 )  # fmt: skip
-def test_a_word_on_a_conflict_is_an_edit_or_a_line(found: Conflict, how: How, edits: Any) -> None:
+def test_a_word_on_a_conflict_is_an_edit_or_a_line(found: Conflict, how: Resolution, edits: Any) -> None:
     view = plan(a={"before": ["c"]}, b={})
     if isinstance(edits, str):
         with pytest.raises(ValueError, match=edits):
-            edits_of(found, how, view)
+            resolution_edits(found, how, view)
     else:
-        assert edits_of(found, how, view) == tuple(edits)
+        assert resolution_edits(found, how, view) == tuple(edits)
 
 
 def test_a_change_s_name_is_read_as_it_is_shown() -> None:
     dot = Dot("a/b", 0xFEED, 12)
-    assert dot_of(key_of(dot)) == dot
+    assert parse_change_name(key_of(dot)) == dot
     for text in ("", "a", "a/1", "a/x/y/z", "/1/1", "a/0/1", "a/1/0", "a/1/-1"):
         with pytest.raises(ValueError, match="names no change"):
-            dot_of(text)
+            parse_change_name(text)
 
 
 def test_a_file_that_leaves_a_class_without_hosts_is_told_from_one_that_does_not() -> None:
@@ -245,13 +253,13 @@
 
     def why(view: View = plan(), **values: Any) -> str:  # noqa: B008
         return "; ".join(
-            faults(view, [Edit("r", name, value) for name, value in values.items()], rows, WORLD)
+            edit_faults(view, [Edit("r", name, value) for name, value in values.items()], rows, WORLD)
         )
 
     nowhere = [{"groups": ["9"], "share": 100}]
     assert "transfer would be without hosts" in why(classes=["transfer"], targets=nowhere)
     assert "every class" in why(plan(r={"targets": nowhere}), limit=3)
-    assert not faults(plan(), [Edit("r", "targets", nowhere)], [], WORLD)  # no list: nothing is known
+    assert not edit_faults(plan(), [Edit("r", "targets", nowhere)], [], WORLD)  # no list: nothing is known
     assert "classes that the settings do not have: other" in why(classes=["other"])
     assert "110 %" in why(targets=[{"groups": ["1"], "share": 40}, {"groups": ["2"], "share": 70}])
     assert not why(plan(r={"classes": ["other"]}), limit=3)  # it stood there before
@@ -267,34 +275,36 @@
 def test_who_tells_and_how_much() -> None:
     ids = [f"{n:016x}" for n in range(300)]
     live = frozenset({"a", "b", "c"})
-    tellers = [teller(id, live) for id in ids]
+    tellers = [logging_member(id, live) for id in ids]
     assert {name: tellers.count(name) for name in live}.keys() == live and min(map(tellers.count, live)) > 50
-    assert all(teller(id, live - {"c"}) == told for id, told in zip(ids, tellers, strict=True) if told != "c")
+    assert all(
+        logging_member(id, live - {"c"}) == told for id, told in zip(ids, tellers, strict=True) if told != "c"
+    )
     many = [Conflict(id, "field", "held", ("r",), "f", ("t",), (), "w") for id in ids]
-    telling = Telling("a")
-    assert not list(telling.take(many[:1], live))  # the first view: told in a life before
-    lines = list(telling.take(many, live))
+    telling = ConflictLog("a")
+    assert not list(telling.update(many[:1], live))  # the first view: told in a life before
+    lines = list(telling.update(many, live))
     assert len(lines) == LINES_MAX + 1 and lines[-1].name == "routes.untold"
     own = Conflict("x", "absent", "warning", ("r",), "f", ("t",), (), "w", local=True)
-    assert {line.name for line in telling.take([*many, own], live)} == {"routes.conflict"}
+    assert {line.name for line in telling.update([*many, own], live)} == {"routes.conflict"}
 
 
 def test_the_world_is_of_the_settings_the_list_and_what_is_published() -> None:
     raw = configuration()
     config = parse(raw)
     rows: list[dict[str, Any]] = [{"group": 3, "labels": ["new", "big"]}, {"group": "x"}, {}]
-    world = world_of(config.names, {"m": 9}, rows, {"t": frozenset({"x-a"})})
-    assert world == World(
+    world = environment_of(config.names, {"m": 9}, rows, {"t": frozenset({"x-a"})})
+    assert world == Environment(
         classes=frozenset({"search", "hold", "transfer"}),
         callers=frozenset({"acme", "zeta"}),
         zones=frozenset({"a", "b"}),
         types=frozenset({"m"}),
         transforms={"t": frozenset({"x-a"})},
-        room={"m": 9},
+        capacity={"m": 9},
         groups=frozenset({"3", "x", "0"}),
         labels=frozenset({"new", "big"}),
     )
-    nothing = world_of(config.names, {}, [], None)
+    nothing = environment_of(config.names, {}, [], None)
     assert [nothing.groups, nothing.labels, nothing.transforms] == [None, None, None]
 
 
@@ -307,15 +317,15 @@
     gateway: Any = SimpleNamespace(
         names=config.names, listed_hosts={}, discovery=SimpleNamespace(index=1, epoch=None)
     )
-    worlds = Worlds(gateway, {}, transforms)
-    first = await worlds.changed()
-    assert first is not None and first.transforms is None and await worlds.changed() is None
+    worlds = GatewayEnvironment(gateway, {}, transforms)
+    first = await worlds.poll_changed()
+    assert first is not None and first.transforms is None and await worlds.poll_changed() is None
     transforms.activator = SimpleNamespace(core=SimpleNamespace(book=book))
-    assert await worlds.changed() == dataclasses.replace(first, transforms={})
+    assert await worlds.poll_changed() == dataclasses.replace(first, transforms={})
     source = b'transform t owner o phase request writes x-a set x-a = "1"'
     wanted |= {"1": Order("t", "1", 1, "publish", source), "2": Order("t", "2", 2, "publish", b"?")}
-    assert await worlds.changed() == dataclasses.replace(first, transforms={"t": frozenset({"x-a"})})
+    assert await worlds.poll_changed() == dataclasses.replace(first, transforms={"t": frozenset({"x-a"})})
     del wanted["1"]
-    assert await worlds.changed() == dataclasses.replace(first, transforms={"t": frozenset()})
+    assert await worlds.poll_changed() == dataclasses.replace(first, transforms={"t": frozenset()})
     gateway.discovery.index = 2
-    assert await worlds.changed() is not None and await worlds.changed() is None
+    assert await worlds.poll_changed() is not None and await worlds.poll_changed() is None
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize(
     ("part", "place", "wrong", "what"),
     [
-        ("ledger", (ledger_truth, "digest"), _other_digest, "shown with a payload that does not match"),
+        ("ledger", (ledger_truth, "payload_hash"), _other_digest, "shown with a payload that does not match"),
         ("activation", (activation_truth.ActivationTruth, "running"), _none_may_run, "runs what it may not"),
     ],
 )
