--- a/cloverkeel/fleet/ledger/ledger.py
+++ b/cloverkeel/fleet/ledger/ledger.py
@@ -195,8 +195,8 @@
             self.staged.append(join)
         elif join is not None and join.settles:
             self._mark_settled(out)
-        out += [Send(member, message) for message in outcome.sends]
-        if outcome.more:
+        out += [Send(member, message) for message in outcome.messages]
+        if outcome.incomplete:
             self.next_compare_s = min(self.next_compare_s, now_s + self.settings.recompare_s)
 
     def _on_persisted(self, now_s: float, batch: int, out: list[Action]) -> None:
