--- a/faultlab/routes/fleet.py
+++ b/faultlab/routes/fleet.py
@@ -51,7 +51,7 @@
             raise
         return self
 
-    def ready_by_server(self, status: dict[str, Any]) -> object:
+    def ready(self, status: dict[str, Any]) -> object:
         return status["hash"]
 
     async def status(self, name: str) -> dict[str, Any]:
--- a/faultlab/soak/clients.py
+++ b/faultlab/soak/clients.py
@@ -29,7 +29,7 @@
     """One connection to a gateway: a request out at most."""
 
     def __init__(self) -> None:
-        self.respond: asyncio.Future[int] | None = None
+        self.answer: asyncio.Future[int] | None = None
         self.data = b""
         self.lost = False
 
@@ -53,8 +53,8 @@
         self.settle(0)
 
     def settle(self, status: int) -> None:
-        if self.respond is not None and not self.respond.done():
-            self.respond.set_result(status)
+        if self.answer is not None and not self.answer.done():
+            self.answer.set_result(status)
 
 
 class Front:
@@ -138,12 +138,12 @@
         now_s, budget_s = time.monotonic(), self.settings.deadline_s
         exchange = Exchange(id_, klass, gateway, self.lives[gateway], now_s, now_s + budget_s, is_repeat)
         self.records.exchanges.append(exchange)
-        connection.respond = asyncio.get_running_loop().create_future()
+        connection.answer = asyncio.get_running_loop().create_future()
         figures = self.count % KEYS, id_.encode(), int(budget_s * 1000), int(self.settings.work_s * 1e6)
         connection.transport.write(HEADS[klass] % figures)
         patience_s = budget_s + GIVE_UP_S if leaves_s is None else leaves_s
         try:
-            exchange.status = await asyncio.wait_for(connection.respond, patience_s)
+            exchange.status = await asyncio.wait_for(connection.answer, patience_s)
             exchange.end = End.ANSWERED if exchange.status else End.CLOSED
         except TimeoutError:
             exchange.end = End.SILENT if leaves_s is None else End.GONE
