--- a/cloverkeel/fleet/membership/bind.py
+++ b/cloverkeel/fleet/membership/bind.py
@@ -9,17 +9,17 @@
 UDP_BUFFER_BYTES = 1024 * 1024  # a whole fleet that joins at once answers within a millisecond
 
 
-def open_sockets(host: str, port: int, elsewhere: bool = False) -> tuple[socket.socket, socket.socket]:
+def open_sockets(host: str, port: int, any_port_if_taken: bool = False) -> tuple[socket.socket, socket.socket]:
     """A UDP socket and a TCP socket, bound to one address, not yet listening.
 
-    Port 0: one that the system chooses, tried anew until it is free for both. `elsewhere`: where the port
+    Port 0: one that the system chooses, tried anew until it is free for both. `any_port_if_taken`: where the port
     is held (by the old process of an upgrade), one that the system chooses serves. Raises OSError.
     """
     try:
         if port:
             return _bind_pair(host, port)
     except OSError as error:
-        if not elsewhere or error.errno != errno.EADDRINUSE:
+        if not any_port_if_taken or error.errno != errno.EADDRINUSE:
             raise
     for left in reversed(range(BIND_ATTEMPTS)):
         try:
--- a/cloverkeel/fleet/membership/calls.py
+++ b/cloverkeel/fleet/membership/calls.py
@@ -32,8 +32,8 @@
     """Both sides: handlers served by kind, and calls to other members. `name` is this member's, sent with
     each request; `listen` takes a listening socket; without it calls go out and none come in."""
 
-    def __init__(self, cluster: str, name: str, frame_bytes: int = MAX_FRAME_BYTES) -> None:
-        self.frame_codec, self.name = FrameCodec(cluster, frame_bytes), name
+    def __init__(self, cluster: str, name: str, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
+        self.frame_codec, self.name = FrameCodec(cluster, max_frame_bytes), name
         self.handlers: dict[str, Handler] = {}
         self.feed_handlers: dict[str, OnOpen] = {}
         self.feeds: set[Feed] = set()
--- a/cloverkeel/fleet/membership/member.py
+++ b/cloverkeel/fleet/membership/member.py
@@ -40,7 +40,7 @@
 
     `me` is this member's own rumour (alive, its incarnation); `seeds` are addresses to ask at the start and
     while alone; `take_over` says that this process follows an older one of the same name (an upgrade), so
-    that the name held at another address is taken rather than refused; `older`, where that one is known to
+    that the name held at another address is taken rather than refused; `older_addresses`, where that one is known to
     be heard, though the join may not find it. `rng` makes the choices of whom to probe; a seeded one makes a
     run repeat. Raises nothing: every message is judged on its fields.
     """
@@ -52,7 +52,7 @@
         seeds: tuple[str, ...] = (),
         take_over: bool = False,
         rng: random.Random | None = None,
-        older: tuple[str, ...] = (),
+        older_addresses: tuple[str, ...] = (),
     ) -> None:
         self.timing = timing
         self.seeds = tuple(s for s in seeds if s != me.address)
@@ -63,7 +63,7 @@
         self.joining_until_s: float | None = None
         self.name_confirmed = False  # another member has been heard since the join: the name is this one's
         self.refused = False
-        self.older_addresses = set(older)  # where the processes are heard that this one takes over from
+        self.older_addresses = set(older_addresses)  # where the processes are heard that this one takes over from
         self.outrank_count = 0  # how often it had to outrank them
         self.next_push_s = self.next_seed_contact_s = self.next_gossip_s = 0.0
         self.seed_contact_interval_s = (
--- a/cloverkeel/fleet/membership/serving.py
+++ b/cloverkeel/fleet/membership/serving.py
@@ -16,8 +16,8 @@
 if TYPE_CHECKING:
     from cloverkeel.fleet.membership.calls import Calls
 
-MOST_CONNECTIONS = 512  # served at once; beyond, a new one is closed
-REQUEST_S = 2.0  # for a connection's request to come whole
+MAX_CONNECTIONS = 512  # served at once; beyond, a new one is closed
+REQUEST_TIMEOUT_S = 2.0  # for a connection's request to come whole
 HANDLER_TIMEOUT_S = 10.0  # for a handler to answer
 TCP_USER_TIMEOUT_MS = (
     10_000  # a peer whose machine acknowledges nothing for so long has gone (TCP_USER_TIMEOUT)
@@ -37,7 +37,7 @@
 
     def on_connected(self) -> None:
         self.calls.connections.add(self)
-        if len(self.calls.connections) > MOST_CONNECTIONS:
+        if len(self.calls.connections) > MAX_CONNECTIONS:
             self.calls.counts["connections_refused"] += 1
             self.stream.end("too many connections")
             return
@@ -46,7 +46,7 @@
         with contextlib.suppress(OSError, AttributeError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
         loop = asyncio.get_running_loop()
-        self.timer = loop.call_later(REQUEST_S, self.stream.end, "no request in time")
+        self.timer = loop.call_later(REQUEST_TIMEOUT_S, self.stream.end, "no request in time")
 
     def on_stream_ended(self, reason: str) -> None:
         self.calls.connections.discard(self)
--- a/tests/test_members_faults.py
+++ b/tests/test_members_faults.py
@@ -70,7 +70,7 @@
 def test_a_successor_whose_join_did_not_find_its_older_self_knows_it_by_its_address_alone() -> None:
     """Cut off until that one had left, it took its own successor for it, and had it refused."""
     for address, refused in (("127.0.0.1:7", False), ("127.0.0.1:9", True)):
-        member = Member(A, Timing(), take_over=True, older=("127.0.0.1:7",))
+        member = Member(A, Timing(), take_over=True, older_addresses=("127.0.0.1:7",))
         member.start(0.0)
         member.receive(Push(B, (B,)), 0.1)
         member.receive(Ping(1, B, "a", (replace(A, address=address, incarnation=6),)), 9.0)
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -171,7 +171,7 @@
         with pytest.raises(OSError) as error:
             open_sockets(host, port)
         assert error.value.errno == errno.EADDRINUSE
-        other = open_sockets(host, port, elsewhere=True)
+        other = open_sockets(host, port, any_port_if_taken=True)
         assert other[0].getsockname() == other[1].getsockname() != (host, port)
         for sock in other:
             sock.close()
@@ -196,7 +196,7 @@
 
 @on_loop
 async def test_a_call_is_answered_or_fails_with_the_reason() -> None:
-    async with caller_and_callee(frame_bytes=10_000) as (caller, callee, address):
+    async with caller_and_callee(max_frame_bytes=10_000) as (caller, callee, address):
 
         async def later(peer: str, body: Any) -> Any:
             await asyncio.sleep(0)
@@ -230,8 +230,8 @@
 async def test_what_is_no_request_closes_its_connection_and_is_counted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(serving, "REQUEST_S", 0.1)
-    monkeypatch.setattr(serving, "MOST_CONNECTIONS", 3)
+    monkeypatch.setattr(serving, "REQUEST_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(serving, "MAX_CONNECTIONS", 3)
     async with caller_and_callee() as (caller, callee, address):
         callee.serve("echo", lambda peer, body: body)
         frame = FrameCodec("blue").encode
