--- a/cloverkeel/fleet/membership/codec.py
+++ b/cloverkeel/fleet/membership/codec.py
@@ -1,8 +1,10 @@
-"""Datagrams: a version byte, the cluster's name (a length byte before it), then one message in msgpack.
+"""Encoding of datagrams: version byte, length byte and name of the cluster, then one message in msgpack.
 
-A message is an array: a number for its kind, then its fields in order; a rumour is [name, address,
-incarnation, status's number, zone, by]. Decoding is typed and bounded (msgspec): whatever it gives is fit for
-the core. Source of the coding: https://github.com/msgpack/msgpack/blob/master/spec.md.
+A message is an array: the number of its kind, then its fields in order. A member update is [name, address,
+incarnation, rank of the status, zone, suspected_by]. Decoding is typed and bounded (msgspec): the
+messages that it returns are valid for the core.
+
+The format of msgpack: https://github.com/msgpack/msgpack/blob/master/spec.md.
 """
 
 from __future__ import annotations
@@ -30,8 +32,8 @@
 
 VERSION = 1
 MAX_NAME_BYTES, MAX_ADDRESS_BYTES, MAX_ZONE_BYTES = 128, 64, 64
-MAX_INCARNATION = 2**62  # room to refute it within an int64
-UPDATE_CACHE_SIZE = 1_024  # rumours as last read, kept to be known again
+MAX_INCARNATION = 2**62  # leaves room to refute it within an int64
+UPDATE_CACHE_SIZE = 1_024  # decoded updates that are kept, as the same ones arrive many times
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=MAX_NAME_BYTES)]
 Number = Annotated[int, msgspec.Meta(ge=0, le=2**62)]
@@ -39,7 +41,7 @@
 
 
 class DatagramError(ValueError):
-    """A datagram (or a part of a view) that is not for the core; `reason` is one short word for counting."""
+    """A datagram, or a part of a view, is invalid; `reason` is one word under which it is counted."""
 
     def __init__(self, reason: str, detail: str) -> None:
         super().__init__(f"{reason}: {detail}")
@@ -110,12 +112,11 @@
 
 @functools.lru_cache(maxsize=4096)
 def parse_address(text: str) -> tuple[str, int]:
-    """`127.0.0.1:9` or `[::1]:9` as host and port; a host is a number, never a name to be looked up. Raises
-    ValueError."""
-    host, mark, port = text.rpartition(":")
+    """Parse `127.0.0.1:9` or `[::1]:9` into host and port; host names are not accepted. Raises ValueError."""
+    host, colon, port = text.rpartition(":")
     is_port = port.isascii() and port.isdigit() and len(port) <= 5 and 0 < int(port) < 65536
     try:
-        if not mark or not is_port:
+        if not colon or not is_port:
             raise ValueError
         is_v6 = host.startswith("[") and host.endswith("]")
         family = socket.AF_INET6 if is_v6 else socket.AF_INET
@@ -126,6 +127,7 @@
 
 
 def format_address(host: str, port: int) -> str:
+    """Format host and port as `parse_address` reads them."""
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
@@ -135,12 +137,13 @@
     )
 
 
-@functools.lru_cache(UPDATE_CACHE_SIZE)  # each member hears each rumour some tens of times
+@functools.lru_cache(UPDATE_CACHE_SIZE)  # a member receives each update some tens of times
 def _validated_update(
     name: str, address: str, incarnation: int, status: int, zone: str, by: str
 ) -> MemberUpdate:
+    """Build an update from its wire fields. Raises DatagramError for a bad address or a text too long."""
     sizes = (name, MAX_NAME_BYTES), (zone, MAX_ZONE_BYTES), (by, MAX_NAME_BYTES)
-    if any(len(text.encode()) > most for text, most in sizes):
+    if any(len(text.encode()) > max_bytes for text, max_bytes in sizes):
         raise DatagramError("malformed", f"a name or zone is too long: {name!r:.40}")
     try:
         parse_address(address)
@@ -149,22 +152,22 @@
     return MemberUpdate(name, address, incarnation, STATUS_BY_RANK[status], zone, by)
 
 
-def _to_wire(rumour: MemberUpdate) -> _WireUpdate:
-    status = STATUS_RANK[rumour.status]
+def _to_wire(update: MemberUpdate) -> _WireUpdate:
+    status = STATUS_RANK[update.status]
     return _WireUpdate(
-        rumour.name, rumour.address, rumour.incarnation, status, rumour.zone, rumour.suspected_by
+        update.name, update.address, update.incarnation, status, update.zone, update.suspected_by
     )
 
 
-def updates_to_body(rumours: Iterable[MemberUpdate]) -> list[Any]:
-    """Rumours as plain lists, for a body of `calls`."""
+def updates_to_body(updates: Iterable[MemberUpdate]) -> list[Any]:
+    """Encode updates as plain lists, for the body of a call (`calls`)."""
     return [
-        [r.name, r.address, r.incarnation, STATUS_RANK[r.status], r.zone, r.suspected_by] for r in rumours
+        [r.name, r.address, r.incarnation, STATUS_RANK[r.status], r.zone, r.suspected_by] for r in updates
     ]
 
 
 def updates_from_body(body: Any) -> list[MemberUpdate]:
-    """The inverse. Raises DatagramError."""
+    """Decode what `updates_to_body` gives. Raises DatagramError."""
     try:
         return [_from_wire(wire) for wire in msgspec.convert(body, list[_WireUpdate])]
     except msgspec.ValidationError as error:
@@ -172,6 +175,7 @@
 
 
 def datagram_header(cluster: str) -> bytes:
+    """The first bytes of every datagram of a cluster. Raises ValueError for a name that is too long."""
     name = cluster.encode()
     if not 0 < len(name) <= MAX_CLUSTER_BYTES:
         raise ValueError(f"a cluster's name has 1 to {MAX_CLUSTER_BYTES} bytes, not {len(name)}")
@@ -179,36 +183,37 @@
 
 
 class Codec:
-    """Coding for one cluster. `encode` raises ValueError for what no datagram holds (the core's estimate of
-    sizes keeps within it); `decode` raises DatagramError alone."""
+    """Encodes and decodes the datagrams of one cluster."""
 
     def __init__(self, cluster: str) -> None:
         self.header = datagram_header(cluster)
 
     def encode(self, message: Message) -> bytes:
-        sender, rumours = _to_wire(message.sender), [_to_wire(r) for r in message.updates]
+        """Encode a message. Raises ValueError if it is too long; the core's size estimates prevent that."""
+        sender, updates = _to_wire(message.sender), [_to_wire(r) for r in message.updates]
         wire: _WireMessage
         match message:
             case Ping():
-                wire = _Ping(message.seq, sender, message.target, rumours, message.suspect)
+                wire = _Ping(message.seq, sender, message.target, updates, message.suspect)
             case Ack():
-                wire = _Ack(message.seq, sender, rumours)
+                wire = _Ack(message.seq, sender, updates)
             case PingReq():
-                wire = _PingReq(message.seq, sender, _to_wire(message.target), rumours)
+                wire = _PingReq(message.seq, sender, _to_wire(message.target), updates)
             case Nack():
-                wire = _Nack(message.seq, sender, rumours)
+                wire = _Nack(message.seq, sender, updates)
             case Push():
-                wire = _Push(sender, rumours, message.reply, message.truncated)
+                wire = _Push(sender, updates, message.reply, message.truncated)
             case Join():
-                wire = _Join(sender, rumours)
+                wire = _Join(sender, updates)
             case Gossip():
-                wire = _Gossip(sender, rumours)
+                wire = _Gossip(sender, updates)
         data = self.header + _encoder.encode(wire)
         if len(data) > MAX_DATAGRAM_BYTES:
             raise ValueError(f"{type(message).__name__} of {len(data)} bytes, over {MAX_DATAGRAM_BYTES}")
         return data
 
     def decode(self, data: bytes) -> Message:
+        """Decode a datagram. Raises DatagramError, and nothing else."""
         if len(data) > MAX_DATAGRAM_BYTES:
             raise DatagramError("oversized", f"{len(data)} bytes")
         if not data or data[0] != VERSION:
@@ -222,21 +227,21 @@
             wire = _decoder.decode(memoryview(data)[len(head) :])
         except (msgspec.DecodeError, ValueError, RecursionError) as error:
             raise DatagramError("malformed", f"{error!s:.120}") from None
-        sender, rumours = _from_wire(wire.sender), tuple(_from_wire(r) for r in wire.updates)
+        sender, updates = _from_wire(wire.sender), tuple(_from_wire(r) for r in wire.updates)
         match wire:
             case _Ping():
                 if len(wire.target.encode()) > MAX_NAME_BYTES:
                     raise DatagramError("malformed", "the target's name is too long")
-                return Ping(wire.seq, sender, wire.target, rumours, wire.suspect)
+                return Ping(wire.seq, sender, wire.target, updates, wire.suspect)
             case _Ack():
-                return Ack(wire.seq, sender, rumours)
+                return Ack(wire.seq, sender, updates)
             case _PingReq():
-                return PingReq(wire.seq, sender, _from_wire(wire.target), rumours)
+                return PingReq(wire.seq, sender, _from_wire(wire.target), updates)
             case _Nack():
-                return Nack(wire.seq, sender, rumours)
+                return Nack(wire.seq, sender, updates)
             case _Push():
-                return Push(sender, rumours, wire.reply, wire.truncated)
+                return Push(sender, updates, wire.reply, wire.truncated)
             case _Join():
-                return Join(sender, rumours)
+                return Join(sender, updates)
             case _Gossip():
-                return Gossip(sender, rumours)
+                return Gossip(sender, updates)
--- a/cloverkeel/fleet/membership/command.py
+++ b/cloverkeel/fleet/membership/command.py
@@ -1,4 +1,4 @@
-"""`python -m cloverkeel members`: the member table of a running gateway, over `GET /api/members`."""
+"""`python -m cloverkeel members`: prints the member table of a running gateway (`GET /api/members`)."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 from cloverkeel.config import load, parse_address
 from cloverkeel.errors import ConfigError
 
-ANSWER_TIMEOUT_S = 5.0  # for all of it
+ANSWER_TIMEOUT_S = 5.0  # for the complete answer
 MAX_ANSWER_BYTES = 8 * 1024 * 1024
 COLUMNS = ("name", "zone", "address", "status", "incarnation", "heard_s", "relay")
 
 
 class CommandError(Exception):
-    """One line on what is in the way."""
+    """A command failed; the message is one line for the operator."""
 
 
 def run(operator: str | None, as_json: bool) -> int:
-    """Exit code 0 with the table (or the JSON), 1 where the gateway gives none, 2 for a wrong address."""
+    """Print the table, or the JSON. Exit code: 0, 1 if the gateway gives none, 2 for an unusable address."""
     try:
         address = operator_address(operator)
     except ConfigError as error:
@@ -40,20 +40,22 @@
 
 
 def operator_address(operator: str | None) -> tuple[str, int]:
-    """The operators' address: as given, else $LB_OPERATOR, else of the file that $LB_CONFIG names. Raises
-    ConfigError."""
+    """The gateway's operator address: as given, else $LB_OPERATOR, else from the file named by $LB_CONFIG.
+
+    Raises ConfigError.
+    """
     if operator is not None:
         return parse_address(operator, "--operator")
     if os.environ.get("LB_OPERATOR"):
         return parse_address(os.environ["LB_OPERATOR"], "LB_OPERATOR")
-    found = load().operator if os.environ.get("LB_CONFIG") else None
-    if found is None:
-        raise ConfigError("no operators' address: give --operator host:port or $LB_OPERATOR")
-    return found
+    address = load().operator if os.environ.get("LB_CONFIG") else None
+    if address is None:
+        raise ConfigError("no operators' address: give --operator host:port or set $LB_OPERATOR")
+    return address
 
 
 def fetch_members(host: str, port: int) -> dict[str, Any]:
-    """The gateway's answer, within ANSWER_S. Raises CommandError."""
+    """Fetch the member table. Raises CommandError."""
     status, body = request_operator(host, port, "GET", "/api/members")
     if status == 404:
         raise CommandError("this gateway has no cluster in its configuration")
@@ -63,7 +65,7 @@
         answer = json.loads(body)
         rows = answer["members"]
         if not all(isinstance(row, dict) and row.keys() >= set(COLUMNS) for row in rows):
-            raise ValueError("a row without its columns")
+            raise ValueError("a row without all columns")
         answer["name"], answer["cluster"], answer["address"], answer["state"]
     except (ValueError, TypeError, KeyError, RecursionError) as error:
         raise CommandError(f"the answer is no member table: {error!r:.80}") from None
@@ -76,17 +78,20 @@
     method: str,
     target: str,
     body: bytes | None = None,
-    answer_s: float = ANSWER_TIMEOUT_S,
+    timeout_s: float = ANSWER_TIMEOUT_S,
 ) -> tuple[int, bytes]:
-    """A gateway's answer to its operators: status and body, all of it within `answer_s`. Raises
-    CommandError."""
+    """Send a request to a gateway's operator address; returns status and body.
+
+    Raises CommandError, also if the complete answer does not arrive within `timeout_s`.
+    """
 
-    def late(signum: int, frame: FrameType | None) -> None:
-        raise TimeoutError(f"no whole answer in {answer_s:g} s")
+    def on_alarm(signum: int, frame: FrameType | None) -> None:
+        raise TimeoutError(f"no whole answer within {timeout_s:g} s")
 
-    before = signal.signal(signal.SIGALRM, late)  # over the whole call, however slowly it trickles
-    signal.setitimer(signal.ITIMER_REAL, answer_s)
-    connection = http.client.HTTPConnection(host, port, timeout=answer_s)
+    # The alarm limits the whole call, also if the answer arrives slowly.
+    previous_handler = signal.signal(signal.SIGALRM, on_alarm)
+    signal.setitimer(signal.ITIMER_REAL, timeout_s)
+    connection = http.client.HTTPConnection(host, port, timeout=timeout_s)
     try:
         headers = {"Content-Type": "application/octet-stream"} if body is not None else {}
         connection.request(method, target, body, headers)
@@ -96,24 +101,25 @@
         raise CommandError(getattr(error, "strerror", None) or str(error) or repr(error)) from None
     finally:
         signal.setitimer(signal.ITIMER_REAL, 0)
-        signal.signal(signal.SIGALRM, before)
+        signal.signal(signal.SIGALRM, previous_handler)
         connection.close()
 
 
 def format_cell(value: object) -> str:
+    """Text of one cell: yes or - for booleans, - for an empty value."""
     return ("yes" if value else "-") if isinstance(value, bool) else str(value) or "-"
 
 
 def format_table(answer: dict[str, Any]) -> list[str]:
-    """Lines to print: one on the cluster, a head, and one for each member."""
+    """Lines to print: one about the cluster, a header, and one per member."""
     rows = answer["members"]
     count = sum(row["status"] == "alive" for row in rows)
-    first = (
+    summary = (
         f"cluster {answer['cluster']}: {len(rows)} members, {count} alive; "
         f"as {answer['name']} at {answer['address']} sees it (state: {answer['state']})"
     )
     cells = [list(COLUMNS)] + [[format_cell(row[column]) for column in COLUMNS] for row in rows]
     widths = [max(len(row[n]) for row in cells) for n in range(len(COLUMNS))]
-    return [first] + [
+    return [summary] + [
         "  ".join(c.ljust(w) for c, w in zip(row, widths, strict=True)).rstrip() for row in cells
     ]
--- a/cloverkeel/fleet/membership/feeds.py
+++ b/cloverkeel/fleet/membership/feeds.py
@@ -1,5 +1,7 @@
-"""Feeds: one member follows another over one connection, and either notices within a second that the other
-has gone."""
+"""Feeds: one member subscribes to another over one connection.
+
+The subscriber notices within a second that the other side has gone, through missing heartbeats.
+"""
 
 from __future__ import annotations
 
@@ -9,17 +11,20 @@
 
 from cloverkeel.fleet.membership.frames import FrameError, Stream
 
-HEARTBEAT_S = 0.25  # a heartbeat from the serving side so often
-SILENCE_TIMEOUT_S = 1.0  # a feed without a frame for so long has ended
-MAX_UNSENT_BYTES = 1024 * 1024  # a follower that leaves more than this unread is let go
-FLUSH_TIMEOUT_S = 2.0  # for a last answer to go out
+HEARTBEAT_S = 0.25  # interval of the heartbeats that the serving side sends
+SILENCE_TIMEOUT_S = 1.0  # a feed on which no frame arrives for this long has ended
+MAX_UNSENT_BYTES = 1024 * 1024  # the feed of a subscriber with more than this unread is closed
+FLUSH_TIMEOUT_S = 2.0  # time for a last frame to be sent before the connection is closed
 
+# Kinds of the frames that the serving side sends.
 HEARTBEAT, FEED, END, OK, ERROR = "beat", "feed", "end", "ok", "error"
 
 
 class Feed:
-    """The serving side: `send` to the follower named `peer`. `on_close` is called once when it has ended,
-    whichever side ended it."""
+    """Serving side of a feed: `send` passes bodies to the subscriber named `peer`.
+
+    `on_close` is called once when the feed has ended, whichever side ended it.
+    """
 
     def __init__(self, stream: Stream, peer: str) -> None:
         self.stream, self.peer = stream, peer
@@ -27,11 +32,14 @@
         self.closed = False
 
     def send(self, body: Any) -> None:
-        """Pass `body` on, in order; on a feed that has ended nothing happens. A body that no frame holds and
-        a follower that does not read end the feed."""
+        """Send `body`, in order; does nothing on a feed that has ended.
+
+        A body that cannot be encoded and a subscriber that does not read end the feed.
+        """
         self._write(FEED, body)
 
     def send_heartbeat(self) -> None:
+        """Send an empty frame, which shows the subscriber that this side is alive."""
         self._write(HEARTBEAT, None)
 
     def _write(self, kind: str, body: Any) -> None:
@@ -43,15 +51,16 @@
             self.close(str(error))
             return
         if self.stream.unsent_bytes > MAX_UNSENT_BYTES:
-            self.stream.end("the follower does not read")
+            self.stream.end("subscriber does not read: too many bytes unsent")
 
     def close(self, reason: str = "closed") -> None:
+        """End the feed and send the reason to the subscriber."""
         if not self.closed:
             self.stream.write(END, reason)
             self.stream.end(reason, FLUSH_TIMEOUT_S)
 
     def on_stream_ended(self) -> None:
-        """The stream has gone."""
+        """Called when the connection has ended."""
         if not self.closed:
             self.closed = True
             if self.on_close is not None:
@@ -59,41 +68,43 @@
 
 
 class Subscription:
-    """The following side. `on_end(reason)` comes exactly once, after silence, an end or an error, and not at
-    all after this side's own `close`."""
+    """Subscribing side of a feed.
+
+    `on_end(reason)` is called once, after silence, an end or an error, but not after this side's own `close`.
+    """
 
     def __init__(self, on_body: Callable[[Any], None], on_end: Callable[[str], None]) -> None:
         self.on_body, self.on_end = on_body, on_end
         self.stream: Stream | None = None
         self.ended = False
-        self.on_finished: Callable[[], None] | None = None  # ended, whichever side did it
+        self.on_finished: Callable[[], None] | None = None  # called at the end, whichever side ended it
         self.timer: asyncio.TimerHandle | None = None
         self.last_frame_s = self.last_check_s = 0.0
 
     def start(self, stream: Stream) -> None:
-        """The request has gone out on a connection that stands."""
+        """Watch the feed from now on; called once the request has been written."""
         self.stream = stream
         self.loop = asyncio.get_running_loop()
         self.last_frame_s = self.last_check_s = self.loop.time()
         self.timer = self.loop.call_later(HEARTBEAT_S / 2, self._check_silence)
 
     def on_frame(self, kind: str, body: Any) -> None:
+        """Handle a frame of the serving side."""
         if self.ended:
             return
         self.last_frame_s = self.loop.time()
         if kind == FEED:
             try:
                 self.on_body(body)
-            except Exception as error:  # a body that its reader cannot take ends the feed, not the process
+            except Exception as error:  # a body that `on_body` fails on ends the feed, not the process
                 self._end(f"not understood: {error!r:.120}")
         elif kind != HEARTBEAT:
             self._end(f"{kind}: {body!s:.120}")
 
     def _check_silence(self) -> None:
         now_s = self.loop.time()
-        stalled = (
-            now_s - self.last_check_s > 2 * HEARTBEAT_S
-        )  # this process stood still: what came is not read yet
+        # If this process stalled, frames that have arrived are not read yet.
+        stalled = now_s - self.last_check_s > 2 * HEARTBEAT_S
         self.last_check_s = now_s
         if not stalled and now_s - self.last_frame_s > SILENCE_TIMEOUT_S:
             self._end(f"silent for {SILENCE_TIMEOUT_S:g} s")
@@ -103,12 +114,13 @@
     def _end(self, reason: str) -> None:
         if self.ended:
             return
-        begun = self.stream is not None
+        started = self.stream is not None
         self.close()
-        if begun:
+        if started:
             self.on_end(reason)
 
     def on_stream_ended(self, reason: str) -> None:
+        """Called when the connection has ended."""
         self._end(reason)
 
     def close(self) -> None:
--- a/cloverkeel/fleet/membership/frames.py
+++ b/cloverkeel/fleet/membership/frames.py
@@ -1,6 +1,9 @@
-"""Frames on a stream between members: 4 bytes of length (big-endian), then msgpack [version, cluster, kind,
-body]. A peer's name travels in the body's envelope ([name, body]) and is believed as membership's is: whoever
-reaches the address can speak."""
+"""Frames on a TCP connection between members.
+
+A frame is its length in 4 bytes (big-endian), then msgpack [version, cluster, kind, body]. The body of a
+request is [peer's name, body]. The name is not authenticated, as in membership's datagrams: whoever reaches
+the address can send.
+"""
 
 from __future__ import annotations
 
@@ -11,8 +14,8 @@
 import msgspec
 
 VERSION = 1
-MAX_FRAME_BYTES = 4 * 1024 * 1024  # of one frame, unless told otherwise
-DROP_REASONS = ("malformed", "oversized", "version", "cluster")  # why a frame is dropped
+MAX_FRAME_BYTES = 4 * 1024 * 1024  # default limit of one frame
+DROP_REASONS = ("malformed", "oversized", "version", "cluster")  # why a frame is dropped, as counted
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[tuple[int, str, str, Any]] = msgspec.msgpack.Decoder(
@@ -21,7 +24,7 @@
 
 
 class FrameError(ValueError):
-    """What came is not a frame of this cluster; `reason` is one word for counting."""
+    """A frame is invalid or of another cluster; `reason` is one of `DROP_REASONS`."""
 
     def __init__(self, reason: str, detail: str) -> None:
         super().__init__(f"{reason}: {detail}")
@@ -29,13 +32,13 @@
 
 
 class FrameCodec:
-    """Coding for one cluster, bounded in both directions."""
+    """Encodes and decodes the frames of one cluster, within a size limit in both directions."""
 
     def __init__(self, cluster: str, most: int = MAX_FRAME_BYTES) -> None:
         self.cluster, self.max_bytes = cluster, most
 
     def encode(self, kind: str, body: Any) -> bytes:
-        """Raises FrameError for a body that is too long or that msgpack has no form for."""
+        """Encode a frame. Raises FrameError for a body that is too long or that msgpack cannot encode."""
         try:
             data = _encoder.encode((VERSION, self.cluster, kind, body))
         except (TypeError, ValueError, OverflowError, RecursionError) as error:
@@ -44,18 +47,20 @@
             raise FrameError("oversized", f"{len(data)} bytes, over {self.max_bytes}")
         return len(data).to_bytes(4, "big") + data
 
-    def decode_next(self, held: bytearray) -> tuple[str, Any] | None:
-        """The first whole frame's kind and body, taken off `held`; None: not whole yet. Raises FrameError as
-        soon as what is there cannot become a frame."""
-        if len(held) < 4:
+    def decode_next(self, buffer: bytearray) -> tuple[str, Any] | None:
+        """Remove the first frame from `buffer` and return its kind and body; None if it is not complete yet.
+
+        Raises FrameError as soon as the buffer cannot begin with a valid frame.
+        """
+        if len(buffer) < 4:
             return None
-        size = int.from_bytes(held[:4], "big")
+        size = int.from_bytes(buffer[:4], "big")
         if size > self.max_bytes:
             raise FrameError("oversized", f"{size} bytes, over {self.max_bytes}")
-        if len(held) < 4 + size:
+        if len(buffer) < 4 + size:
             return None
-        data = bytes(held[4 : 4 + size])
-        del held[: 4 + size]
+        data = bytes(buffer[4 : 4 + size])
+        del buffer[: 4 + size]
         try:
             version, cluster, kind, body = _decoder.decode(data)
         except (msgspec.DecodeError, ValueError, RecursionError) as error:
@@ -68,23 +73,22 @@
 
 
 class Stream(asyncio.Protocol):
-    """One connection: bytes in become frames in order, each given to `on_frame`; `on_lost` comes once, with
-    the reason."""
+    """One connection: passes each received frame to `on_frame`, in order, and calls `on_end(reason)` once."""
 
     def __init__(
         self,
-        frames: FrameCodec,
+        codec: FrameCodec,
         on_frame: Callable[[str, Any], None],
-        on_lost: Callable[[str], None],
-        on_made: Callable[[], None] | None = None,
+        on_end: Callable[[str], None],
+        on_connected: Callable[[], None] | None = None,
     ) -> None:
-        self.codec, self.on_frame, self.on_end, self.on_connected = frames, on_frame, on_lost, on_made
+        self.codec, self.on_frame, self.on_end, self.on_connected = codec, on_frame, on_end, on_connected
         self.buffer = bytearray()
         self.transport: asyncio.Transport | None = None
         self.ended = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's is no subclass
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's is not a subclass of it
         if self.ended:
             self.transport.abort()
         elif self.on_connected is not None:
@@ -104,18 +108,18 @@
         self.end(f"connection lost: {exc}" if exc else "closed by the peer")
 
     def write(self, kind: str, body: Any) -> None:
-        """Raises FrameError for a body that no frame holds."""
+        """Send a frame. Raises FrameError for a body that cannot be encoded in one."""
         data = self.codec.encode(kind, body)
         if self.transport is not None and not self.ended:
             self.transport.write(data)
 
     @property
     def unsent_bytes(self) -> int:
-        """Bytes that the peer has not taken yet."""
+        """Bytes written but not yet passed to the kernel."""
         return self.transport.get_write_buffer_size() if self.transport is not None and not self.ended else 0
 
     def end(self, reason: str, flush_s: float = 0.0) -> None:
-        """Close; with `flush_s` what is unsent may still go out for so long."""
+        """Close the connection; unsent bytes are still sent for up to `flush_s`, else discarded."""
         if self.ended:
             return
         self.ended = True
--- a/cloverkeel/fleet/membership/health.py
+++ b/cloverkeel/fleet/membership/health.py
@@ -1,5 +1,4 @@
-"""Lifeguard's two measures (Dadgar, Phillips, Currey, 2018): suspicion timeouts that shrink with independent
-confirmations, and the local health multiplier."""
+"""Lifeguard's suspicion timeout and local health multiplier (Dadgar, Phillips, Currey, 2018)."""
 
 from __future__ import annotations
 
@@ -10,42 +9,46 @@
 def suspicion_timeout_s(
     members: int, confirmations: int, probe_interval_s: float, alpha: float, beta: float, expected: int = 3
 ) -> float:
-    """Seconds a suspect has before it is declared dead (Lifeguard, section IV.B).
+    """Seconds until a suspect is declared dead (Lifeguard, section IV.B).
 
-    From `beta` times the minimum down to the minimum `alpha * log10(members) * probe_interval_s`, by
-    `log(confirmations + 1) / log(expected + 1)` of the way: each member that suspects it independently
-    shortens the wait, and `expected` of them, or as many as there are, bring it to the minimum. `members`
-    counts at least 2.
+    The minimum is `alpha * log10(members) * probe_interval_s`, with `members` taken as at least 2. The
+    timeout starts at `beta` times the minimum and falls by `log(confirmations + 1) / log(expected + 1)` of
+    the difference: each member that suspects independently shortens it, and `expected` confirmations, or as
+    many as the cluster can give, bring it to the minimum.
     """
-    expected = min(expected, members - 2)  # all but the first that suspects it and the suspect itself
-    least = alpha * math.log10(max(members, 2)) * probe_interval_s
-    most = beta * least
+    expected = min(expected, members - 2)  # neither the first accuser nor the suspect can confirm
+    shortest_s = alpha * math.log10(max(members, 2)) * probe_interval_s
+    longest_s = beta * shortest_s
     if expected < 1:
-        return least
+        return shortest_s
     share = math.log(max(confirmations, 0) + 1) / math.log(expected + 1)
-    return max(least, most - (most - least) * share)
+    return max(shortest_s, longest_s - (longest_s - shortest_s) * share)
 
 
 @dataclass(slots=True)
 class LocalHealth:
-    """Lifeguard's local health multiplier (section IV.A): 0 is healthy, `most` the slowest it goes.
+    """Lifeguard's local health multiplier (section IV.A): score 0 is healthy, `max_score` the worst.
 
-    Probe interval and timeout are multiplied by `scale`, so that a member that is itself slow asks less
-    and waits longer before it suspects others.
+    The probe interval and timeout are multiplied by `multiplier`, so that a member that is itself slow probes
+    less often and waits longer before it suspects others.
     """
 
     max_score: int = 8
     score: int = 0
 
     def degrade(self) -> None:
-        """A probe of ours failed and nothing tells that the fault is not ours, we stood still for a probe
-        period, or we had to refute a suspicion of ourselves."""
+        """Raise the score.
+
+        Called when a probe failed with no sign that the cause is elsewhere, when this process stalled for a
+        probe interval, and when it had to refute a suspicion about itself.
+        """
         self.score = min(self.max_score, self.score + 1)
 
     def improve(self) -> None:
-        """A probe of ours was answered."""
+        """Lower the score: a probe was acked."""
         self.score = max(0, self.score - 1)
 
     @property
     def multiplier(self) -> int:
+        """Factor for the probe interval and timeout, from 1 to `max_score + 1`."""
         return self.score + 1
--- a/cloverkeel/fleet/membership/service.py
+++ b/cloverkeel/fleet/membership/service.py
@@ -1,4 +1,4 @@
-"""Membership as the gateway's other parts use it: the core, its UDP shell and the calls between members."""
+"""The gateway's membership: connects the protocol core, the gossip over UDP and the calls between members."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from cloverkeel.fleet import invariants
 from cloverkeel.fleet.cluster import ClusterSettings
 from cloverkeel.fleet.events import event
-from cloverkeel.fleet.membership.bind import open_sockets, bind_udp
+from cloverkeel.fleet.membership.bind import bind_udp, open_sockets
 from cloverkeel.fleet.membership.calls import CallFailed, Calls
 from cloverkeel.fleet.membership.checked import CheckedMember
 from cloverkeel.fleet.membership.codec import (
@@ -26,33 +26,34 @@
 from cloverkeel.fleet.membership.member import Member
 from cloverkeel.fleet.membership.messages import (
     Action,
-    NoSeedAnswered,
-    MemberChanged,
     ExchangeViews,
-    Push,
+    MemberChanged,
     NameConflict,
+    NoSeedAnswered,
+    Push,
 )
 from cloverkeel.fleet.membership.roster import LIVE_STATUSES
 from cloverkeel.fleet.membership.updates import MemberUpdate, Status
 from cloverkeel.tasks import BackgroundTasks
 
-VIEW_CALL = "members.view"  # the call that swaps whole views
-VIEW_TIMEOUT_S = 2.0  # for it to be answered
-NAME_CALL = "members.name"  # the call that asks a member who it is
-NAME_TIMEOUT_S = 1.0  # for that: a killed process refuses the connection at once
-MAX_CONCURRENT_EXCHANGES = 8  # at once; the next push-pull makes up for one left out
-MAX_LOG_LINES_PER_S = 20  # on members that change; a fleet that starts at once has more to tell
-LEAVE_SENDS, LEAVE_INTERVAL_S = 2, 0.03  # a leave is said twice: a datagram may be lost
+VIEW_CALL = "members.view"  # call that exchanges full views
+VIEW_TIMEOUT_S = 2.0
+NAME_CALL = "members.name"  # call that asks a member for its name
+NAME_TIMEOUT_S = 1.0  # short: the machine of a killed process refuses the connection at once
+MAX_CONCURRENT_EXCHANGES = 8  # an exchange beyond them is skipped; the next push-pull makes up for it
+MAX_LOG_LINES_PER_S = 20  # about changes of members; a fleet that starts at once has more
+LEAVE_SENDS, LEAVE_INTERVAL_S = 2, 0.03  # a leave is sent twice, as a datagram may be lost
 
 Listener = Callable[[MemberUpdate, MemberUpdate | None], None]
 
 
 class Membership:
-    """This process as a member of `settings.name`.
+    """This process as a member of the cluster `settings.name`.
 
-    `name`, `zone`: the gateway's; `incarnation`: higher than any that the name had before; `take_over`: this
-    is the new process of an upgrade. `joined` is set once a seed has answered, none is alive, or the name is
-    found taken. After `start` the member's own address is `address` and `calls` serves at it.
+    `name`, `zone`: the gateway's. `incarnation`: higher than any that the name had before. `take_over`: this
+    is the new process of an upgrade. `joined` is set once another member has been heard, no seed has answered
+    in time, or the name turns out to be taken. From `start` on, `address` is the member's own address, at
+    which `calls` serves.
     """
 
     def __init__(
@@ -73,41 +74,39 @@
         self.calls.serve(NAME_CALL, lambda peer, body: name)
         self.gossip = GossipTransport(Codec(settings.name), self._on_action)
         self.address = ""
-        self.older_addresses: tuple[
-            str, ...
-        ] = ()  # where the process is heard that holds the configured port
+        # Address of the older process, if it still holds the configured port.
+        self.older_addresses: tuple[str, ...] = ()
         self.state = "starting"  # joining, alone, member, name_taken, superseded, left
         self.member: Member | None = None
         self.listeners: list[Listener] = []
         self.counts: Counter[str] = Counter()
-        self.last_changed_s: dict[str, float] = {}
-        self.logged_holder = ""  # the address that held this member's name, as last logged
+        self.last_changed_s: dict[str, float] = {}  # by member, on the loop's clock
+        self.logged_holder = ""  # last logged address of another process with this name
         self.tasks = BackgroundTasks()
         self.rejoin_timer: asyncio.TimerHandle | None = None
-        self.lines_in_window, self.log_window_s = 0, 0.0
+        self.lines_in_window, self.log_window_s = 0, 0.0  # log lines in the current second, and its start
         self.loop = asyncio.get_running_loop()
 
     async def start(self) -> None:
-        """Bind and begin to join; returns at once, `joined` tells the rest. Raises OSError."""
+        """Bind the sockets and begin to join; `joined` is set later. Raises OSError if the bind fails."""
         host, port = self.settings.bind_address
         udp, tcp = open_sockets(host, port, self.take_over)
-        bound, told = udp.getsockname()[1], self.settings.advertise
-        elsewhere = port not in (0, bound)  # in an upgrade, beside the process before
+        bound_port, advertised = udp.getsockname()[1], self.settings.advertise
+        elsewhere = port not in (0, bound_port)  # in an upgrade the older process holds the configured port
         if elsewhere:
-            self.older_addresses = (told or format_address(host, port),)
-        if told and elsewhere:
-            told = format_address(parse_address(told)[0], bound)
-        self.address = told or format_address(host, bound)
+            self.older_addresses = (advertised or format_address(host, port),)
+        if advertised and elsewhere:
+            advertised = format_address(parse_address(advertised)[0], bound_port)
+        self.address = advertised or format_address(host, bound_port)
         await self.calls.listen(tcp)
         await self.gossip.open(udp)
-        if elsewhere:  # its view is the fleet's
+        if elsewhere:  # the older process knows the whole fleet, so it serves as a seed
             self.seeds = tuple(dict.fromkeys((*self.seeds, self.settings.bind)))
             self.tasks.spawn(self._listen_at_configured(host, port))
         self._join()
 
     async def _listen_at_configured(self, host: str, port: int) -> None:
-        """Members that join ask at the configured address: hear them there too, once the process before has
-        ended."""
+        """Receive at the configured address, where joining members ask, once the older process has ended."""
         while True:
             await asyncio.sleep(self.settings.join_wait_s)
             try:
@@ -117,6 +116,7 @@
                 continue
 
     def _join(self, take_over: bool = False) -> None:
+        """Start a new core, which contacts the seeds."""
         me = MemberUpdate(self.name, self.address, self.incarnation, Status.ALIVE, self.zone)
         settings = self.settings
         kind = CheckedMember if invariants.ON else Member
@@ -125,9 +125,9 @@
         self.state = "joining"
         self.gossip.run_member(self.member)
         if self.member.joining_until_s is None:
-            self._on_alone("no seeds are named")
+            self._on_alone("no seeds are named in the configuration")
 
-    # What the core says
+    # Actions of the core
 
     def _on_action(self, action: Action) -> None:
         match action:
@@ -142,29 +142,30 @@
                 self._on_name_conflict(action)
 
     def _on_changed(self, action: MemberChanged) -> None:
-        rumour, before = action.update, action.previous
-        self.last_changed_s[rumour.name] = self.loop.time()
-        if len(self.last_changed_s) > 2 * len(self.view()) + 16:  # mostly of members long reaped
+        """Count, log and report a change of the view."""
+        update, previous = action.update, action.previous
+        self.last_changed_s[update.name] = self.loop.time()
+        if len(self.last_changed_s) > 2 * len(self.view()) + 16:  # most are about reaped members
             known = self.view()
             self.last_changed_s = {name: at_s for name, at_s in self.last_changed_s.items() if name in known}
             self.gossip.retain_members(known)
-        if rumour.name == self.name:
+        if update.name == self.name:
             self.counts["refutations"] += 1
-            self._log_limited("members.refuted", incarnation=rumour.incarnation, reason=action.reason)
-        elif before is None or before.status is not rumour.status:
-            kind = rumour.status.value
+            self._log_limited("members.refuted", incarnation=update.incarnation, reason=action.reason)
+        elif previous is None or previous.status is not update.status:
+            kind = update.status.value
             self.counts[f"seen_{kind}"] += 1
             self._log_limited(
-                f"members.{kind}", member=rumour.name, address=rumour.address, incarnation=rumour.incarnation,
+                f"members.{kind}", member=update.name, address=update.address, incarnation=update.incarnation,
                 reason=action.reason,
             )  # fmt: skip
-        if self.state in ("joining", "alone") and rumour.status in LIVE_STATUSES and rumour.name != self.name:
+        if self.state in ("joining", "alone") and update.status in LIVE_STATUSES and update.name != self.name:
             self._on_joined()
-        self._notify_listeners(rumour, before)
+        self._notify_listeners(update, previous)
 
-    def _notify_listeners(self, rumour: MemberUpdate, before: MemberUpdate | None) -> None:
+    def _notify_listeners(self, update: MemberUpdate, previous: MemberUpdate | None) -> None:
         for listener in list(self.listeners):
-            listener(rumour, before)
+            listener(update, previous)
 
     def _on_joined(self) -> None:
         self.state = "member"
@@ -178,33 +179,39 @@
             self.joined.set()
 
     def _on_name_conflict(self, action: NameConflict) -> None:
-        by = action.holder
+        holder = action.holder
         if not action.joining:
             self.state = "superseded"
-            event("members.superseded", member=by.name, by=by.address, incarnation=by.incarnation)
+            event("members.superseded", member=holder.name, by=holder.address, incarnation=holder.incarnation)
             return
-        self.tasks.spawn(self._check_holder(by))
+        self.tasks.spawn(self._check_holder(holder))
+
+    async def _check_holder(self, holder: MemberUpdate) -> None:
+        """Ask the process that holds this member's name whether it is still there; take the name over if not.
 
-    async def _check_holder(self, by: MemberUpdate) -> None:
-        """A killed process holds its name until the others miss it, and is back before: where its address
-        does not answer to the name, this one goes on from it."""
+        A process that is killed and restarted at once finds its name held by its predecessor, whose death the
+        others have not noticed yet.
+        """
         try:
-            answer = await self.calls.call(by.address, NAME_CALL, None, NAME_TIMEOUT_S)
+            answer = await self.calls.call(holder.address, NAME_CALL, None, NAME_TIMEOUT_S)
         except CallFailed:
             answer = None
         if answer != self.name:
-            event("members.name_free", member=by.name, holder=by.address, incarnation=by.incarnation)
+            event("members.name_free", member=holder.name, holder=holder.address,
+                  incarnation=holder.incarnation)  # fmt: skip
             self._join(take_over=True)
             return
         self.state = "name_taken"
-        if by.address != self.logged_holder:
-            self.logged_holder = by.address
-            event("members.name_taken", member=by.name, holder=by.address, incarnation=by.incarnation,
-                  reason="another process has this name; asking again until it is gone")  # fmt: skip
+        if holder.address != self.logged_holder:
+            self.logged_holder = holder.address
+            event("members.name_taken", member=holder.name, holder=holder.address,
+                  incarnation=holder.incarnation,
+                  reason="another process has this name; trying to join again until it is gone")  # fmt: skip
         self.joined.set()
         self.rejoin_timer = self.loop.call_later(self.settings.push_pull_s, self._join)
 
     def _log_limited(self, name: str, **fields: object) -> None:
+        """Log an event unless MAX_LOG_LINES_PER_S is exceeded; what was left out is logged as a number."""
         now_s = self.loop.time()
         if now_s - self.log_window_s >= 1.0:
             if self.lines_in_window > MAX_LOG_LINES_PER_S:
@@ -218,7 +225,7 @@
         if self.lines_in_window <= MAX_LOG_LINES_PER_S:
             event(name, **fields)
 
-    # Whole views over a stream
+    # Exchange of full views over a stream
 
     async def _exchange_views(self, address: str) -> None:
         self.counts["views_swapped"] += 1
@@ -234,43 +241,49 @@
         return updates_to_body([self.member.me, *others])
 
     def _merge_view_body(self, body: Any) -> None:
-        rumours = updates_from_body(body)
-        if not rumours:
-            raise DatagramError("malformed", "an empty view")
-        self.gossip.receive(Push(rumours[0], tuple(rumours[1:])))
+        updates = updates_from_body(body)
+        if not updates:
+            raise DatagramError("malformed", "the view is empty")
+        self.gossip.receive(Push(updates[0], tuple(updates[1:])))
 
     def _on_view(self, peer: str, body: Any) -> Any:
         self._merge_view_body(body)
         return self._view_body()
 
-    # For the gateway's other parts
+    # Interface for the gateway's other parts
 
     @property
     def name_taken(self) -> bool:
+        """Whether another process holds this member's name, so that this one is not a member."""
         return self.state == "name_taken"
 
     def view(self) -> dict[str, MemberUpdate]:
-        """Every member known, this one included: name to rumour. Where the name is taken, this one alone."""
+        """All known members by name, this one included; only this one while its name is taken."""
         if self.member is None:
             return {}
         return {self.name: self.member.me} if self.name_taken else self.member.members()
 
     def live(self) -> list[MemberUpdate]:
-        """The members that are alive or suspect, this one included, by name."""
+        """The members that are alive or suspect, this one included, sorted by name."""
         return sorted((r for r in self.view().values() if r.status in LIVE_STATUSES), key=lambda r: r.name)
 
     def on_change(self, listener: Listener) -> None:
-        """`listener(rumour, before)` after each change of the view, this member's own refutations included;
-        it must not raise."""
+        """Register `listener(update, previous)`, called after each change of the view.
+
+        This includes this member's own refutations. The listener must not raise.
+        """
         self.listeners.append(listener)
 
     def table(self) -> list[dict[str, Any]]:
-        """Each member as operators read it; `heard_s`: since it last spoke to this one, or was told of."""
+        """Rows of the member table.
+
+        `heard_s` is the time since a member's last message to this one, or the last change of its entry.
+        """
         now_s = self.loop.time()
         rows = []
         for name, r in sorted(self.view().items()):
-            told_s = max(self.gossip.last_heard_s.get(name, 0.0), self.last_changed_s.get(name, 0.0))
-            heard_s = 0.0 if name == self.name else round(now_s - told_s, 3)
+            last_seen_s = max(self.gossip.last_heard_s.get(name, 0.0), self.last_changed_s.get(name, 0.0))
+            heard_s = 0.0 if name == self.name else round(now_s - last_seen_s, 3)
             rows.append({
                 "name": name, "zone": r.zone, "address": r.address, "status": r.status.value,
                 "incarnation": r.incarnation, "heard_s": heard_s,
@@ -278,14 +291,14 @@
         return rows
 
     def counters(self) -> dict[str, int]:
-        """What has been done since the start."""
-        mine, sent, calls = self.counts, self.gossip.counts, self.calls.counts
+        """Counters since the start, for telemetry."""
+        own, sent, calls = self.counts, self.gossip.counts, self.calls.counts
         named = {
             "probes": sent["probes"], "indirect_probes": sent["indirect_probes"],
-            "suspicions": mine["seen_suspect"], "refutations": mine["refutations"],
-            "deaths": mine["seen_dead"], "leaves": mine["seen_left"],
+            "suspicions": own["seen_suspect"], "refutations": own["refutations"],
+            "deaths": own["seen_dead"], "leaves": own["seen_left"],
             "datagrams_in": sent["datagrams_in"], "datagrams_out": sent["datagrams_out"],
-            "views_swapped": mine["views_swapped"], "stalls": sent["stalls"],
+            "views_swapped": own["views_swapped"], "stalls": sent["stalls"],
         }  # fmt: skip
         for reason in ("malformed", "oversized", "version", "cluster", "unsendable", "failed"):
             named[f"datagrams_dropped_{reason}"] = sent[f"dropped_{reason}"]
@@ -296,7 +309,7 @@
         return named
 
     def descriptors(self) -> int:
-        """Sockets open now, for a process with a limit."""
+        """Number of open sockets, for the process's limit of file descriptors."""
         return (
             3
             + len(self.calls.connections)
@@ -305,21 +318,21 @@
         )
 
     async def leave(self) -> None:
-        """Say `left` to all; nothing is said after it. Calls and feeds go on until `close`."""
+        """Leave the cluster: inform all live members, then send no datagrams. Calls and feeds stay open."""
         if self.rejoin_timer is not None:
             self.rejoin_timer.cancel()
         if self.member is None or self.state == "left":
             return
-        goodbye = self.member.leave(self.loop.time())
+        leave_actions = self.member.leave(self.loop.time())
         if self.state != "superseded":
             self.state = "left"
-        for number in range(LEAVE_SENDS if goodbye else 0):
+        for number in range(LEAVE_SENDS if leave_actions else 0):
             if number:
                 await asyncio.sleep(LEAVE_INTERVAL_S)
-            self.gossip.perform(goodbye)
+            self.gossip.perform(leave_actions)
 
     def close(self) -> None:
-        """End everything; may be called at any time, more than once."""
+        """Close all sockets and cancel all tasks; may be called at any time, and more than once."""
         if self.rejoin_timer is not None:
             self.rejoin_timer.cancel()
         self.tasks.cancel()
--- a/cloverkeel/fleet/membership/serving.py
+++ b/cloverkeel/fleet/membership/serving.py
@@ -1,4 +1,4 @@
-"""The serving side of one connection between members: its one request, and the answer or the feed."""
+"""Server side of a connection between members: reads one request, then sends the answer or the feed."""
 
 from __future__ import annotations
 
@@ -16,16 +16,14 @@
 if TYPE_CHECKING:
     from cloverkeel.fleet.membership.calls import Calls
 
-MAX_CONNECTIONS = 512  # served at once; beyond, a new one is closed
-REQUEST_TIMEOUT_S = 2.0  # for a connection's request to come whole
-HANDLER_TIMEOUT_S = 10.0  # for a handler to answer
-TCP_USER_TIMEOUT_MS = (
-    10_000  # a peer whose machine acknowledges nothing for so long has gone (TCP_USER_TIMEOUT)
-)
+MAX_CONNECTIONS = 512  # open at once; a further one is closed
+REQUEST_TIMEOUT_S = 2.0  # for the complete request to arrive
+HANDLER_TIMEOUT_S = 10.0  # for a handler to return its answer
+TCP_USER_TIMEOUT_MS = 10_000  # a peer whose machine acknowledges no data for this long is taken for gone
 
 
 class IncomingConnection:
-    """A connection that came in."""
+    """A connection opened by another member."""
 
     def __init__(self, calls: Calls) -> None:
         self.calls = calls
@@ -36,6 +34,7 @@
         self.request_received = False
 
     def on_connected(self) -> None:
+        """Register the connection, or close it at the limit, and start the timeout for its request."""
         self.calls.connections.add(self)
         if len(self.calls.connections) > MAX_CONNECTIONS:
             self.calls.counts["connections_refused"] += 1
@@ -49,20 +48,21 @@
         self.timer = loop.call_later(REQUEST_TIMEOUT_S, self.stream.end, "no request in time")
 
     def on_stream_ended(self, reason: str) -> None:
+        """Release the connection, count a dropped frame, and end the feed."""
         self.calls.connections.discard(self)
         if self.timer is not None:
             self.timer.cancel()
         if self.task is not None:
             self.task.cancel()
-        word = reason.partition(":")[0]
-        if word in DROP_REASONS:
-            self.calls.counts[f"frames_dropped_{word}"] += 1
+        drop_reason = reason.partition(":")[0]
+        if drop_reason in DROP_REASONS:
+            self.calls.counts[f"frames_dropped_{drop_reason}"] += 1
         if self.feed is not None:
             self.calls.feeds.discard(self.feed)
             self.feed.on_stream_ended()
 
     def on_frame(self, kind: str, body: Any) -> None:
-        """The request; raises FrameError for one that is none."""
+        """Handle the request. Raises FrameError if it is invalid."""
         if self.request_received:
             raise FrameError("malformed", "a second request on one connection")
         self.request_received = True
@@ -86,7 +86,7 @@
         self.calls.feeds.add(self.feed)
         try:
             self.calls.feed_handlers[kind](self.feed, body)
-        except Exception as error:  # what a peer asked for must not end this process
+        except Exception as error:  # a peer's request must not end this process
             self._handler_failed(kind, peer, error)
 
     async def _answer_call(self, kind: str, peer: str, body: Any) -> None:
--- a/cloverkeel/fleet/membership/updates.py
+++ b/cloverkeel/fleet/membership/updates.py
@@ -1,6 +1,6 @@
-"""The order of what is said about members, and one member's view of all.
+"""Member updates, the order in which they override each other, and one member's view of the cluster.
 
-SWIM's states and their order (Das, Gupta, Motivala, 2002; docs/membership.md).
+States and their order follow SWIM (Das, Gupta, Motivala, 2002; docs/membership.md).
 """
 
 from __future__ import annotations
@@ -10,63 +10,71 @@
 
 
 class Status(Enum):
+    """State of a member as another member sees it."""
+
     ALIVE = "alive"
     SUSPECT = "suspect"
     DEAD = "dead"
     LEFT = "left"
 
 
-# At one incarnation a later state beats an earlier one; a graceful leave tells more than a death.
+# At the same incarnation a higher rank overrides a lower one. LEFT outranks DEAD: it is the more precise.
 STATUS_RANK = {Status.ALIVE: 0, Status.SUSPECT: 1, Status.DEAD: 2, Status.LEFT: 3}
 
 
 @dataclass(slots=True, frozen=True)
 class MemberUpdate:
-    """What one member says of another, or of itself: its name, where it is heard, incarnation, state
-    and zone."""
+    """State of one member, as reported by another member or by itself."""
 
     name: str
-    address: str
+    address: str  # ip:port at which the member listens
     incarnation: int
     status: Status
-    zone: str = ""  # where it runs; told with the rest, no part of the order
-    suspected_by: str = field(default="", compare=False)  # of a suspicion: who holds it, whoever passed it on
+    zone: str = ""  # zone in which the member runs; not part of the order
+    # For a suspicion: the member that raised it, which is not always the one that passed it on.
+    suspected_by: str = field(default="", compare=False)
 
     @property
     def precedence(self) -> tuple[int, int, str]:
-        """A total order: two processes that claim one name at one incarnation are told apart by address."""
+        """Key of the total order; the address decides between two processes that claim one name."""
         return self.incarnation, STATUS_RANK[self.status], self.address
 
 
 def supersedes(new: MemberUpdate, old: MemberUpdate | None) -> bool:
-    """Whether `new` replaces `old`: a higher incarnation always; at the same one, a later state (`RANK`).
+    """Whether `new` replaces `old`: by a higher incarnation or, at the same one, a higher `STATUS_RANK`.
 
-    A member that starts again comes back with a higher incarnation than any its old self had, so that its
-    old death does not outlive it.
+    A restarted member comes back with a higher incarnation than its earlier process had, so that an old
+    report of its death does not override it.
     """
     return old is None or new.precedence > old.precedence
 
 
 @dataclass(slots=True)
 class View:
-    """One member's view of all: the newest rumour of each name. `merge` is commutative and idempotent, so
-    that views that heard the same rumours in any order, or twice, end alike."""
+    """One member's view of the cluster: the newest update for each name.
+
+    `merge` is commutative and idempotent: views that received the same updates in any order, or more than
+    once, are equal.
+    """
 
     me: MemberUpdate
     members: dict[str, MemberUpdate] = field(default_factory=dict)
 
-    def merge(self, rumour: MemberUpdate) -> MemberUpdate | None:
-        """Take a rumour; returns what this view now says where it changed, else None. A rumour that this
-        member is suspect, dead or gone at its present incarnation is refuted: it is alive at the next. So is
-        any of a higher one, which is of an older self: what this member says must outrank it."""
-        if rumour.name == self.me.name:
-            same = rumour.incarnation == self.me.incarnation and rumour.status is not Status.ALIVE
-            if same or rumour.incarnation > self.me.incarnation:
-                self.me = replace(self.me, incarnation=rumour.incarnation + 1)
+    def merge(self, update: MemberUpdate) -> MemberUpdate | None:
+        """Merge an update; returns the view's new entry, or None if nothing changed.
+
+        An update that calls this member suspect, dead or left at its current incarnation is refuted: the
+        member is alive at the next incarnation. So is any update about this member with a higher incarnation:
+        it is about an earlier process of the same name, which this member has to outrank.
+        """
+        if update.name == self.me.name:
+            same = update.incarnation == self.me.incarnation and update.status is not Status.ALIVE
+            if same or update.incarnation > self.me.incarnation:
+                self.me = replace(self.me, incarnation=update.incarnation + 1)
                 return self.me
             return None
-        known = self.members.get(rumour.name)
-        if not supersedes(rumour, known):
+        known = self.members.get(update.name)
+        if not supersedes(update, known):
             return None
-        self.members[rumour.name] = rumour
-        return rumour
+        self.members[update.name] = update
+        return update
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -190,7 +190,7 @@
     [
         (_dies, "holds itself dead"),
         (_falls, "own incarnation fell"),
-        (_goes_back, "a view went back"),
+        (_goes_back, "a change of no higher precedence"),
         (_refutes_twice, "refuted twice"),
         (_speaks_refused, "speaks"),
         (_kills_unsuspected, "not suspected"),
