--- a/cloverkeel/fleet/cluster.py
+++ b/cloverkeel/fleet/cluster.py
@@ -1,4 +1,4 @@
-"""The configuration's `cluster` object, checked strictly: an unknown key is refused by its name."""
+"""The `cluster` object of the configuration. Parsing is strict: an unknown key is an error that names it."""
 
 from __future__ import annotations
 
@@ -16,17 +16,18 @@
 
 
 class ClusterSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Membership's settings (docs/membership.md, "Defaults"); times in seconds."""
-
-    name: str  # the cluster's: members of another are not heard
-    bind: str  # ip:port that the other members reach, for datagrams and calls; port 0: the system chooses
-    advertise: str = ""  # ip:port that the others are told in place of `bind`, where they reach it there
-    seeds: tuple[str, ...] = ()  # ip:port of members to ask at the start
-    trusted_network: bool = False  # whoever reaches `bind` can speak: needed outside loopback
-    relays: Annotated[int, msgspec.Meta(ge=1, le=64)] = 3
-    list_calls_per_s: Annotated[float, msgspec.Meta(gt=0, le=1e6)] = 20.0  # of the whole fleet, fallen back
-    lists: bool = True
-    warm: bool = True
+    """Settings of the membership (docs/membership.md, "Defaults")."""
+
+    name: str  # of the cluster; messages of other clusters are dropped
+    bind: str  # ip:port for datagrams and calls; port 0: the system chooses one
+    advertise: str = ""  # ip:port at which other members reach this one, if not `bind`
+    seeds: tuple[str, ...] = ()  # ip:port of members to contact at the start
+    trusted_network: bool = False  # required outside loopback, as messages are not authenticated
+    relays: Annotated[int, msgspec.Meta(ge=1, le=64)] = 3  # members that watch the list service for the others
+    # Calls of the whole fleet to the list service during fallback.
+    list_calls_per_s: Annotated[float, msgspec.Meta(gt=0, le=1e6)] = 20.0
+    lists: bool = True  # lists of hosts are shared between members
+    warm: bool = True  # a cold start takes over what other members have learned
     probe_interval_s: Seconds = DEFAULT_TIMING.probe_interval_s
     probe_timeout_s: Seconds = DEFAULT_TIMING.probe_timeout_s
     suspicion_alpha: Factor = DEFAULT_TIMING.suspicion_alpha
@@ -37,6 +38,7 @@
 
     @property
     def timing(self) -> Timing:
+        """The settings of the protocol core."""
         return Timing(
             probe_interval_s=self.probe_interval_s,
             probe_timeout_s=self.probe_timeout_s,
@@ -49,21 +51,22 @@
 
     @property
     def bind_address(self) -> tuple[str, int]:
+        """Host and port of `bind`."""
         return bind_address(self.bind)
 
 
 def bind_address(text: str) -> tuple[str, int]:
-    """Host and port, which may be 0 here. Raises ValueError."""
-    host, mark, port = text.rpartition(":")
-    if mark and port == "0":
+    """Parse host and port; the port may be 0. Raises ValueError."""
+    host, separator, port = text.rpartition(":")
+    if separator and port == "0":
         return parse_address(f"{host}:1")[0], 0
     return parse_address(text)
 
 
 def _address_scope(host: str) -> str:
-    """Who reaches an address: `loopback`, `nobody` (none that a member can have), or `all`."""
-    first, mark, _ = host.partition(".")
-    if mark and ":" not in first:  # `ipaddress` takes 1.4 ms to import, of which a start under load pays each
+    """Who can reach an address: `loopback`, `all`, or `nobody` (not usable by a member)."""
+    first, separator, _ = host.partition(".")
+    if separator and ":" not in first:  # importing `ipaddress` takes 1.4 ms, which a start under load notices
         if host == "0.0.0.0" or 224 <= int(first) < 240:
             return "nobody"
         return "loopback" if first == "127" else "all"
@@ -76,8 +79,10 @@
 
 
 def parse_cluster(raw: object, gateway: object) -> ClusterSettings:
-    """`gateway`: the configuration's `name`, by which the others know this one. Raises ConfigError: one line
-    that names the key."""
+    """Parse and check the `cluster` object. Raises ConfigError with one line that names the key.
+
+    `gateway` is the configuration's `name`, under which other members know this gateway.
+    """
     if not isinstance(raw, dict):
         raise ConfigError("cluster is no object: leave the key out for none")
     try:
@@ -95,12 +100,12 @@
         host, _ = bind_address(settings.bind)
     except ValueError as error:
         raise ConfigError(f"cluster: bind: {error}") from None
-    reach = _address_scope(host)
-    if reach == "nobody":
+    scope = _address_scope(host)
+    if scope == "nobody":
         raise ConfigError(f"cluster: bind: {settings.bind} is no address that other members can reach")
-    if reach != "loopback" and not settings.trusted_network:
+    if scope != "loopback" and not settings.trusted_network:
         raise ConfigError(
-            f"cluster: bind: {settings.bind} is outside loopback, where whoever reaches it can speak: "
+            f"cluster: bind: {settings.bind} is outside loopback, where any host that reaches it can send: "
             "it needs trusted_network = true"
         )
     if settings.advertise:
@@ -116,5 +121,5 @@
         if (":" in seed_host) != (":" in host):
             raise ConfigError(f"cluster: seeds: {seed} cannot be reached from {settings.bind}: IPv4 and IPv6")
     if settings.probe_timeout_s >= settings.probe_interval_s:
-        raise ConfigError("cluster: probe_timeout_s is not below probe_interval_s")
+        raise ConfigError("cluster: probe_timeout_s must be below probe_interval_s")
     return settings
--- a/cloverkeel/fleet/events.py
+++ b/cloverkeel/fleet/events.py
@@ -1,8 +1,7 @@
-"""Structured lines of the fleet's parts: one event a line, `cloverkeel: event=NAME key=value ...`.
+"""Structured log lines of the fleet's parts: one event per line, `cloverkeel: event=NAME key=value ...`.
 
-Standard `logging` carries them, so that a handler of the operators' own may take them instead of
-standard error.
-A value with a space, a quote or an equals sign is quoted as JSON would quote it.
+They go through the standard `logging` module, so that operators can install a handler of their own instead of
+the one to standard error. A value with a space, a quote or an equals sign is quoted as JSON would quote it.
 """
 
 from __future__ import annotations
@@ -15,7 +14,7 @@
 
 
 class KeyValueFormatter(logging.Formatter):
-    """`cloverkeel: event=state.corrupt path=/x reason="not a database"` for `event("state.corrupt", ...)`."""
+    """Formats events as in `cloverkeel: event=state.corrupt path=/x reason="not a database"`."""
 
     def format(self, record: logging.LogRecord) -> str:
         fields: dict[str, object] = getattr(record, "fields", {})
@@ -32,12 +31,12 @@
 
 
 def event(name: str, **fields: object) -> None:
-    """Log one event with its fields, in the order given."""
+    """Log an event with its fields, in the order given."""
     LOGGER.info(name, extra={"fields": fields})
 
 
 def setup_logging() -> None:
-    """Lines to standard error, once however often it is called."""
+    """Send the log lines to standard error; further calls have no effect."""
     if not LOGGER.handlers:
         handler = logging.StreamHandler(sys.stderr)
         handler.setFormatter(KeyValueFormatter())
--- a/cloverkeel/fleet/fleet_size.py
+++ b/cloverkeel/fleet/fleet_size.py
@@ -1,4 +1,4 @@
-"""How many gateways share the hosts: the live members by zone, as one event to the module."""
+"""Reports to the balancing module how many gateways share the hosts: live members by zone."""
 
 from __future__ import annotations
 
@@ -10,12 +10,15 @@
 from cloverkeel.fleet.membership.service import Membership
 from cloverkeel.gateway import Gateway
 
-MIN_INTERVAL_S = 0.5  # between two events at least
+MIN_INTERVAL_S = 0.5  # shortest interval between two reports
 
 
 def count_by_zone(zones: dict[str, int], members: Iterable[str]) -> tuple[int, ...]:
-    """Members by the zone's number in the settings, given each one's zone; those of zones that the settings
-    do not name are counted together behind."""
+    """Count members by zone, at the zone's number in the settings.
+
+    `members` gives the zone of each. Members of zones that the settings do not name are counted together, in
+    a last entry.
+    """
     counts = [0] * (len(zones) + 1)
     for zone in members:
         counts[zones.get(zone, len(zones))] += 1
@@ -23,18 +26,22 @@
 
 
 class FleetSizeReporter:
-    """Posts the number on changes of the view, at most one in `GAP_S`; nothing before it has joined, and
-    "not known" while the member's name is another's."""
+    """Reports the number of gateways after changes of the view, at most once per `MIN_INTERVAL_S`.
+
+    Nothing is reported before the member has joined. While its name is taken by another process, the number
+    is reported as not known.
+    """
 
     def __init__(self, membership: Membership, gateway: Gateway) -> None:
         self.membership, self.gateway = membership, gateway
         self.loop = asyncio.get_running_loop()
         self.timer: asyncio.TimerHandle | None = None
         self.last_posted = Fleet()
-        membership.on_change(lambda rumour, before: self.schedule())
+        membership.on_change(lambda update, previous: self.schedule())
         self.schedule()
 
     def schedule(self) -> None:
+        """Schedule a report, unless one is due already."""
         if self.timer is None:
             self.timer = self.loop.call_later(MIN_INTERVAL_S, self._post)
 
@@ -43,7 +50,7 @@
         if not self.membership.joined.is_set():
             self.schedule()
             return
-        zones = (rumour.zone for rumour in self.membership.live())
+        zones = (member.zone for member in self.membership.live())
         known = not self.membership.name_taken
         seen = Fleet(count_by_zone(self.gateway.names.zones, zones)) if known else Fleet()
         if seen != self.last_posted:
@@ -52,5 +59,6 @@
             post(lambda: seen)
 
     def close(self) -> None:
+        """Cancel a scheduled report."""
         if self.timer is not None:
             self.timer.cancel()
--- a/cloverkeel/fleet/invariants.py
+++ b/cloverkeel/fleet/invariants.py
@@ -1,6 +1,6 @@
-"""Invariants of the fleet's cores, checked where `$LB_CHECK` is 1.
+"""Invariants of the fleet's protocol cores, checked if `$LB_CHECK` is 1.
 
-Call sites guard with `if invariants.ON:`, so that a process without it pays for one look at a global.
+Callers test `if invariants.ON:` first, so that the checks cost one look-up of a global when they are off.
 """
 
 from __future__ import annotations
@@ -13,12 +13,14 @@
 
 
 class InvariantError(AssertionError):
-    """An invariant does not hold; the message names it and what was seen."""
+    """An invariant does not hold; the message names it and the values seen."""
 
 
 def check(condition: bool, what: str, **fields: object) -> None:
-    """Log one line and raise BrokenError where `condition` does not hold. `fields` are what was seen: the
-    seed and the event's number in a lab."""
+    """Log an event and raise InvariantError if `condition` does not hold.
+
+    `fields` are the values seen; in a lab also the seed and the event's number.
+    """
     if not condition:
         event("invariant.broken", what=what, **fields)
         raise InvariantError(f"{what} {fields}")
--- a/cloverkeel/fleet/needs.py
+++ b/cloverkeel/fleet/needs.py
@@ -1,4 +1,4 @@
-"""What parts that keep state need of the configuration."""
+"""Checks that the configuration has what the enabled parts require."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def ledger_sizes(config: Config) -> dict[str, int]:
-    """The gateways that the fleet is made of, as each part that uses the ledger has it, by its key."""
+    """Number of gateways in the fleet as each part that uses the ledger has it, by configuration key."""
     sizes: dict[str, int] = {}
     if config.transforms is not None and config.transforms.fleet is not None:
         sizes["transforms.fleet"] = config.transforms.fleet.size
@@ -21,7 +21,7 @@
 
 
 def missing_requirement(config: Config) -> str:
-    """Why the parts cannot be had, in one line; "": they can."""
+    """What the configuration lacks for its parts, in one line; empty if nothing."""
     sizes = ledger_sizes(config)
     lacking = "a cluster" if config.cluster is None else "" if config.state.directory else "a state_dir"
     for key in sizes if lacking else ():
--- a/cloverkeel/fleet/operator_commands.py
+++ b/cloverkeel/fleet/operator_commands.py
@@ -1,5 +1,4 @@
-"""What the commands of the fleet share: a gateway is asked at its operators' address, and one line says what
-is in the way."""
+"""Helpers for the fleet's commands: they call a gateway's operator address and print errors in one line."""
 
 from __future__ import annotations
 
@@ -15,11 +14,11 @@
 
 LEVELS = ("local", "quorum", "all")
 Address = tuple[str, int]
-RunCommand = Callable[[Address, argparse.Namespace], int]  # gives the exit code
+RunCommand = Callable[[Address, argparse.Namespace], int]  # returns the exit code
 
 
 def add_operator_option(verb: argparse.ArgumentParser, run: RunCommand) -> None:
-    """Give a verb `--operator`, and have `run` carry it out."""
+    """Add `--operator` to a subcommand, and set `run` as its implementation."""
     verb.add_argument(
         "--operator", metavar="HOST:PORT", help="a gateway's operators' address (else $LB_OPERATOR)"
     )
@@ -27,13 +26,17 @@
 
 
 def add_wait_option(verb: argparse.ArgumentParser) -> None:
+    """Add `--wait`, the level of replication to wait for, to a subcommand."""
     verb.add_argument(
         "--wait", choices=LEVELS, default="quorum", help="members that hold it first (default quorum)"
     )
 
 
 def run_command(run: RunCommand, arguments: argparse.Namespace) -> int:
-    """0: done; 1: refused, or kept and not confirmed; 2: the address or a file cannot be used."""
+    """Run a command; returns its exit code, and prints errors in one line.
+
+    0: done. 1: refused by the gateway, or stored but not confirmed. 2: the address or a file cannot be used.
+    """
     try:
         address = operator_address(arguments.operator)
     except ConfigError as error:
@@ -50,7 +53,7 @@
 
 
 def read_file(path: str) -> bytes:
-    """A file that is to be posted. Raises OSError, and CommandError where it is too long."""
+    """Read a file that will be posted. Raises OSError, and CommandError if it is too long."""
     with open(path, "rb") as file:
         source = file.read(POST_LIMIT + 1)
     if len(source) > POST_LIMIT:
@@ -59,16 +62,18 @@
 
 
 def request_json(address: Address, target: str, body: bytes | None = None, *, lacks: str) -> dict[str, Any]:
-    """The gateway's answer to GET, or to POST of a body. `lacks`: the key that a gateway without this call
-    lacks in its configuration. Raises CommandError."""
+    """The gateway's JSON answer to a GET, or to a POST if there is a body.
+
+    `lacks`: the configuration key whose absence explains a 404. Raises CommandError.
+    """
     method = "GET" if body is None else "POST"
-    status, found = request_operator(*address, method, target, body, HANDLER_TIMEOUT_S + 2.0)
+    status, answer_body = request_operator(*address, method, target, body, HANDLER_TIMEOUT_S + 2.0)
     if status == 404:
         raise CommandError(f"this gateway has no {lacks} in its configuration")
     if status not in (200, 202):
-        raise CommandError(found[:400].decode("utf-8", "replace").strip().replace("\n", "; "))
+        raise CommandError(answer_body[:400].decode("utf-8", "replace").strip().replace("\n", "; "))
     try:
-        answer = json.loads(found)
+        answer = json.loads(answer_body)
         if not isinstance(answer, dict):
             raise ValueError("no object")
     except (ValueError, RecursionError) as error:
--- a/cloverkeel/fleet/operator_queries.py
+++ b/cloverkeel/fleet/operator_queries.py
@@ -1,4 +1,4 @@
-"""What operators' calls of the fleet's parts have in common: their queries, and answers in one line."""
+"""Helpers for operator requests to the fleet's parts: query parameters and one-line error answers."""
 
 from __future__ import annotations
 
@@ -9,29 +9,30 @@
 
 LEDGER_NOT_STARTED = Answer(503, b"the ledger has not started yet\n")
 JSON_CONTENT_TYPE = (b"Content-Type", b"application/json")
-LEVEL_TIMEOUT_S = 10.0  # for a write to reach its level
+LEVEL_TIMEOUT_S = 10.0  # for a write to reach the level of replication that `wait` asks for
 
 
 def query_value(query: bytes, key: str, default: str = "") -> str:
-    """The last value of a key. Raises ValueError: malformed, or neither there nor a default."""
+    """Last value of a query parameter. Raises ValueError if the query is malformed or has no value."""
     try:
         values = parse_qs(query.decode("ascii"), max_num_fields=10, errors="strict").get(key)
     except ValueError:
         raise ValueError("malformed query") from None
-    found = values[-1] if values else default
-    if not found:
+    value = values[-1] if values else default
+    if not value:
         raise ValueError(f"no {key} in the query")
-    return found
+    return value
 
 
 def query_level(query: bytes) -> Level:
-    """`wait` of the query, `quorum` where there is none. Raises ValueError."""
-    text = query_value(query, "wait", Level.QUORUM.value)
+    """The parameter `wait`, `quorum` if it is missing. Raises ValueError for an unknown level."""
+    level = query_value(query, "wait", Level.QUORUM.value)
     try:
-        return Level(text)
+        return Level(level)
     except ValueError:
-        raise ValueError(f"wait is local, quorum or all, not {text[:20]!r}") from None
+        raise ValueError(f"wait is local, quorum or all, not {level[:20]!r}") from None
 
 
 def error_answer(status: int, error: Exception) -> Answer:
+    """An answer with the error's message as its body."""
     return Answer(status, f"{error}\n".encode())
--- a/cloverkeel/fleet/snapshot.py
+++ b/cloverkeel/fleet/snapshot.py
@@ -1,5 +1,7 @@
-"""What the state store keeps and counts, apart from the store itself, so that a gateway without a store
-imports no database."""
+"""What the state store saves and counts.
+
+It is kept apart from the store itself, so that a gateway without a store imports no database.
+"""
 
 from __future__ import annotations
 
@@ -12,26 +14,36 @@
 
 @dataclass(slots=True, frozen=True)
 class Snapshot:
-    """What one process knew at `taken_unix_s`: the module's learned state and the last list, in discovery's
-    form (`{}`: none)."""
+    """State of one process at `taken_unix_s`, saved for the next one."""
 
     taken_unix_s: float
-    learned: LearnedState
-    known: dict[str, Any] = field(default_factory=dict)
-    classes: tuple[bytes, ...] = ()  # the name behind each number of a class in `learned`
+    learned: LearnedState  # what the balancing module has learned about hosts
+    known: dict[str, Any] = field(default_factory=dict)  # last list, in discovery's form; {}: none
+    classes: tuple[bytes, ...] = ()  # names of the classes, by their number in `learned`
 
     def learned_for(self, classes: Sequence[bytes]) -> LearnedState:
-        """What was learned, under the numbers that these names have now. What names are not known to be of a
-        class here is left out: a process that has been reconfigured numbers otherwise than its next start."""
-        now = {number: classes.index(name) for number, name in enumerate(self.classes) if name in classes}
-        was = {new: old for old, new in now.items()}
+        """The learned state with classes renumbered to their positions in `classes`.
+
+        A reconfigured process numbers classes differently from its next start. State about a class whose name
+        is not in `classes` is left out.
+        """
+        new_by_old = {
+            number: classes.index(name) for number, name in enumerate(self.classes) if name in classes
+        }
+        old_by_new = {new: old for old, new in new_by_old.items()}
 
         def latencies(us: tuple[float, ...]) -> tuple[float, ...]:
-            places = (was.get(number, -1) for number in range(len(classes)))
-            return tuple(us[place] if 0 <= place < len(us) else 0.0 for place in places)  # 0: not taken up
+            old_numbers = (old_by_new.get(number, -1) for number in range(len(classes)))
+            # 0.0 means not known: a restore ignores it.
+            return tuple(us[old_number] if 0 <= old_number < len(us) else 0.0 for old_number in old_numbers)
 
         servers = tuple(
-            replace(s, by_class=tuple((now[k], weight, b) for k, weight, b in s.by_class if k in now))
+            replace(
+                s,
+                by_class=tuple(
+                    (new_by_old[k], weight, b) for k, weight, b in s.by_class if k in new_by_old
+                ),
+            )
             for s in self.learned.servers
         )
         learned = self.learned
@@ -40,13 +52,14 @@
 
 @dataclass(slots=True)
 class StoreCounters:
-    """What the store has done since the process began, for telemetry."""
+    """Counters of the state store since the process started, for telemetry."""
 
     corrupt: int = 0
     written: int = 0
     write_failures: int = 0
 
     def counters(self) -> dict[str, int]:
+        """The counters by the names of their metrics."""
         return {
             "state_corrupt_total": self.corrupt,
             "state_snapshots_written_total": self.written,
--- a/cloverkeel/fleet/start.py
+++ b/cloverkeel/fleet/start.py
@@ -1,9 +1,8 @@
-"""The fleet's parts beside one gateway, started and ended together; imported only where the configuration has
-a `cluster`.
+"""Starts and stops the fleet's parts of one gateway; imported only if the configuration has a `cluster`.
 
-Membership comes first, for all else rests on it: the number of gateways that share the hosts, lists by peers,
-warm starts by neighbours (docs/coldstart.md). A start waits for other members' words FIRST_S at most, and
-only without a state file that can be used.
+Membership comes first, as the others depend on it: the number of gateways that share the hosts, lists from
+peers, and warm starts from neighbours (docs/coldstart.md). A start waits for other members for at most
+COLD_START_WAIT_S, and only without a usable state file.
 """
 
 from __future__ import annotations
@@ -34,15 +33,18 @@
     from cloverkeel.gateway import Gateway
     from cloverkeel.transforms.activation.parts import TransformParts
 
-INCARNATION_TIMEOUT_S = 1.0  # for the store to hand out an incarnation
-TAKE_OVER_TIMEOUT_S = 0.2  # the same, where the process before may still hold the store
-INCARNATION_COUNTER = "incarnation"
-COLD_START_WAIT_S = 0.3  # for members to say what they know
-LEARNED_MAX_AGE_S = 60.0  # what they learned is used if there is a list of hosts by then
+INCARNATION_TIMEOUT_S = 1.0  # for the store to return an incarnation
+TAKE_OVER_TIMEOUT_S = 0.2  # the same in an upgrade, when the older process may still hold the store
+INCARNATION_COUNTER = "incarnation"  # name of the counter in the store
+COLD_START_WAIT_S = 0.3  # for other members to answer at a cold start
+LEARNED_MAX_AGE_S = 60.0  # learned state is discarded if no list of hosts has arrived by then
 
 
 class FleetParts:
-    """`start` before the gateway serves, `leave` at the signal to end, `close` at the end."""
+    """The fleet's parts of one gateway.
+
+    Call `start` before the gateway serves, `leave` at the signal to stop, and `close` at the end.
+    """
 
     def __init__(
         self,
@@ -61,7 +63,7 @@
         self.neighbours: Neighbours | None = None
         self.restore_task: asyncio.Task[None] | None = None
         self.transforms: TransformParts | None = None
-        self.ledger = make_ledger(config, cluster, keeper)  # one, whatever parts keep records in it
+        self.ledger = make_ledger(config, cluster, keeper)  # shared by all parts that keep records in it
         published = config.transforms.fleet if config.transforms is not None else None
         if published is not None and self.ledger is not None:
             from cloverkeel.transforms.activation.parts import TransformParts
@@ -82,12 +84,12 @@
             self.rollout = RolloutPart(gateway, self.ledger, gateway.routes or Serving(gateway))
 
     def attach_duties(self, duties: DutiesPart) -> None:
-        """The duties under which this gateway may conduct a rollout."""
+        """Let the rollout part use the duties, under which a gateway may conduct a rollout."""
         if self.rollout is not None:
             self.rollout.conduct_by(duties)
 
     async def start(self) -> None:
-        """Raises OSError where `cluster.bind` cannot be had."""
+        """Start membership, then the other parts. Raises OSError if `cluster.bind` cannot be bound."""
         incarnation = await next_incarnation(self.keeper, self.take_over)
         zones = {number: name for name, number in self.config.names.zones.items()}
         zone = zones.get(self.config.settings.zone, "")
@@ -121,10 +123,10 @@
         if gateway.warm is None:
             await self._wait_for_members(self.membership)
         elif gateway.warm.known.get("endpoints"):
-            gateway.known = gateway.warm.known  # newer than the configuration's
+            gateway.known = gateway.warm.known  # newer than the list in the configuration
 
     async def _wait_for_members(self, membership: Membership) -> None:
-        """A cold start: what members have, a list and what they learned, as far as it comes in FIRST_S."""
+        """At a cold start, wait up to COLD_START_WAIT_S for a list and learned state from members."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + COLD_START_WAIT_S
         try:
@@ -144,28 +146,30 @@
             await wait
 
     def _restore(self, learned: LearnedState) -> None:
+        """Restore learned state at the start if a list is there, else once one arrives."""
         assert self.neighbours is not None
         events.event("warm.restored", neighbours=self.neighbours.answer_count, hosts=len(learned.servers))
         if self.sharing is None or self.gateway.known.get("endpoints"):
             classes = self.gateway.names.class_names
-            self.gateway.warm = Snapshot(time.time(), learned, classes=classes)  # with the list, at the start
+            # Restored together with the list, when the gateway starts.
+            self.gateway.warm = Snapshot(time.time(), learned, classes=classes)
         else:
             self.restore_task = asyncio.get_running_loop().create_task(self._restore_when_listed(learned))
 
     async def _restore_when_listed(self, learned: LearnedState) -> None:
-        """The module takes up what was learned of listed hosts alone."""
+        """Restore learned state once a list has arrived: the module accepts it for listed hosts only."""
         assert self.sharing is not None
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         try:
             async with asyncio.timeout(LEARNED_MAX_AGE_S):
                 await self.sharing.has_hosts.wait()
         except TimeoutError:
             return
-        restore = Restore(learned, int((time.monotonic() - begun_s) * 1e6))
+        restore = Restore(learned, int((time.monotonic() - started_s) * 1e6))
         self.gateway.post(lambda: restore)
 
     def calls(self) -> GetHandlers:
-        """Operators' calls, by path; `posts` and `asks` as well."""
+        """Handlers of the operators' GET requests, by path."""
         calls: GetHandlers = {b"/api/members": self.members_answer}
         if self.transforms is not None:
             calls[b"/api/transforms"] = self.transforms.status
@@ -174,6 +178,7 @@
         return calls
 
     def posts(self) -> dict[bytes, PostHandler]:
+        """Handlers of the operators' POST requests, by path."""
         posts: dict[bytes, PostHandler] = {}
         if self.transforms is not None:
             posts[b"/api/transforms/publish"] = self.transforms.publish
@@ -187,10 +192,11 @@
         return posts
 
     def asks(self) -> dict[bytes, AsyncGetHandler]:
+        """Handlers of the operators' GET requests that are answered asynchronously, by path."""
         return {b"/api/routes": self.routes.show} if self.routes is not None else {}
 
     def members_answer(self) -> Answer:
-        """`GET /api/members`."""
+        """Answer of `GET /api/members`."""
         membership = self.membership
         if membership is None:
             return Answer(503, b"membership has not started yet\n")
@@ -208,7 +214,7 @@
         return Answer(200, json.dumps(body).encode(), (b"Content-Type", b"application/json"))
 
     def counters(self) -> dict[str, int]:
-        """For telemetry."""
+        """Counters for telemetry, by metric name without prefix."""
         if self.membership is None:
             return {}
         counts = {f"members_{name}_total": n for name, n in self.membership.counters().items()}
@@ -221,26 +227,28 @@
         return counts
 
     def gauges(self) -> dict[str, int]:
+        """Gauges for telemetry, by metric name without prefix."""
         if self.membership is None:
             return {}
-        figures = {"members_live": len(self.membership.live())}
+        gauges = {"members_live": len(self.membership.live())}
         if self.sharing is not None:
-            figures |= self.sharing.gauges()
+            gauges |= self.sharing.gauges()
         if self.neighbours is not None:
-            figures["warm_neighbours"] = self.neighbours.answer_count
+            gauges["warm_neighbours"] = self.neighbours.answer_count
         if self.transforms is not None:
-            figures |= self.transforms.gauges()
+            gauges |= self.transforms.gauges()
         if self.routes is not None:
-            figures |= self.routes.gauges()
+            gauges |= self.routes.gauges()
         if self.rollout is not None:
-            figures |= self.rollout.gauges()
-        return figures
+            gauges |= self.rollout.gauges()
+        return gauges
 
     def descriptors(self) -> int:
-        """Sockets that this process has open beside those of its clients and hosts."""
+        """Number of open sockets other than those to clients and hosts."""
         return self.membership.descriptors() if self.membership is not None else 0
 
     async def leave(self) -> None:
+        """Close the parts that need membership, then leave the cluster."""
         if self.rollout is not None:
             self.rollout.close()
         if self.routes is not None:
@@ -253,6 +261,7 @@
             await self.membership.leave()
 
     def close(self) -> None:
+        """Stop all parts and close their sockets."""
         if self.restore_task is not None:
             self.restore_task.cancel()
         if self.size_reporter is not None:
@@ -264,8 +273,10 @@
 
 
 def make_ledger(config: Config, cluster: ClusterSettings, keeper: Keeper | None) -> LedgerPart | None:
-    """The ledger's part, where another part keeps records in it and there is a state store; equal sizes are
-    the configuration's check (needs.py)."""
+    """Create the ledger part, if another part keeps records in it and there is a state store.
+
+    That all parts have the same size is checked with the configuration (needs.py).
+    """
     sizes = needs.ledger_sizes(config)
     if not sizes or keeper is None:
         return None
@@ -277,17 +288,19 @@
 
 
 async def next_incarnation(keeper: Keeper | None, take_over: bool) -> int:
-    """A number higher than any that this gateway's name had: the store's counter, raised and written before
-    it is used; without a store, or where it does not answer in time, the wall clock in milliseconds.
+    """An incarnation higher than any that this gateway's name had.
 
-    In an upgrade the process before may hold the store until it ends: its number is read, and the next one
-    used; the counter follows once the store is this process's.
+    It is the store's counter, incremented and written before use. Without a store, or if the store does not
+    answer in time, it is the wall clock in milliseconds. In an upgrade the older process may hold the store
+    until it ends: then its number is read and the next one used, and the counter catches up once this process
+    has the store.
     """
     clock = time.time_ns() // 1_000_000
     if keeper is None:
         return clock
     number = asyncio.wrap_future(keeper.number(INCARNATION_COUNTER))
-    number.add_done_callback(lambda late: late.cancelled() or late.exception())  # it may come after the wait
+    # Marks an exception that comes after the wait as retrieved.
+    number.add_done_callback(lambda future: future.cancelled() or future.exception())
     done, _ = await asyncio.wait(
         [number], timeout=TAKE_OVER_TIMEOUT_S if take_over else INCARNATION_TIMEOUT_S
     )
@@ -296,5 +309,5 @@
     last = await asyncio.to_thread(keeper.peek, INCARNATION_COUNTER) if take_over else 0
     if last:
         return last + 1
-    events.event("members.incarnation", source="clock", incarnation=clock, reason="the store gave none")
+    events.event("members.incarnation", source="clock", incarnation=clock, reason="the state store gave none")
     return clock
