--- a/cloverkeel/fleet/cluster.py
+++ b/cloverkeel/fleet/cluster.py
@@ -23,7 +23,7 @@
     advertise: str = ""  # ip:port at which other members reach this one, if not `bind`
     seeds: tuple[str, ...] = ()  # ip:port of members to contact at the start
     trusted_network: bool = False  # required outside loopback, as messages are not authenticated
-    relays: Annotated[int, msgspec.Meta(ge=1, le=64)] = 3  # members that watch the list service for the others
+    relays: Annotated[int, msgspec.Meta(ge=1, le=64)] = 3  # members that watch the list service
     # Calls of the whole fleet to the list service during fallback.
     list_calls_per_s: Annotated[float, msgspec.Meta(gt=0, le=1e6)] = 20.0
     lists: bool = True  # lists of hosts are shared between members
--- a/cloverkeel/fleet/snapshot.py
+++ b/cloverkeel/fleet/snapshot.py
@@ -40,9 +40,7 @@
         servers = tuple(
             replace(
                 s,
-                by_class=tuple(
-                    (new_by_old[k], weight, b) for k, weight, b in s.by_class if k in new_by_old
-                ),
+                by_class=tuple((new_by_old[k], weight, b) for k, weight, b in s.by_class if k in new_by_old),
             )
             for s in self.learned.servers
         )
