--- a/tests/test_membership_process.py
+++ b/tests/test_membership_process.py
@@ -1,4 +1,4 @@
-"""Membership in real gateway processes: the table, an upgrade, and configurations that cannot be used."""
+"""Membership in real gateway processes: member table, upgrade, and invalid configurations."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 async def table_with(operator: int, **status: str) -> dict[str, Any]:
-    """The table, once the members have these states and no others are known."""
+    """The table, once exactly these members are known, with these states."""
     while True:
         found = await table(operator)
         if {name: row["status"] for name, row in found["by_name"].items()} == status:
@@ -82,19 +82,19 @@
                             await asyncio.sleep(0.01)
                         old.send_signal(signal.SIGTERM)
                         _, said = await old.communicate()
-                        # Of the store's counter, unless its disk took too long, which is said.
+                        # From the store's counter, unless the store took too long, which is logged.
                         assert before["incarnation"] < 10 or b"members.incarnation source=clock" in said
                         after = (await table_with(ports[0], g1="alive", g2="alive"))["by_name"]["g2"]
                         assert after["address"] != before["address"]
                         assert after["incarnation"] > before["incarnation"]
                         assert len((await table(ports[2]))["members"]) == 2
-            # The new process is killed at the end of its block: nobody said that it left.
+            # The new process is killed at the end of its block, so no leave was sent.
             await table_with(ports[0], g1="alive", g2="dead")
             first.send_signal(signal.SIGTERM)
             _, errors = await first.communicate()
             lines = [line for line in errors.decode().splitlines() if "member=g2" in line]
             changes = [line.split("event=members.")[1].split()[0] for line in lines]
-            # A machine under load may have it suspected, and refuted, before the kill: never dead or gone.
+            # Under load it may be suspected before the kill, and refute that, but never be dead or left.
             assert changes[0] == "alive" and changes[-2:] == ["suspect", "dead"], lines
             assert set(changes[:-1]) <= {"alive", "suspect"}, lines
 
@@ -109,7 +109,7 @@
 
 
 @on_loop
-async def test_the_members_command_names_what_is_in_its_way_in_one_line() -> None:
+async def test_the_members_command_reports_an_error_in_one_line() -> None:
     async with peer() as host:  # answers 200 with something else
         for words, code in (
             (("--operator", "nowhere"), 2),
@@ -144,7 +144,7 @@
         (CLUSTER | {"probe_timeout_s": 0.2}, "probe_timeout_s"),
     ],
 )
-def test_a_cluster_that_cannot_be_used_is_one_line_that_names_the_key(cluster: object, says: str) -> None:
+def test_an_invalid_cluster_is_one_error_line_that_names_the_key(cluster: object, says: str) -> None:
     with pytest.raises(ConfigError) as error:
         parse(configuration() | {"cluster": cluster})
     line = str(error.value)
@@ -157,4 +157,4 @@
     started = parse(configuration() | {"cluster": CLUSTER})
     assert started.cluster is not None and started.cluster.bind_address == ("127.0.0.1", 0)
     for again in (configuration(), configuration() | {"cluster": CLUSTER | {"name": "green"}}):
-        assert merge_reloaded(started, parse(again)).cluster == started.cluster  # a SIGHUP changes none
+        assert merge_reloaded(started, parse(again)).cluster == started.cluster  # a SIGHUP does not change it
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -1,4 +1,4 @@
-"""Membership and its calls on loopback sockets, several members in one process."""
+"""Membership, calls and feeds on loopback sockets, with several members in one process."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 @on_loop
-async def test_three_members_tell_a_leave_from_a_death_and_their_listeners_too() -> None:
+async def test_three_members_distinguish_a_leave_from_a_death_and_report_both_to_listeners() -> None:
     async with three() as (first, second, third):
         heard: list[tuple[str, str]] = []
         first.on_change(lambda rumour, before: heard.append((rumour.name, rumour.status.value)))
@@ -72,7 +72,7 @@
 
 
 @on_loop
-async def test_garbage_of_every_size_is_counted_and_the_members_go_on() -> None:
+async def test_garbage_of_every_size_is_counted_and_the_members_stay_alive() -> None:
     async with three() as (first, second, third):
         host, port = parse_address(first.address)
         head, rng = Codec("blue").header, random.Random(1)
@@ -83,7 +83,7 @@
                 noise.sendto(rng.randbytes(size), (host, port))
                 noise.sendto(head + rng.randbytes(size), (host, port))
                 noise.sendto(sound[: 1 + size % (len(sound) - 1)], (host, port))
-                await asyncio.sleep(0)  # let it read: the system's buffer is no matter here
+                await asyncio.sleep(0)  # lets it read, so that the socket's buffer does not overflow
             for _ in range(40):
                 noise.sendto(Codec("green").encode(Ping(1, stranger, "m0")), (host, port))
         sent = 3 * len(range(1, 1_600, 3)) + 40
@@ -103,7 +103,7 @@
 
 
 @on_loop
-async def test_a_name_that_is_taken_is_refused_until_its_holder_has_gone() -> None:
+async def test_a_join_under_a_taken_name_is_refused_until_its_holder_has_gone() -> None:
     async with three(push_pull_s=0.3) as (first, second, _):
         twin = await member("m1", first.address, push_pull_s=0.3)
         await twin.joined.wait()
@@ -115,10 +115,10 @@
 
 
 @on_loop
-async def test_a_killed_process_is_back_under_its_name_before_its_death_is_known() -> None:
+async def test_a_killed_process_takes_its_name_back_before_its_death_is_known() -> None:
     slow: dict[str, Any] = {"probe_interval_s": 5.0, "probe_timeout_s": 2.0, "push_pull_s": 20.0}
     async with three(**slow) as (first, second, third):
-        second.close()  # and says no word
+        second.close()  # without a leave
         again = await member("m1", first.address, **slow)
         await again.joined.wait()
         assert again.state == "member" and len(again.live()) == 3
@@ -130,7 +130,7 @@
 @on_loop
 async def test_a_seed_stays_one_through_an_upgrade_and_is_never_seen_dead() -> None:
     old = await member("m0")
-    seed = old.address  # its configured one from now on
+    seed = old.address  # configured as its address from now on
     other = await member("m1", seed)
     await until(lambda: len(old.live()) == len(other.live()) == 2)
     new = await member("m0", bind=seed, take_over=True, join_wait_s=0.2)
@@ -138,7 +138,7 @@
     await until(lambda: old.state == "superseded")
     await old.leave()
     old.close()
-    late = await member("m2", seed)  # asks where the old process was heard
+    late = await member("m2", seed)  # contacts the address of the old process
     await until(lambda: len(late.live()) == len(other.live()) == len(new.live()) == 3)
     assert other.counters()["deaths"] == other.counters()["leaves"] == 0 and new.address != seed
     for made in (other, new, late):
@@ -146,7 +146,7 @@
 
 
 @on_loop
-async def test_a_view_too_large_for_datagrams_is_swapped_by_a_call() -> None:
+async def test_a_view_too_large_for_datagrams_is_exchanged_by_a_call() -> None:
     first = await member("m0")
     assert first.member is not None
     for n in range(1_000):
@@ -159,11 +159,11 @@
     second.close()
 
 
-def test_both_sockets_have_one_port_or_neither_is_kept() -> None:
+def test_both_sockets_have_the_same_port_or_none_is_opened() -> None:
     udp, tcp = open_sockets("127.0.0.1", 0)
     host, port = udp.getsockname()
     assert tcp.getsockname() == (host, port)
-    for closed in (None, tcp, udp):  # both are held, then the datagrams' alone, then the streams'
+    for closed in (None, tcp, udp):  # both ports in use, then only the UDP one, then only the TCP one
         if closed is not None:
             closed.close()
         if closed is udp:
@@ -227,7 +227,7 @@
 
 
 @on_loop
-async def test_what_is_no_request_closes_its_connection_and_is_counted(
+async def test_an_invalid_request_closes_its_connection_and_is_counted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(serving, "REQUEST_TIMEOUT_S", 0.1)
@@ -237,7 +237,7 @@
         frame = FrameCodec("blue").encode
         request = frame("echo", ("x", 1))
         for data in (
-            os.urandom(3),  # too little: the time ends it
+            os.urandom(3),  # incomplete: ended by the timeout
             b"\xff" * 8,
             b"\0\0\0\4" + b"\xc1" * 4,
             b"GET / HTTP/1.1\r\n\r\n",
@@ -252,7 +252,7 @@
             writer.write(data)
             with pytest.raises(ConnectionError):
                 assert await reader.read() == b""
-                raise ConnectionError  # closed without a reset
+                raise ConnectionError  # a close without a reset will do, too
             writer.close()
         reasons = {name: n for name, n in callee.counts.items() if name.startswith("frames_dropped_")}
         assert reasons == {
@@ -260,14 +260,14 @@
         }  # fmt: skip
         held = [await asyncio.open_connection(*parse_address(address)) for _ in range(4)]
         await until(lambda: callee.counts["connections_refused"] == 1)
-        await until(lambda: not callee.connections)  # their time is up
+        await until(lambda: not callee.connections)  # ended by the timeout
         assert await caller.call(address, "echo", 7, 5.0) == 7
         for _, writer in held:
             writer.close()
 
 
 class Follower:
-    """What a subscription gave."""
+    """Records the bodies and the ends of a subscription."""
 
     def __init__(self) -> None:
         self.bodies: list[Any] = []
@@ -275,7 +275,7 @@
 
 
 @on_loop
-async def test_a_feed_passes_bodies_on_in_order_and_each_end_is_told_once() -> None:
+async def test_a_feed_passes_bodies_on_in_order_and_each_end_is_reported_once() -> None:
     async with caller_and_callee() as (caller, callee, address):
         feeds: list[Feed] = []
         closed: list[str] = []
@@ -310,7 +310,7 @@
 
 
 @on_loop
-async def test_silence_wrong_frames_and_bodies_that_are_not_understood_end_a_feed() -> None:
+async def test_silence_invalid_frames_and_bodies_that_fail_end_a_feed() -> None:
     frames, sent = FrameCodec("blue"), b""
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -339,7 +339,7 @@
 
 
 @on_loop
-async def test_a_follower_that_does_not_read_is_let_go() -> None:
+async def test_the_feed_of_a_subscriber_that_does_not_read_is_closed() -> None:
     async with caller_and_callee() as (_, callee, address):
         feeds: list[Feed] = []
         closed: list[int] = []
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -1,4 +1,4 @@
-"""What comes from the network: datagrams and frames of every kind of wrong, and bounds on what is sent."""
+"""Coding of datagrams and frames: round trips, bounds on what is sent, and rejection of invalid input."""
 
 from __future__ import annotations
 
@@ -30,33 +30,33 @@
 CODEC = Codec("blue")
 
 
-def short(most: int, least: int = 0) -> st.SearchStrategy[str]:
-    text = st.text(st.characters(codec="utf-8"), min_size=least, max_size=most)
-    return text.filter(lambda t: len(t.encode()) <= most)
+def short_text(max_bytes: int, min_bytes: int = 0) -> st.SearchStrategy[str]:
+    text = st.text(st.characters(codec="utf-8"), min_size=min_bytes, max_size=max_bytes)
+    return text.filter(lambda t: len(t.encode()) <= max_bytes)
 
 
 addresses = st.sampled_from(
     ["127.0.0.1:1", "255.255.255.255:65535", "[::1]:7000", f"[{'abcd:' * 7}abcd]:65535"]
 )
-rumours = st.builds(
-    MemberUpdate, short(128, 1), addresses, st.integers(0, MAX_INCARNATION), st.sampled_from(Status),
-    short(64), short(128),
+updates = st.builds(
+    MemberUpdate, short_text(128, 1), addresses, st.integers(0, MAX_INCARNATION), st.sampled_from(Status),
+    short_text(64), short_text(128),
 )  # fmt: skip
-riders = st.lists(rumours, max_size=2).map(tuple)
+piggybacked = st.lists(updates, max_size=2).map(tuple)
 numbers = st.integers(0, 2**62)
 messages = st.one_of(
-    st.builds(Ping, numbers, rumours, short(128, 1), riders, st.booleans()),
-    st.builds(PingReq, numbers, rumours, rumours, riders),
-    st.builds(Ack, numbers, rumours, riders),
-    st.builds(Nack, numbers, rumours, riders),
-    st.builds(Push, rumours, riders, st.booleans(), st.booleans()),
-    st.builds(Join, rumours),
-    st.builds(Gossip, rumours, riders),
+    st.builds(Ping, numbers, updates, short_text(128, 1), piggybacked, st.booleans()),
+    st.builds(PingReq, numbers, updates, updates, piggybacked),
+    st.builds(Ack, numbers, updates, piggybacked),
+    st.builds(Nack, numbers, updates, piggybacked),
+    st.builds(Push, updates, piggybacked, st.booleans(), st.booleans()),
+    st.builds(Join, updates),
+    st.builds(Gossip, updates, piggybacked),
 )
 
 
 @given(messages)
-def test_a_message_comes_as_it_went_and_is_never_larger_than_estimated(message: Message) -> None:
+def test_a_message_is_decoded_unchanged_and_is_never_larger_than_estimated(message: Message) -> None:
     estimate = (
         MESSAGE_OVERHEAD_BYTES - 60 + update_bytes(message.sender)
     )  # this cluster's name is 60 bytes shorter
@@ -82,8 +82,8 @@
 )
 
 
-def refused(data: bytes) -> str:
-    """The reason, or "" for a sound message, which can be sent on as it is."""
+def drop_reason(data: bytes) -> str:
+    """The reason for dropping a datagram, or "" for a valid message, which is encoded again unchanged."""
     try:
         message = CODEC.decode(data)
     except DatagramError as error:
@@ -94,28 +94,28 @@
 
 
 @given(st.one_of(st.binary(max_size=60), junk.map(msgspec.msgpack.encode)), messages, st.randoms())
-def test_no_datagram_does_more_than_be_refused(data: bytes, message: Message, rng: random.Random) -> None:
-    refused(data)
-    refused(CODEC.header + data)
+def test_an_invalid_datagram_is_rejected(data: bytes, message: Message, rng: random.Random) -> None:
+    drop_reason(data)
+    drop_reason(CODEC.header + data)
     try:
-        sound = bytearray(CODEC.encode(message))
+        valid = bytearray(CODEC.encode(message))
     except ValueError:
         return
-    assert refused(bytes(sound)) == ""
-    assert refused(bytes(sound[: rng.randrange(len(sound))])) in ("malformed", "version", "cluster")
-    assert refused(bytes(sound) + b"\0") in ("malformed", "oversized")
-    sound[rng.randrange(len(sound))] ^= 1 << rng.randrange(8)
-    refused(bytes(sound))
+    assert drop_reason(bytes(valid)) == ""
+    assert drop_reason(bytes(valid[: rng.randrange(len(valid))])) in ("malformed", "version", "cluster")
+    assert drop_reason(bytes(valid) + b"\0") in ("malformed", "oversized")
+    valid[rng.randrange(len(valid))] ^= 1 << rng.randrange(8)
+    drop_reason(bytes(valid))
 
 
-def test_every_reason_for_a_refusal() -> None:
+def test_every_reason_for_dropping_a_datagram() -> None:
     me = MemberUpdate("a", "127.0.0.1:1", 1, Status.ALIVE)
-    sound = CODEC.encode(Ack(1, me))
+    valid = CODEC.encode(Ack(1, me))
     wrong: dict[str, list[bytes]] = {
-        "oversized": [sound + bytes(MAX_DATAGRAM_BYTES), CODEC.header + bytes(60_000)],
-        "version": [b"", b"\x02" + sound[1:], b"GET / HTTP/1.1"],
+        "oversized": [valid + bytes(MAX_DATAGRAM_BYTES), CODEC.header + bytes(60_000)],
+        "version": [b"", b"\x02" + valid[1:], b"GET / HTTP/1.1"],
         "cluster": [Codec("bluer").encode(Ack(1, me)), Codec("blu").encode(Ack(1, me))],
-        "malformed": [sound[:1], sound[:4], sound[:-1], sound + b"\xc0"],
+        "malformed": [valid[:1], valid[:4], valid[:-1], valid + b"\xc0"],
     }
     fields: list[Any] = ["a", "127.0.0.1:1", 1, 0, "", ""]
     for place, value in [
@@ -130,22 +130,24 @@
     wrong["malformed"].append(CODEC.header + msgspec.msgpack.encode([2, 1, [*fields, 0], []]))
     wrong["malformed"].append(CODEC.header + msgspec.msgpack.encode([9, 1, fields, []]))
     for reason, datagrams in wrong.items():
-        assert [refused(data) for data in datagrams] == [reason] * len(datagrams)
+        assert [drop_reason(data) for data in datagrams] == [reason] * len(datagrams)
 
 
 @given(st.binary(max_size=200), junk, st.integers(1, 9))
-def test_frames_in_any_pieces_come_whole_or_not_at_all(noise: bytes, body: Any, step: int) -> None:
+def test_frames_split_anywhere_are_decoded_or_rejected(noise: bytes, body: Any, step: int) -> None:
     frames = FrameCodec("blue", most=4096)
-    data, held, got = frames.encode("k", body) * 2, bytearray(), []
+    data, buffer, found = frames.encode("k", body) * 2, bytearray(), []
     for start in range(0, len(data), step):
-        held += data[start : start + step]
-        while (frame := frames.decode_next(held)) is not None:
-            got.append(frame)
-    # Compared as sent again: a tuple comes as a list.
-    assert [frames.encode(kind, value) for kind, value in got] == [data[: len(data) // 2]] * 2 and not held
+        buffer += data[start : start + step]
+        while (frame := frames.decode_next(buffer)) is not None:
+            found.append(frame)
+    # Compared after encoding again, as a tuple is decoded as a list.
+    assert [frames.encode(kind, value) for kind, value in found] == [
+        data[: len(data) // 2]
+    ] * 2 and not buffer
     try:
-        held = bytearray(noise)
-        while frames.decode_next(held) is not None:
+        buffer = bytearray(noise)
+        while frames.decode_next(buffer) is not None:
             pass
     except FrameError as error:
         assert error.reason in ("malformed", "oversized", "version", "cluster")
