--- a/cloverkeel/fleet/membership/codec.py
+++ b/cloverkeel/fleet/membership/codec.py
@@ -1,10 +1,10 @@
 """Encoding of datagrams: version byte, length byte and name of the cluster, then one message in msgpack.
 
 A message is an array: the number of its kind, then its fields in order. A member update is [name, address,
-incarnation, rank of the status, zone, suspected_by]. Decoding is typed and bounded (msgspec): the
-messages that it returns are valid for the core.
+incarnation, rank of the status, zone, suspected_by]. Decoding is typed and bounded (msgspec), so that the
+core gets valid messages only.
 
-The format of msgpack: https://github.com/msgpack/msgpack/blob/master/spec.md.
+Format of msgpack: https://github.com/msgpack/msgpack/blob/master/spec.md.
 """
 
 from __future__ import annotations
--- a/cloverkeel/fleet/membership/member.py
+++ b/cloverkeel/fleet/membership/member.py
@@ -60,9 +60,9 @@
         self.rng = rng or random.Random()
         self.roster = Roster(me, timing, self.rng)
         self.cycle = ProbeCycle(self.roster)
-        self.joining_until_s: float | None = None
+        self.joining_until_s: float | None = None  # end of the join wait; None when not joining
         self.name_confirmed = False  # another member was heard since the join, so the name is ours
-        self.refused = False
+        self.refused = False  # another process holds the name (`NameConflict`): this member sends nothing
         self.older_addresses = set(older_addresses)  # of the processes that this one takes over from
         self.outrank_count = 0  # times that this member had to outrank them
         self.next_push_s = self.next_seed_contact_s = self.next_gossip_s = 0.0
@@ -124,8 +124,8 @@
         """Refute or outrank an update about this member's name, or give the name up."""
         if self.left or self.refused:
             return []
-        # Until another member has been heard, this process only claims the name. An update that a process of
-        # the name sends itself, after the join, is that of a successor.
+        # Until another member has been heard, this process only claims the name. After the join, an update
+        # sent by a process of the same name is about a successor.
         claiming = self.joining_until_s is not None or not (self.name_confirmed or source == self.me.name)
         # A suspicion of another address at no higher incarnation is not about a successor: it is left over
         # from a process that claimed the name and has gone.
