--- a/cloverkeel/fleet/operator_commands.py
+++ b/cloverkeel/fleet/operator_commands.py
@@ -77,5 +77,5 @@
         if not isinstance(answer, dict):
             raise ValueError("no object")
     except (ValueError, RecursionError) as error:
-        raise CommandError(f"the answer is not its own: {error!r:.80}") from None
+        raise CommandError(f"the answer is not a JSON object: {error!r:.80}") from None
     return answer
