--- a/faultlab/recovery/command.py
+++ b/faultlab/recovery/command.py
@@ -8,15 +8,15 @@
 from pathlib import Path
 
 from faultlab.recovery.damage import damaged_starts
-from faultlab.recovery.files import StoreCounters
+from faultlab.recovery.files import Figures
 from faultlab.recovery.gateways import stopped, two_on_one, unmakeable
 from faultlab.recovery.starts import check_costs, start_costs, warm_and_cold
 from faultlab.recovery.writers import full_disk, kills
 from faultlab.report import Parts, positive, report
 
 
-async def run(processes: int, rounds: int, seed: int, folder: Path) -> StoreCounters:
-    figures: StoreCounters = {"processes": processes, "rounds": rounds, "seed": seed}
+async def run(processes: int, rounds: int, seed: int, folder: Path) -> Figures:
+    figures: Figures = {"processes": processes, "rounds": rounds, "seed": seed}
     figures |= await kills(folder, rounds, processes, seed)
     figures |= await damaged_starts(folder, max(1, rounds // 10), seed)
     figures |= await full_disk(folder)
--- a/faultlab/recovery/damage.py
+++ b/faultlab/recovery/damage.py
@@ -13,7 +13,7 @@
 from cloverkeel.fleet import state
 from faultlab.lab import Gateway, configuration
 from faultlab.ports import free_port
-from faultlab.recovery.files import StoreCounters, good_file, open_copy, with_wal
+from faultlab.recovery.files import Figures, good_file, open_copy, with_wal
 from faultlab.standins import Host, endpoint
 
 
@@ -65,7 +65,7 @@
     }
 
 
-async def damaged_starts(folder: Path, rounds: int, seed: int) -> StoreCounters:
+async def damaged_starts(folder: Path, rounds: int, seed: int) -> Figures:
     """Real gateways started on damaged files: ready, and each damage seen, counted and logged once, or the
     file's damage not reaching what is restored."""
     rng = random.Random(seed)
--- a/faultlab/recovery/files.py
+++ b/faultlab/recovery/files.py
@@ -12,7 +12,7 @@
 from cloverkeel.fleet import state
 from faultlab.recovery import writer
 
-StoreCounters = dict[str, Any]  # by name, as an experiment prints them
+Figures = dict[str, Any]  # by name, as an experiment prints them
 
 
 def copy_as_after_power_loss(source: Path, target: Path) -> None:
--- a/faultlab/recovery/gateways.py
+++ b/faultlab/recovery/gateways.py
@@ -12,11 +12,11 @@
 from cloverkeel.fleet import state
 from faultlab.lab import Gateway, configuration, snapshot_after, traffic
 from faultlab.ports import free_port
-from faultlab.recovery.files import StoreCounters
+from faultlab.recovery.files import Figures
 from faultlab.standins import Host, endpoint
 
 
-async def two_on_one(folder: Path) -> StoreCounters:
+async def two_on_one(folder: Path) -> Figures:
     """Two gateways named to one directory without an upgrade: the second says so once and runs without it."""
     hosts = [Host("t0")]
     await hosts[0].start()
@@ -40,7 +40,7 @@
     }
 
 
-async def stopped(folder: Path, rounds: int, seed: int) -> StoreCounters:
+async def stopped(folder: Path, rounds: int, seed: int) -> Figures:
     """A gateway SIGSTOPped at random moments of its writing, for up to half a second, then SIGCONTed: it goes
     on writing, and the file is sound at each stop (read by another process meanwhile)."""
     rng = random.Random(seed)
@@ -70,7 +70,7 @@
             "stopped_write_failures": len(gateway.events("state.write_failed"))}  # fmt: skip
 
 
-async def unmakeable(folder: Path) -> StoreCounters:
+async def unmakeable(folder: Path) -> Figures:
     """A state directory that cannot be made (a file stands in its path): the gateway serves without a store.
     (Write permissions do not bind a process of root, so a read-only directory is tried as a full disk.)"""
     host = Host("m0")
--- a/faultlab/recovery/starts.py
+++ b/faultlab/recovery/starts.py
@@ -12,11 +12,11 @@
 from cloverkeel.fleet import state
 from faultlab.lab import Gateway, configuration, traffic
 from faultlab.ports import free_port
-from faultlab.recovery.files import StoreCounters, good_file
+from faultlab.recovery.files import Figures, good_file
 from faultlab.standins import Discovery, Host, endpoint
 
 
-async def warm_and_cold(folder: Path, processes: int, cycles: int) -> StoreCounters:
+async def warm_and_cold(folder: Path, processes: int, cycles: int) -> Figures:
     """Gateways that learned a failing and a slow host, SIGKILLed and started again: with their state (warm),
     with a new state directory (cold), and with none (no store). Requests failed in the first 5 s under
     steady traffic, by start."""
@@ -58,7 +58,7 @@
     }
 
 
-async def start_costs(folder: Path, rounds: int) -> StoreCounters:
+async def start_costs(folder: Path, rounds: int) -> Figures:
     """Seconds from exec to `/health/ready` after a SIGKILL, one start at a time: with no store, with a new
     state directory, and with the state of the process before (median of `rounds` each)."""
     host = Host("s0")
@@ -80,7 +80,7 @@
     return {"ready_s": medians, "store_start_cost": medians["cold"] / medians["none"] - 1.0}
 
 
-def check_costs(folder: Path, rounds: int) -> StoreCounters:
+def check_costs(folder: Path, rounds: int) -> Figures:
     """Milliseconds that `quick_check` and `integrity_check` take on a file of two snapshots (median)."""
     directory = folder / "checks"
     good_file(directory, 2)
--- a/faultlab/recovery/writers.py
+++ b/faultlab/recovery/writers.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from faultlab.lab import ROOT
-from faultlab.recovery.files import StoreCounters, copy_as_after_power_loss, good_file, open_copy
+from faultlab.recovery.files import Figures, copy_as_after_power_loss, good_file, open_copy
 
 
 async def spawn_writer(directory: Path, count: int, fsize: int | None = None) -> asyncio.subprocess.Process:
@@ -41,7 +41,7 @@
     return seen
 
 
-async def kills(folder: Path, rounds: int, processes: int, seed: int) -> StoreCounters:
+async def kills(folder: Path, rounds: int, processes: int, seed: int) -> Figures:
     """Writers SIGKILLed at random moments; each next writer's start says what it found. Every fourth round
     also copies the files mid-write, as a power loss would leave them, and opens the copy."""
     rng = random.Random(seed)
@@ -90,7 +90,7 @@
             "power_copies": dict(power)}  # fmt: skip
 
 
-async def full_disk(folder: Path) -> StoreCounters:
+async def full_disk(folder: Path) -> Figures:
     """A writer whose files may not grow past a limit (RLIMIT_FSIZE: EFBIG, as a full disk): it goes on, and
     the file stays sound with what was committed."""
     directory = folder / "full"
