--- a/caperdrift/__init__.py
+++ b/caperdrift/__init__.py
@@ -1,4 +1,4 @@
-"""caperdrift: the decisions of a load-balancing proxy for fleets of HTTP servers."""
+"""caperdrift: the decision module of a load-balancing proxy for fleets of HTTP servers."""
 
 from caperdrift.policy.balancer import Balancer
 from caperdrift.interface import (
@@ -14,9 +14,9 @@
     FetchList,
     Fleet,
     Goal,
-    LearnedState,
     LearnedBreaker,
     LearnedServer,
+    LearnedState,
     ListedServer,
     ListKind,
     LoadReport,
--- a/caperdrift/interface.py
+++ b/caperdrift/interface.py
@@ -1,8 +1,7 @@
-"""Settings, events and actions of the balancer: pure data, no decisions.
+"""Settings, events and actions of the balancer: data types only, no decisions.
 
-Times are whole microseconds. An absolute time is a reading of the caller's clock, which only moves forward;
-everything else is a duration. Servers, requests, classes and zones are plain identifiers that are
-compared and never interpreted.
+Times are whole microseconds. An absolute time is a reading of the caller's monotonic clock; all other times
+are durations. Servers, requests, classes and zones are opaque identifiers that are only compared.
 """
 
 from __future__ import annotations
@@ -16,15 +15,15 @@
 
 
 class Effect(Enum):
-    """What running a request a second time would do."""
+    """What happens if a request runs a second time."""
 
-    SAFE = "safe"  # nothing: repeat at will
-    KEYED = "keyed"  # repeats are dropped by the servers of one scope, for a while
-    UNSAFE = "unsafe"  # the effect would happen twice
+    SAFE = "safe"  # nothing: it can be repeated at any time
+    KEYED = "keyed"  # the servers of one scope drop duplicates within the deduplication window
+    UNSAFE = "unsafe"  # the effect happens twice
 
 
 class Scope(Enum):
-    """Which servers drop each other's repeats of a keyed request."""
+    """Which servers drop each other's duplicates of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -32,18 +31,20 @@
 
 
 class ServerStatus(Enum):
+    """Status of a server in the server list."""
+
     READY = "ready"
-    DRAINING = "draining"
+    DRAINING = "draining"  # takes no new requests
     GONE = "gone"
 
 
 class ListKind(Enum):
-    """How a ServerList event is to be read."""
+    """What a ServerList event contains."""
 
     DELTA = "delta"  # changed servers only
-    FULL = "full"  # every server; one that is missing has left
+    FULL = "full"  # every server; a missing one has left
     DISK = "disk"  # every server as last stored by this proxy, possibly stale
-    ERROR = "error"  # a call failed or the subscription dropped; the old list stands
+    ERROR = "error"  # a call failed or the subscription was lost; the previous list stays in force
 
 
 class Outcome(Enum):
@@ -51,7 +52,7 @@
 
     OK = "ok"
     ERROR = "error"  # answered with an error; may have run
-    FULL = "full"  # turned away; never ran, unless the settings say that this is no proof
+    FULL = "full"  # rejected by a full server; never ran, unless `Settings.full_unproven` is set
     TIMEOUT = "timeout"  # may have run
     CONNECT_FAILED = "connect_failed"  # never ran
     RESET = "reset"  # connection lost with the attempt in flight; may have run
@@ -65,7 +66,10 @@
 
 
 def _validate(settings: object, least: Mapping[str, float], shares: tuple[str, ...] = ()) -> None:
-    """Raise for a field that no decision can be made from: not finite, below its least, or no share."""
+    """Raise ValueError for a field that is not finite, below its minimum, or a share above 1.
+
+    `least` maps names of fields to their minimum; `shares` names the fields that range from 0 to 1.
+    """
     for name in (*least, *shares):
         value = getattr(settings, name)
         if not math.isfinite(value):
@@ -78,39 +82,41 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    aim_us: int  # answered within this: full worth
-    give_up_us: int  # the client's patience over all its tries
-    worth: float = 1.0
-    late_worth: float = 0.0  # fraction of the worth left after the aim
+    """Settings of one class of requests."""
+
+    aim_us: int  # target latency: an answer within it has its full worth
+    give_up_us: int  # time after which a client gives up, over all its retries
+    worth: float = 1.0  # value of an answer within the target
+    late_worth: float = 0.0  # fraction of the worth of an answer after the target
     effect: Effect = Effect.UNSAFE
     scope: Scope = Scope.ALL  # for KEYED
-    window_us: int = 0  # for KEYED: how long repeats are dropped, from the first attempt's sending
-    in_order: bool = False  # requests with one key run one at a time, in the order taken
-    dropped: bool = False  # takes no new requests, and counts for nothing: its number stays taken
-    aim_stretch: float = 0.0  # the aim grows by this many times the request's own work, up to the deadline
+    window_us: int = 0  # for KEYED: deduplication window, from the sending of the first attempt
+    in_order: bool = False  # requests with the same key run one at a time, in order of arrival
+    dropped: bool = False  # takes no new requests and is left out of statistics; its number is not reused
+    aim_stretch: float = 0.0  # the target grows by this many times the request's work, up to give_up_us
 
     def __post_init__(self) -> None:
         least = {"aim_us": 1, "give_up_us": 1, "worth": 0, "window_us": 0, "aim_stretch": 0}
         _validate(self, least, shares=("late_worth",))
 
     def aim_for_work_us(self, work_us: int) -> int:
-        """The aim of a request that says it is so much work; 0: it does not say."""
+        """Target latency of a request with `work_us` of hinted work (0: no hint)."""
         return min(self.aim_us + int(self.aim_stretch * work_us), max(self.aim_us, self.give_up_us))
 
     @property
     def clients_may_retry(self) -> bool:
-        """Whether it does no harm that a client sends a request again which may have run, to any server."""
+        """Whether a client may safely retry, at any server, a request that may have run."""
         return self.effect is Effect.SAFE or (self.effect is Effect.KEYED and self.scope is Scope.ALL)
 
 
 @dataclass(slots=True, frozen=True)
 class Goal:
-    """How the operator weighs the parts of good service."""
+    """Weights of the operator's objectives."""
 
-    whole: float = 1.0
-    worst_window: float = 0.0
-    worst_class: float = 0.0
-    worst_tenant: float = 0.0  # inside its share
+    whole: float = 1.0  # worth served over all requests
+    worst_window: float = 0.0  # worth served in the worst time window
+    worst_class: float = 0.0  # served share of the worst class
+    worst_tenant: float = 0.0  # served share of the worst tenant, within its share of the service
 
     def __post_init__(self) -> None:
         _validate(self, least=dict.fromkeys(("whole", "worst_window", "worst_class", "worst_tenant"), 0))
@@ -118,8 +124,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    share: float = 0.0  # of the service
-    allowance_per_s: float = math.inf  # requests within its share, over all proxies
+    """Share of the service that one tenant is entitled to."""
+
+    share: float = 0.0  # of the service, from 0 to 1
+    allowance_per_s: float = math.inf  # requests per second within its share, over all proxies
 
     def __post_init__(self) -> None:
         _validate(self, least={}, shares=("share",))
@@ -129,66 +137,68 @@
 
 @dataclass(slots=True, frozen=True)
 class Prices:
-    """Points of the result that each costs."""
+    """What each kind of use costs, in points of the score."""
 
-    cross_zone: float = 0.0  # an attempt to another zone
-    handshake: float = 0.0  # a new connection
-    waste: float = 0.0  # server work that served no answer
-    late_fail: float = 0.0  # worth left unserved after its aim
-    connection: float = 0.0  # a hundred open connections a server
-    probe: float = 0.0
-    peer: float = 0.0  # a message of 256 bytes to one peer
-    list_lines: float = 0.0  # a hundred lines of the server list
+    cross_zone: float = 0.0  # per attempt to another zone
+    handshake: float = 0.0  # per new connection
+    waste: float = 0.0  # server work that led to no answer
+    late_fail: float = 0.0  # worth left unserved after its target latency
+    connection: float = 0.0  # per hundred open connections to a server
+    probe: float = 0.0  # per probe
+    peer: float = 0.0  # per message of 256 bytes to one peer
+    list_lines: float = 0.0  # per hundred lines of the server list
 
     def __post_init__(self) -> None:
         _validate(self, least=dict.fromkeys(self.__dataclass_fields__, 0))
 
 
 class Reports(Enum):
-    """How servers tell their load."""
+    """How servers report their load."""
 
-    ANSWERS = "answers"  # in each answer
-    PROBES = "probes"  # in the answers to probes alone
-    NONE = "none"
+    ANSWERS = "answers"  # with each answer
+    PROBES = "probes"  # with answers to probes only
+    NONE = "none"  # not at all
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
+    """All settings of a balancer."""
+
     classes: tuple[RequestClass, ...]
     goal: Goal = field(default_factory=Goal)
-    worth_by_work: bool = False  # worth counts for each unit of work, not for each request
-    proxies: int = 1  # how many share the servers
-    proxy: int = 0  # this proxy's own number among them
-    zone: int = 0  # where this proxy sits
+    worth_by_work: bool = False  # worth counts per unit of work, not per request
+    proxies: int = 1  # number of proxies that share the servers
+    proxy: int = 0  # this proxy's number among them, from 0
+    zone: int = 0  # the zone of this proxy
     prices: Prices = field(default_factory=Prices)
     tenants: tuple[Tenant, ...] = ()
     over_share_worth: float = 1.0  # worth of a request beyond its tenant's share, as a fraction
-    marks_retry: bool = False  # clients say of a repeat that it is one
-    max_attempts: int = 3
+    marks_retry: bool = False  # clients mark their retries
+    max_attempts: int = 3  # of one request
     may_cancel: bool = True
-    second_copies: bool = False  # two attempts of one request may be out together
+    second_copies: bool = False  # hedging: a request may have two attempts in flight
     may_probe: bool = False
     may_tell_peers: bool = False
     reports: Reports = Reports.NONE
-    attempts_per_connection: int = 1
-    keepalive_us: int = 60_000_000  # idle connections are closed after this
+    attempts_per_connection: int = 1  # in flight at once on one connection
+    keepalive_us: int = 60_000_000  # idle connections are closed after this time
     connect_timeout_us: int = 1_000_000
     answer_slack_us: int = 0  # a final answer may be this late
-    stop_sending_within_us: int = 0  # after word that a server drains or is gone
-    cpu_us_per_s: int = 0  # for this proxy's decisions; 0: no limit known
-    warm_keys: bool = False  # a server that met a key lately serves it for less work
-    list_is_pushed: bool = True  # False: changes come only after WatchList
-    must_ask_within_us: int = 10_000_000  # longest silence towards the list service without a subscription
+    stop_sending_within_us: int = 0  # time to stop sending to a server listed as draining or gone
+    cpu_us_per_s: int = 0  # CPU time for this proxy's decisions; 0: no known limit
+    warm_keys: bool = False  # a server that recently served a key serves it again with less work
+    list_is_pushed: bool = True  # False: list changes arrive only after WatchList
+    must_ask_within_us: int = 10_000_000  # longest time without a list call where there is no subscription
     max_retry_after_us: int = 1_000_000
-    start_capacity: float = 1.0  # a server that starts can do at least this share of its work
-    warm_after_us: int = 0  # and all of it after this
-    fall_multiple: float = 1.0  # sent more than this times its present capacity
-    fall_us: int = 1_000_000  # for this long, a cold server falls over
-    full_unproven: bool = False  # FULL may also be said of work that had begun
-    key_rest_us: int = 0  # in order: how long a key rests after an attempt that may still be running
+    start_capacity: float = 1.0  # minimum share of its full capacity that a server has when it starts
+    warm_after_us: int = 0  # time from its start until a server has its full capacity
+    fall_multiple: float = 1.0  # a cold server falls over if it is sent more than this multiple of its
+    fall_us: int = 1_000_000  # present capacity for this long (the fall window)
+    full_unproven: bool = False  # a server may answer FULL even though the request has run
+    key_rest_us: int = 0  # in-order classes: how long a key waits after an attempt that may still be running
 
     def __post_init__(self) -> None:
-        """Reject settings that no decision can be made from."""
+        """Raise ValueError for invalid settings."""
         if not self.classes:
             raise ValueError("classes is empty")
         durations = (
@@ -202,7 +212,7 @@
             raise ValueError("proxy is not below proxies")
 
     def accepts_class(self, klass: int) -> bool:
-        """Whether there is a class of this number, and it takes new requests."""
+        """Whether the class exists and takes new requests."""
         return 0 <= klass < len(self.classes) and not self.classes[klass].dropped
 
 
@@ -211,41 +221,45 @@
 
 @dataclass(slots=True, frozen=True)
 class ListedServer:
+    """One entry of the server list."""
+
     server: int
     status: ServerStatus = ServerStatus.READY
     weight: float = 1.0
     zone: int = 0
     group: int = 0
     kind: int = 0
-    started_us: int = 0  # clock reading; 0: long ago
+    started_us: int = 0  # clock reading at its start; 0: long ago
     labels: frozenset[int] = frozenset()
 
 
 @dataclass(slots=True, frozen=True)
 class ServerList:
+    """The server list or changes to it, or a failure to read it (see ListKind)."""
+
     kind: ListKind
     servers: tuple[ListedServer, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class RequestArrived:
+    """A client's request has arrived."""
+
     request: str
     klass: int
-    client_timeout_us: int  # until the client abandons this try
+    client_timeout_us: int  # time until the client abandons this try
     key: int | None = None
-    work_us: int | None = None  # expected work on a standard core
-    is_retry: bool = False
-    tenant: int = 0  # its place in the settings
-    body_incomplete: bool = False  # its body is still coming: its time begins with BodyEnded
-    route: int = 0  # its number in the plan in force (plan.py); 0: none
-    class_settings: RequestClass | None = (
-        None  # its class as it was when the request came; None: as the settings say
-    )
+    work_us: int | None = None  # hint: expected work on a standard core
+    is_retry: bool = False  # the client marked it as a retry
+    tenant: int = 0  # index into Settings.tenants
+    body_incomplete: bool = False  # the body is still arriving: the request's time starts with BodyEnded
+    route: int = 0  # number of its route in the plan in force (plan.py); 0: none
+    class_settings: RequestClass | None = None  # class settings at its arrival; None: the present ones
 
 
 @dataclass(slots=True, frozen=True)
 class BodyPassing:
-    """Part of the body has gone on with this attempt and is no longer held: it cannot be sent again."""
+    """Part of the body was forwarded with this attempt and is no longer buffered: it cannot be sent again."""
 
     request: str
     attempt: int
@@ -253,18 +267,18 @@
 
 @dataclass(slots=True, frozen=True)
 class BodyEnded:
-    """The last byte of an open request's body has come."""
+    """The last byte of a request's body has arrived, after RequestArrived with `body_incomplete`."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """What a server says of its load, late and noisy; None where it does not say."""
+    """Load as reported by a server: delayed and noisy. None: not reported."""
 
-    inflight: float | None = None  # requests it holds
-    queue: float | None = None  # requests waiting
-    util: float | None = None  # how busy its cores are
+    inflight: float | None = None  # requests at the server
+    queue: float | None = None  # requests waiting there
+    util: float | None = None  # utilisation of its cores
     latency_ms: float | None = None
     qps: float | None = None
     eps: float | None = None
@@ -272,25 +286,27 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
+    """An attempt has ended."""
+
     request: str
-    attempt: int
+    attempt: int  # its number among the request's attempts, from 0
     server: int
     outcome: Outcome
     latency_us: int
-    finished: bool = False  # the request has had its final answer
+    finished: bool = False  # the client has been given its final answer
     load: LoadReport | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class RequestGone:
-    """The client left; nothing is owed any more."""
+    """The client has disconnected; no answer is due any more."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """The answer has begun: the client owns the attempt and no deadline holds."""
+    """The answer has started to be forwarded to the client: no deadline applies any more."""
 
     request: str
     attempt: int
@@ -298,13 +314,15 @@
 
 @dataclass(slots=True, frozen=True)
 class SettingsChanged:
-    """Other settings hold from now on. A class and a tenant keep their number; new ones come behind."""
+    """New settings apply from now on. Classes and tenants keep their numbers; new ones are appended."""
 
     settings: Settings
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
+    """A timer requested with SetTimer has expired."""
+
     token: int
 
 
@@ -320,56 +338,63 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
+    """A message from another proxy."""
+
     sender: int  # its number among the proxies
     payload: bytes
 
 
 @dataclass(slots=True, frozen=True)
 class LearnedBreaker:
-    """A breaker as it was: its ring, oldest outcome first (True: failed), and its state."""
+    """Saved state of a breaker."""
 
-    ring: tuple[bool, ...]
+    ring: tuple[bool, ...]  # oldest outcome first; True: failed
     state: str  # "closed", "open" or "half-open"
-    open_left_us: int  # of its cooldown, where open
+    open_left_us: int  # remaining cooldown where open, else 0
     cooldown_us: int
 
 
 @dataclass(slots=True, frozen=True)
 class LearnedServer:
-    """What was learned of one server: it is the same server only with the same number and start."""
+    """Saved state of one server. It applies only to a server with the same number and start time."""
 
     server: int
     started_us: int
-    weight: float  # of the controller
-    idle: float
+    weight: float  # of the feedback controller
+    idle: float  # smoothed idleness, see policy/servers.py
     breaker: LearnedBreaker
-    by_class: tuple[tuple[int, float, LearnedBreaker], ...] = ()  # class, its weight, its breaker
+    by_class: tuple[tuple[int, float, LearnedBreaker], ...] = ()  # (class, weight, breaker)
 
 
 @dataclass(slots=True, frozen=True)
 class LearnedState:
-    """A balancer's learned state, for another process of the same proxy: latencies by class, in us."""
+    """What a balancer has learned, to be restored by another process of the same proxy."""
 
     servers: tuple[LearnedServer, ...]
-    smoothed_us: tuple[float, ...]
-    unhindered_us: tuple[float, ...]
+    smoothed_us: tuple[float, ...]  # smoothed latency, by class
+    unhindered_us: tuple[float, ...]  # baseline latency (where nothing queues), by class
 
 
 @dataclass(slots=True, frozen=True)
 class Restore:
-    """Take up what a process before this one learned. Servers not listed now, or listed with another start,
-    and classes beyond the settings are passed over; what is restored is logged in one line."""
+    """Restore the learned state of an earlier process.
+
+    Skips servers that are not listed now or are listed with another start time, and classes that the settings
+    do not have. Logs one line with what was restored.
+    """
 
     learned: LearnedState
-    age_us: int = 0  # since it was taken: cooldowns have run on meanwhile
+    age_us: int = 0  # time since the snapshot; cooldowns have run on meanwhile
 
 
 @dataclass(slots=True, frozen=True)
 class Fleet:
-    """Live proxies by zone's number, this one included, as they see each other. Empty: not known, and the
-    settings' number holds. A number that falls is believed only after a while."""
+    """Number of live proxies, as the proxies see each other.
 
-    gateways: tuple[int, ...] = ()
+    Where it is not known, the number in the settings applies. A lower number takes effect only after a delay.
+    """
+
+    gateways: tuple[int, ...] = ()  # live proxies in each zone, this one included; empty: not known
 
 
 Event = (
@@ -395,18 +420,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
+    """Send an attempt of a request to a server."""
+
     request: str
     server: int
     timeout_us: int
-    write_deadline_us: int = (
-        0  # clock reading up to which its last byte may be written, however late a connection
-    )
-    # comes up: never after that, neither this attempt nor an earlier one of the request; 0: any time
+    # Clock reading after which no byte may be written any more, of this attempt or of an earlier one of the
+    # request, even if the connection is established late; 0: no limit.
+    write_deadline_us: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: not done, and trying again is harmless."""
+    """Final answer: the request was not carried out and the client may safely retry."""
 
     request: str
     retry_after_us: int = 0
@@ -414,55 +440,65 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: no success and no promise about the effect."""
+    """Final answer: the request failed, and may or may not have taken effect."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
+    """Cancel an attempt in flight."""
+
     request: str
     attempt: int
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    due_us: int
+    """Deliver TimerFired with this token at `due_us`."""
+
+    due_us: int  # clock reading
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class WatchList:
-    """Subscribe to changes of the server list, or no longer."""
+    """Subscribe to changes of the server list, or end the subscription."""
 
     on: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class FetchList:
-    """Ask for the whole server list once."""
+    """Request the whole server list once."""
 
 
 @dataclass(slots=True, frozen=True)
 class Probe:
+    """Probe a server."""
+
     server: int
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdle:
-    """Close the idle connections that this proxy holds to a server."""
+    """Close this proxy's idle connections to a server."""
 
     server: int
 
 
 @dataclass(slots=True, frozen=True)
 class TellPeers:
+    """Send a message to one or all other proxies."""
+
     payload: bytes  # 256 bytes at most
-    peer: int = -1  # -1: all
+    peer: int = -1  # its number among the proxies; -1: all
 
 
 @dataclass(slots=True, frozen=True)
 class Log:
+    """Write a log line."""
+
     line: str
 
 
--- a/caperdrift/plan.py
+++ b/caperdrift/plan.py
@@ -1,6 +1,6 @@
-"""The plan of routes as the module takes it: which servers a request may go to, and its caps. Pure data.
+"""The plan of routes: which servers a route's requests may go to, and its limits. Data types only.
 
-Routes only narrow: what a route does not say is as the settings have it (docs/routes.md).
+A route can only restrict; for all that it does not set, the settings apply (docs/routes.md).
 """
 
 from __future__ import annotations
@@ -11,35 +11,38 @@
 
 @dataclass(slots=True, frozen=True)
 class HostSelector:
-    """Servers by what the list says of them: one of each kind that is named, any of a kind that is empty."""
+    """Selects servers by their entry in the server list.
+
+    A server is selected if it matches every set that is not empty and none of the selectors in `none_of`.
+    """
 
     kinds: frozenset[int] = frozenset()
     groups: frozenset[int] = frozenset()
     zones: frozenset[int] = frozenset()
-    labels: frozenset[int] = frozenset()
-    none_of: tuple[HostSelector, ...] = ()  # and in none of these
+    labels: frozenset[int] = frozenset()  # any one of these is enough
+    none_of: tuple[HostSelector, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class Target:
-    """Servers, and the share (0 to 1) of a route's requests that is meant for them."""
+    """Servers, and the share of a route's requests that is intended for them."""
 
     hosts: HostSelector
-    share: float = 1.0
+    share: float = 1.0  # from 0 to 1
 
 
 @dataclass(slots=True, frozen=True)
 class Route:
-    """What holds for the requests of one route. Shares sum to 1; no target: all servers."""
+    """Targets and limits of one route."""
 
-    targets: tuple[Target, ...] = ()
-    max_attempts: int = 0  # 0: the settings'
-    deadline_us: int = 0  # from the request's arrival; 0: the class's
-    limit: int = 0  # requests at once, over all proxies; 0: none
+    targets: tuple[Target, ...] = ()  # their shares sum to 1; empty: all servers
+    max_attempts: int = 0  # of one request; 0: as in the settings
+    deadline_us: int = 0  # from the request's arrival; 0: as in the request's class
+    limit: int = 0  # pending requests at once, over all proxies; 0: no limit
 
 
 @dataclass(slots=True, frozen=True)
 class Plan:
-    """Event: the routes in force from now on, by the number that requests name. Open ones keep theirs."""
+    """Event: the routes in force from now on. Pending requests keep the route that they arrived with."""
 
-    routes: Mapping[int, Route] = field(default_factory=dict)
+    routes: Mapping[int, Route] = field(default_factory=dict)  # by RequestArrived.route
--- a/caperdrift/simhost.py
+++ b/caperdrift/simhost.py
@@ -1,7 +1,7 @@
-"""Runs balancers on the bench's wire: batches from standard input, one reply each to standard output.
+"""Runs balancers for the test bench: reads batches of events from standard input, writes one reply per batch.
 
-Every instance has a Balancer of its own; nothing is shared and nothing is decided here. A line that cannot be
-read is named on standard error and skipped.
+Each instance has its own Balancer; instances share no state. A line that cannot be parsed is reported on
+standard error and skipped.
 """
 
 from __future__ import annotations
@@ -25,17 +25,20 @@
 
 
 class SimHost:
+    """Delivers the events of a stream of batches to balancers and writes their actions."""
+
     def __init__(self, source: TextIO, sink: TextIO, errors: TextIO) -> None:
         self.source, self.sink, self.errors = source, sink, errors
         self.balancers: dict[str, Balancer] = {}
-        self.tables: dict[str, tuple[ListedServer, ...]] = {}
-        self.instance = ""
-        self.reply_instance = ""
+        self.tables: dict[str, tuple[ListedServer, ...]] = {}  # server lists by name
+        self.instance = ""  # the one that events are delivered to
+        self.reply_instance = ""  # the one whose actions the reply lists last
         self.now_us = 0
         self.line_number = 0
         self.reply: list[str] = []
 
     def run(self) -> None:
+        """Process lines until the end of the input."""
         for line in self.source:
             self.line_number += 1
             line = line.rstrip("\r\n")
@@ -46,10 +49,11 @@
             except ValueError as error:
                 self.report_error(line, str(error))
 
-    def report_error(self, line: str, why: str) -> None:
-        print(f"caperdrift: line {self.line_number}: {why}: {line[:200]}", file=self.errors, flush=True)
+    def report_error(self, line: str, reason: str) -> None:
+        print(f"caperdrift: line {self.line_number}: {reason}: {line[:200]}", file=self.errors, flush=True)
 
     def read_line(self, line: str) -> None:
+        """Process one line; reads the lines of a server list that follows an `inventory` line."""
         if line == "go":
             self.finish_batch()
             return
@@ -63,7 +67,7 @@
             self.reply, self.instance, self.reply_instance = [], "", ""
             self.now_us = int(fields["simTimeUs"])
         elif name == "instance":
-            self.instance = ""  # a malformed name must not leave events to the one before
+            self.instance = ""  # if the line is malformed, events must not go to the previous instance
             self.instance = fields["i"]
         elif name == "inventory":
             self.read_inventory(fields)
@@ -79,9 +83,10 @@
             self.balancers[self.instance] = Balancer(settings, int(fields["prng"]))
         elif name == "destroy" and self.balancers.pop(self.instance, None) is None:
             raise WireError(f"unknown instance '{self.instance}'")
-        # Events that a later wire adds are ignored, as unknown keys are.
+        # Messages of later versions of the protocol are ignored, like unknown keys.
 
     def read_inventory(self, fields: Fields) -> None:
+        """Read a server list and store it under its name."""
         members: list[ListedServer] = []
         for _ in range(int(fields["members"])):
             entry = self.source.readline()
@@ -99,6 +104,7 @@
         self.tables[fields["table"]] = tuple(members)
 
     def deliver(self, event: Event) -> None:
+        """Hand an event to the current instance and add its actions to the reply."""
         balancer = self.balancers.get(self.instance)
         if balancer is None:
             raise WireError(f"unknown instance '{self.instance}'")
@@ -111,6 +117,7 @@
         self.reply.extend(map(format_action, actions))
 
     def finish_batch(self) -> None:
+        """Write the reply."""
         self.reply.append("next\n")
         self.sink.write("\n".join(self.reply))
         self.sink.flush()
@@ -118,7 +125,8 @@
 
 
 def main() -> int:
-    gc.freeze()  # what the imports made is never garbage
+    """Run on standard input and output."""
+    gc.freeze()  # objects created by imports are never garbage: keep the collector from scanning them
     sys.stdin.reconfigure(encoding="utf-8", errors="replace", newline="\n")  # type: ignore[union-attr]
     SimHost(sys.stdin, sys.stdout, sys.stderr).run()
     return 0
--- a/caperdrift/wire.py
+++ b/caperdrift/wire.py
@@ -1,11 +1,11 @@
-"""The bench's text wire: lines to events and settings, actions to lines. Parsing and formatting only.
-
-Read and dropped, because nothing can be decided from them: names of classes, tenants, kinds, zones and tiers,
-and `family` (decisions never rest on a name); `stage`, `familyInfo.passesDeadline` (one tier is served);
-`lanes[].streamed` (told by `streaming` itself); `isWrite` (the class's effect says more); `prices.fleet`,
-`moves`, `origin` (not this proxy's actions); `tickUs`, `caps.mostHeld`, `caps.cpuUsPerRequest` (nothing to
-choose by); `weights` (a listed weight is a factor in the draw, whatever it means); `registry.index` (lists
-come complete and in order).
+"""Text protocol of the test bench: parses lines into events and settings, formats actions as lines.
+
+These fields are ignored, because no decision depends on them: names of classes, tenants, kinds, zones and
+tiers, and `family` (decisions never depend on a name); `stage`, `familyInfo.passesDeadline` (there is only
+one tier); `lanes[].streamed` (the `streaming` event says it); `isWrite` (the class's effect says more);
+`prices.fleet`, `moves`, `origin` (not for actions of this proxy); `tickUs`, `caps.mostHeld`,
+`caps.cpuUsPerRequest` (no decision uses them); `weights` (a listed weight is a factor in the random choice,
+whatever it stands for); `registry.index` (lists arrive complete and in order).
 """
 
 from __future__ import annotations
@@ -84,15 +84,15 @@
     "list_lines": "membershipMode",
 }
 REPORT_FIELDS = frozenset(LoadReport.__dataclass_fields__)
-TEXT_FIELDS = {"launch": " bootInfo="}
+TEXT_FIELDS = {"launch": " bootInfo="}  # by message name: the last field, whose text may contain spaces
 
 
 class WireError(ValueError):
-    """A line that cannot be read; the message says why."""
+    """A line that cannot be parsed; the message gives the reason."""
 
 
 def split_line(line: str) -> tuple[str, dict[str, str]]:
-    """Take a line apart into its message name and its fields."""
+    """Split a line into its message name and its fields."""
     name, _, rest = line.partition(" ")
     fields: dict[str, str] = {}
     text_mark = TEXT_FIELDS.get(name)
@@ -110,7 +110,7 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Read the settings object of a launch; unknown keys are ignored, missing optional ones have defaults."""
+    """Parse the JSON settings of a `launch` line; ignores unknown keys, uses defaults for missing optional ones."""
     try:
         raw = json.loads(text)
     except json.JSONDecodeError as error:
@@ -193,6 +193,7 @@
 
 
 def parse_server(fields: Fields) -> ListedServer:
+    """Parse one entry of a server list."""
     return ListedServer(
         server=int(fields["host"]),
         status=STATUSES[fields.get("status", "Ready")],
@@ -205,6 +206,7 @@
 
 
 def parse_incoming(fields: Fields) -> RequestArrived:
+    """Parse `incoming`: a request has arrived."""
     key, work = fields.get("affinity"), fields.get("costUs")
     return RequestArrived(
         fields["requestId"],
@@ -218,7 +220,7 @@
 
 
 def parse_load(text: str | None) -> LoadReport | None:
-    """The values of a load report that have a meaning here; others are ignored."""
+    """Parse a load report; ignores values that LoadReport does not have."""
     if not text or text == "-":
         return None
     pairs = (part.partition(":") for part in text.split(","))
@@ -226,6 +228,7 @@
 
 
 def parse_outcome(fields: Fields) -> AttemptEnded:
+    """Parse `outcome`: an attempt has ended."""
     return AttemptEnded(
         fields["requestId"],
         int(fields["shot"]),
@@ -238,23 +241,28 @@
 
 
 def parse_dropped(fields: Fields) -> RequestGone:
+    """Parse `dropped`: the client has disconnected."""
     return RequestGone(fields["requestId"])
 
 
 def parse_streaming(fields: Fields) -> StreamStarted:
+    """Parse `streaming`: an answer has started to be forwarded."""
     return StreamStarted(fields["requestId"], int(fields["shot"]))
 
 
 def parse_reminder(fields: Fields) -> TimerFired:
+    """Parse `reminder`: a timer has expired."""
     return TimerFired(int(fields["keyBack"]))
 
 
 def parse_pong(fields: Fields) -> Probed:
+    """Parse `pong`: the result of a probe."""
     outcome, load = OUTCOMES[fields["verdict"]], parse_load(fields.get("pressure"))
     return Probed(int(fields["host"]), outcome, int(fields.get("durationUs", "0")), load)
 
 
 def parse_inbox(fields: Fields) -> PeerMessage:
+    """Parse `inbox`: a message from another proxy."""
     text = fields["bytes"]
     return PeerMessage(int(fields["src"]), b"" if text == "-" else base64.b64decode(text, validate=True))
 
@@ -271,6 +279,7 @@
 
 
 def format_action(action: Action) -> str:
+    """Format an action as one line."""
     match action:
         case Send():
             return f"pass_on requestId={action.request} maxWaitUs={action.timeout_us} host={action.server}"
