--- a/caperdrift/policy/__init__.py
+++ b/caperdrift/policy/__init__.py
@@ -1,9 +1,9 @@
-"""All decisions of the balancer: functions over the state of one proxy, tied together in balancer.py.
+"""The decisions of the balancer: functions over the state of one proxy, dispatched by balancer.py.
 
-The ordinary path: a request arrives and a weighted random draw picks among the servers whose breaker lets it
-through. A server's weight in the draw is its listed weight times the weight of the feedback controller, less
-for what this proxy has out there. docs/design.md says what was kept, what changed, and when exactly it acts.
+When a request arrives, a weighted random choice picks a server among those whose circuit breaker allows it. A
+server's weight in this choice is its listed weight times the weight of the feedback controller, and is lower
+the more attempts of this proxy are in flight there. docs/design.md describes each mechanism and when it acts.
 
-Each file calls only those before it here: breaker, servers, proxy, sharers, cold, routes, choice, shedding,
-weights, admission, sending, answers, retries, streams, lists, learned, balancer.
+Each module imports only from those before it in this list: breaker, servers, proxy, proxy_count, cold,
+routes, choice, shedding, weights, admission, sending, answers, retries, streams, lists, snapshot, balancer.
 """
--- a/caperdrift/wire.py
+++ b/caperdrift/wire.py
@@ -110,7 +110,7 @@
 
 
 def parse_settings(text: str) -> Settings:
-    """Parse the JSON settings of a `launch` line; ignores unknown keys, uses defaults for missing optional ones."""
+    """Parse the JSON settings of a `launch` line; ignores unknown keys, optional keys have defaults."""
     try:
         raw = json.loads(text)
     except json.JSONDecodeError as error:
