--- a/caperdrift/checks/__init__.py
+++ b/caperdrift/checks/__init__.py
@@ -1,35 +1,40 @@
-"""Invariants of the balancer, checked from outside: an account of its own, kept from events and actions.
+"""Checks the invariants of a balancer against a reference model.
 
-`watch` puts a `Checked` before a `Balancer`. It follows what is owed and what is out, and compares that with
-what the balancer does and holds after each event. docs/design.md, "Invariants", lists what it checks.
+`attach_checks` wraps the event handler of a `Balancer` with an `InvariantChecker`. The checker's model
+follows, from events and actions, which answers are due and which attempts are in flight. After each event,
+the balancer's actions and state are compared with it. docs/design.md, "Invariants", lists the checks.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
-from caperdrift.interface import Action, Event, Fail, Refuse, RequestArrived, Send
+from caperdrift.checks.actions import ActionChecks
 from caperdrift.checks.model import InvariantBroken
 from caperdrift.checks.state import StateChecks
-from caperdrift.checks.actions import ActionChecks
+from caperdrift.interface import Action, Event, Fail, Refuse, RequestArrived, Send
 from caperdrift.policy.balancer import Balancer
 
 
 class InvariantChecker(ActionChecks, StateChecks):
-    """Hands events on to `balancer` and checks what it does.
+    """Passes events on to `balancer` and checks its actions and state.
 
-    A broken invariant raises InvariantBroken; where `on_broken` is given it is called with the message
-    instead, once, and nothing is checked from then on.
+    A broken invariant raises InvariantBroken. If `on_broken` is given, it is called with the message instead,
+    once, and checking stops.
     """
 
     def __init__(
-        self, balancer: Balancer, seed: int, on_broken: Callable[[str], None] | None = None, number: int = 0
+        self,
+        balancer: Balancer,
+        seed: int,
+        on_broken: Callable[[str], None] | None = None,
+        event_number: int = 0,
     ) -> None:
-        super().__init__(balancer, seed, on_broken, number)
+        super().__init__(balancer, seed, on_broken, event_number)
         self.handle_unchecked = balancer.handle
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
-        """As Balancer.handle; raises InvariantBroken unless `on_broken` is given."""
+        """As Balancer.handle, with checks; raises InvariantBroken unless `on_broken` is given."""
         self.event_number += 1
         if not self.enabled:
             return self.handle_unchecked(now_us, event)
@@ -39,7 +44,7 @@
         try:
             actions = self.handle_unchecked(now_us, event)
         except Exception:
-            self.enabled = False  # what it did is not known: nothing can be compared any more
+            self.enabled = False  # the balancer's state is unknown: no comparison is possible
             raise
         try:
             is_new = isinstance(event, RequestArrived) and event.request not in self.requests
@@ -53,7 +58,7 @@
                 self.check_arrival(event)
             self.check_state(event, actions, name)
         except Exception as error:
-            # Guards against a mistake in this account costing a gateway the actions.
+            # A fault in the checks must not cost a gateway the actions.
             self.enabled = False
             if self.on_broken is None:
                 raise
@@ -64,10 +69,13 @@
 
 
 def attach_checks(
-    balancer: Balancer, seed: int, on_broken: Callable[[str], None] | None = None, number: int = 0
+    balancer: Balancer, seed: int, on_broken: Callable[[str], None] | None = None, event_number: int = 0
 ) -> None:
-    """Check all that `balancer` handles from now on, which it must not have begun; for the rest see Checked.
+    """Check every event that `balancer` handles from now on; it must not have handled any before.
 
-    `number` is the number of the event before the first.
+    `seed` is reported with a violation; `event_number` is the number of the event before the first. For
+    `on_broken` see InvariantChecker.
     """
-    balancer.handle = InvariantChecker(balancer, seed, on_broken, number).handle  # type: ignore[method-assign]
+    balancer.handle = InvariantChecker(  # type: ignore[method-assign]
+        balancer, seed, on_broken, event_number
+    ).handle
--- a/caperdrift/checks/actions.py
+++ b/caperdrift/checks/actions.py
@@ -1,72 +1,82 @@
-"""What an action may be."""
+"""Checks of the balancer's actions: attempts sent and final answers."""
 
 from __future__ import annotations
 
-from caperdrift.interface import Effect, Fail, Refuse, Scope, Send
-from caperdrift.checks.model import AttemptRecord
 from caperdrift.checks.cold import ColdChecks
+from caperdrift.checks.model import AttemptRecord
 from caperdrift.checks.routes import RouteChecks
+from caperdrift.interface import Effect, Fail, Refuse, Scope, Send
 from caperdrift.policy.breaker import TRIALS, State
 
 
 class ActionChecks(ColdChecks, RouteChecks):
+    """Checks of single actions."""
+
     def check_send(self, now_us: int, action: Send) -> None:
+        """Check an attempt that is to be sent, and record it."""
         name, balancer = action.request, self.balancer
-        owed = self.requests.get(name)
-        self.require(owed is not None and owed.answer_due, f"{name} sent though nothing is owed")
-        assert owed is not None
+        request = self.requests.get(name)
+        self.require(request is not None and request.answer_due, f"{name} sent though no answer is due")
+        assert request is not None
         self.require(
             self.ready_by_server.get(action.server, False),
-            f"{name} sent to server {action.server}, not ready",
+            f"{name} sent to server {action.server}, which is not ready",
+        )
+        server, class_settings, number = (
+            balancer.servers[action.server],
+            request.class_settings,
+            len(request.attempts),
         )
-        server, rules, number = balancer.servers[action.server], owed.class_settings, len(owed.attempts)
-        breakers = server.breaker, server.class_state(owed.klass).breaker
+        breakers = server.breaker, server.class_state(request.klass).breaker
         for breaker in breakers:
             is_open = breaker.state is State.OPEN or self.open_until_us.get(breaker, 0) > now_us
-            self.require(not is_open, f"{name} sent to server {action.server}, open")
-        self.require(number < owed.max_attempts, f"{name} sent {number + 1} times")
-        self.check_routed(now_us, action, owed, server.entry)
-        self.require(not owed.pinned, f"{name} sent though tied to another attempt")
-        ran = [shot for shot in owed.attempts if shot.may_have_run]
+            self.require(not is_open, f"{name} sent to server {action.server}, whose breaker is open")
+        self.require(number < request.max_attempts, f"{name} sent {number + 1} times")
+        self.check_routed(now_us, action, request, server.entry)
+        self.require(not request.pinned, f"{name} sent though pinned to another attempt")
+        ran = [attempt for attempt in request.attempts if attempt.may_have_run]
         entry = server.entry
-        if ran and rules.effect is Effect.UNSAFE:
+        if ran and class_settings.effect is Effect.UNSAFE:
             self.require(False, f"{name} is unsafe and was sent again though it may have run")
-        if ran and rules.effect is Effect.KEYED:
+        if ran and class_settings.effect is Effect.KEYED:
             since_us = now_us - ran[0].sent_us
             self.require(
-                since_us < rules.window_us, f"{name} is keyed and was sent again after {since_us} us"
+                since_us < class_settings.window_us, f"{name} is keyed and was sent again after {since_us} us"
             )
-            may_be_late = action.write_deadline_us != ran[0].sent_us + rules.window_us - 1
+            may_be_late = action.write_deadline_us != ran[0].sent_us + class_settings.window_us - 1
             self.require(not may_be_late, f"{name} is keyed and may be written after its window")
-            inside = rules.scope is Scope.ALL or all(
-                (shot.zone if rules.scope is Scope.ZONE else shot.group)
-                == (entry.zone if rules.scope is Scope.ZONE else entry.group)
-                for shot in ran
+            inside = class_settings.scope is Scope.ALL or all(
+                (attempt.zone if class_settings.scope is Scope.ZONE else attempt.group)
+                == (entry.zone if class_settings.scope is Scope.ZONE else entry.group)
+                for attempt in ran
             )
-            self.require(inside, f"{name} is keyed and was sent outside its {rules.scope.value}")
-        spells = [(b, b.episode) for b in breakers if b.state is State.HALF_OPEN]
-        shot = AttemptRecord(server, entry.zone, entry.group, now_us, spells, in_progress=False)
-        owed.attempts.append(shot)
-        if not owed.body_incomplete:
-            self.set_in_progress(shot, True)
-        for breaker, spell in spells:
-            out = self.trials.setdefault(breaker, {})
-            out[shot] = spell
-            trials = sum(s == spell for s in out.values()) + len(breaker.trial_results)
+            self.require(inside, f"{name} is keyed and was sent outside its {class_settings.scope.value}")
+        episodes = [(b, b.episode) for b in breakers if b.state is State.HALF_OPEN]
+        attempt = AttemptRecord(server, entry.zone, entry.group, now_us, episodes, in_progress=False)
+        request.attempts.append(attempt)
+        if not request.body_incomplete:
+            self.set_in_progress(attempt, True)
+        for breaker, episode in episodes:
+            in_flight = self.trials.setdefault(breaker, {})
+            in_flight[attempt] = episode
+            trials = sum(e == episode for e in in_flight.values()) + len(breaker.trial_results)
             self.require(trials <= TRIALS, f"server {action.server} half-open has {trials} trials")
         self.check_cold(now_us, server, name)
 
     def check_final(self, action: Refuse | Fail) -> None:
+        """Check a final answer, and record it."""
         name = action.request
-        owed = self.requests.get(name)
-        self.require(owed is not None and owed.answer_due, f"{name} answered though nothing is owed")
-        assert owed is not None
-        owed.answer_due = False
-        anywhere = owed.class_settings.effect is Effect.KEYED and owed.class_settings.scope is Scope.ALL
+        request = self.requests.get(name)
+        self.require(request is not None and request.answer_due, f"{name} answered though no answer is due")
+        assert request is not None
+        request.answer_due = False
+        in_all_servers = (
+            request.class_settings.effect is Effect.KEYED and request.class_settings.scope is Scope.ALL
+        )
         harmless = (
-            owed.class_settings.effect is Effect.SAFE
-            or anywhere
-            or not any(s.may_have_run for s in owed.attempts)
+            request.class_settings.effect is Effect.SAFE
+            or in_all_servers
+            or not any(s.may_have_run for s in request.attempts)
         )
         refused = isinstance(action, Refuse)
-        self.require(harmless or not refused, f"{name} refused as harmless to repeat, though it may have run")
+        self.require(harmless or not refused, f"{name} refused as safe to retry, though it may have run")
--- a/caperdrift/checks/model.py
+++ b/caperdrift/checks/model.py
@@ -1,4 +1,4 @@
-"""The account of events and actions that a balancer is compared with."""
+"""Reference model that a balancer is compared with, built from events and checked actions."""
 
 from __future__ import annotations
 
@@ -27,107 +27,113 @@
 from caperdrift.policy.breaker import Breaker
 from caperdrift.policy.servers import Server
 
-
-RELATIVE_TOLERANCE = 1e-6  # relative error that sums of floating-point numbers may have
+RELATIVE_TOLERANCE = 1e-6  # relative error allowed for sums of floating-point numbers
 
 
 class InvariantBroken(AssertionError):  # noqa: N818
-    """The balancer did what it never may; the message gives seed, event number and what it was."""
+    """The balancer broke an invariant; the message gives the seed, the event number and the violation."""
 
 
 @dataclass(slots=True, eq=False)
 class AttemptRecord:
-    """An attempt in this account."""
+    """An attempt in the reference model."""
 
     server: Server
     zone: int
     group: int
-    sent_us: int  # or when the body was whole
-    trials: list[tuple[Breaker, int]]  # half-open spells that it is a trial of
-    in_progress: bool  # sent whole and not yet answered
+    sent_us: int  # or when the body was complete
+    trials: list[tuple[Breaker, int]]  # breakers that it is a trial of, with their half-open episodes
+    in_progress: bool  # sent with its whole body and not yet answered
     ended: bool = False
     may_have_run: bool = True
-    answer_started: bool = False  # its answer is passing to the client
+    answer_started: bool = False  # its answer is being forwarded
 
 
 @dataclass(slots=True, eq=False)
 class RequestRecord:
-    """A request in this account."""
+    """A request in the reference model."""
 
     klass: int
     class_settings: RequestClass
     max_attempts: int
     key: int | None
     body_incomplete: bool
-    route_number: int  # of its route; 0: none
-    route: Route | None  # as it was in the plan when the request came
-    started_us: int  # 0 while its body comes
+    route_number: int  # 0: none
+    route: Route | None  # as in the plan when the request arrived
+    started_us: int  # 0 while its body is arriving
     attempts: list[AttemptRecord] = field(default_factory=list)
-    answer_due: bool = True  # a final answer
-    pinned: bool = False
+    answer_due: bool = True  # it still needs a final answer
+    pinned: bool = False  # no further attempt is possible
 
     @property
     def is_in_flight(self) -> bool:
-        return any(not shot.ended for shot in self.attempts)
+        """Whether an attempt has not ended."""
+        return any(not attempt.ended for attempt in self.attempts)
 
 
 @dataclass(slots=True, eq=False)
 class ColdBucket:
-    """What a cold server was sent, in us of work, less what was paid off at the most."""
+    """Leaky bucket of the work sent to a cold server, paid off at the highest rate the balancer may use."""
 
-    level_us: float
+    level_us: float  # work sent and not paid off
     updated_us: int
-    max_half_part_us: float  # the most that half of this proxy's part was since
+    max_half_part_us: float  # maximum of half of this proxy's part since then
 
 
 class ReferenceModel:
-    """What is owed and what is out, entered from events and from the actions that were checked."""
+    """Answers due and attempts in flight, as recorded from events and checked actions."""
 
     def __init__(
-        self, balancer: Balancer, seed: int, on_broken: Callable[[str], None] | None = None, number: int = 0
+        self,
+        balancer: Balancer,
+        seed: int,
+        on_broken: Callable[[str], None] | None = None,
+        event_number: int = 0,
     ) -> None:
         self.balancer = balancer
         self.seed = seed
         self.on_broken = on_broken
-        self.event_number = number  # of the last event
-        self.enabled = True
+        self.event_number = event_number  # of the last event
+        self.enabled = True  # False after a violation
         self.requests: dict[str, RequestRecord] = {}
-        self.ready_by_server: dict[int, bool] = {}  # listed servers, by what the lists said
-        self.open_until_us: dict[Breaker, int] = {}
-        self.trials: dict[Breaker, dict[AttemptRecord, int]] = {}  # trials out and the spell of each
-        self.in_progress_by_server: dict[Server, int] = {}
+        self.ready_by_server: dict[int, bool] = {}  # listed servers
+        self.open_until_us: dict[Breaker, int] = {}  # of open breakers
+        self.trials: dict[Breaker, dict[AttemptRecord, int]] = {}  # trials in flight and their episodes
+        self.in_progress_by_server: dict[Server, int] = {}  # number of attempts
         self.cold_buckets: dict[Server, ColdBucket] = {}
-        self.in_flight = 0
+        self.in_flight = 0  # attempts in progress at all servers
         self.routes: Mapping[int, Route] = {}
-        self.pending_by_route: Counter[int] = Counter()  # requests in this account, by their route's number
+        self.pending_by_route: Counter[int] = Counter()  # requests in this model, by number of their route
 
-    def require(self, holds: bool, what: str) -> None:
-        if not holds:
-            raise InvariantBroken(self.violation_text(what))
+    def require(self, condition: bool, violation: str) -> None:
+        """Raise InvariantBroken unless the condition holds."""
+        if not condition:
+            raise InvariantBroken(self.violation_text(violation))
 
-    def violation_text(self, what: str) -> str:
-        return f"invariant broken at seed {self.seed} event {self.event_number}: {what}"
+    def violation_text(self, violation: str) -> str:
+        """Message with the seed and the event number."""
+        return f"invariant broken at seed {self.seed} event {self.event_number}: {violation}"
 
     def record_event(self, now_us: int, event: Event, max_attempts: int) -> str:
-        """Enter what has happened; returns the name of the request that it was about, or an empty one."""
+        """Record an event; returns the name of the request that it concerns, or an empty string."""
         if isinstance(event, RequestArrived):
             classes = self.balancer.settings.classes
             if event.request not in self.requests:
                 known = 0 <= event.klass < len(classes)
-                rules = classes[event.klass if known else 0]
+                class_settings = classes[event.klass if known else 0]
                 route = self.routes.get(event.route)
                 if route is not None and route.max_attempts:
                     max_attempts = min(max_attempts, route.max_attempts)
-                began_us = 0 if event.body_incomplete else now_us
+                started_us = 0 if event.body_incomplete else now_us
                 self.requests[event.request] = RequestRecord(
                     event.klass,
-                    rules,
+                    class_settings,
                     max_attempts,
                     event.key,
                     event.body_incomplete,
                     event.route,
                     route,
-                    began_us,
+                    started_us,
                 )
                 self.pending_by_route[event.route] += 1
         elif isinstance(event, Plan):
@@ -138,14 +144,15 @@
         elif isinstance(event, SettingsChanged):
             self.cold_buckets.clear()
         elif isinstance(event, AttemptEnded | RequestGone | StreamStarted | BodyPassing | BodyEnded):
-            owed = self.requests.get(event.request)
-            if owed is not None:
-                self.record_progress(now_us, event, owed)
+            request = self.requests.get(event.request)
+            if request is not None:
+                self.record_progress(now_us, event, request)
         else:
             return ""
         return event.request if not isinstance(event, ServerList | SettingsChanged) else ""
 
     def record_list(self, event: ServerList) -> None:
+        """Record which servers are listed, and which of them are ready."""
         if event.kind not in (ListKind.DELTA, ListKind.ERROR):
             self.ready_by_server.clear()
         for entry in event.servers:
@@ -158,48 +165,51 @@
         self,
         now_us: int,
         event: AttemptEnded | RequestGone | StreamStarted | BodyPassing | BodyEnded,
-        owed: RequestRecord,
+        request: RequestRecord,
     ) -> None:
+        """Record an event of a known request."""
         if isinstance(event, RequestGone):
-            owed.answer_due = False
+            request.answer_due = False
         elif isinstance(event, BodyEnded):
-            for shot in owed.attempts if owed.body_incomplete else ():
-                if not shot.ended and not shot.answer_started:
-                    shot.sent_us = now_us
-                    self.set_in_progress(shot, True)
-            owed.started_us = now_us if owed.body_incomplete else owed.started_us
-            owed.body_incomplete = False
-        elif 0 <= event.attempt < len(owed.attempts):
-            shot = owed.attempts[event.attempt]
+            for attempt in request.attempts if request.body_incomplete else ():
+                if not attempt.ended and not attempt.answer_started:
+                    attempt.sent_us = now_us
+                    self.set_in_progress(attempt, True)
+            request.started_us = now_us if request.body_incomplete else request.started_us
+            request.body_incomplete = False
+        elif 0 <= event.attempt < len(request.attempts):
+            attempt = request.attempts[event.attempt]
             if isinstance(event, AttemptEnded):
-                if shot.ended:
+                if attempt.ended:
                     return
-                shot.ended = True
+                attempt.ended = True
                 never_ran = event.outcome in NEVER_RAN
                 unproven = event.outcome is Outcome.FULL and self.balancer.settings.full_unproven
-                shot.may_have_run = not never_ran or unproven
-                owed.answer_due = owed.answer_due and not event.finished and event.outcome is not Outcome.OK
-            elif owed.answer_due:
-                owed.pinned = True
-            shot.answer_started = shot.answer_started or (
-                isinstance(event, StreamStarted) and owed.answer_due
+                attempt.may_have_run = not never_ran or unproven
+                request.answer_due = (
+                    request.answer_due and not event.finished and event.outcome is not Outcome.OK
+                )
+            elif request.answer_due:
+                request.pinned = True
+            attempt.answer_started = attempt.answer_started or (
+                isinstance(event, StreamStarted) and request.answer_due
             )
-            if shot.ended or shot.answer_started:
-                self.set_in_progress(shot, False)
-                for breaker, _ in shot.trials:
-                    out = self.trials[breaker]
-                    del out[shot]
-                    if not out:
+            if attempt.ended or attempt.answer_started:
+                self.set_in_progress(attempt, False)
+                for breaker, _ in attempt.trials:
+                    in_flight = self.trials[breaker]
+                    del in_flight[attempt]
+                    if not in_flight:
                         del self.trials[breaker]
-                shot.trials = []
-
-    def set_in_progress(self, shot: AttemptRecord, working: bool) -> None:
-        """Count a shot as work that its server has in hand, or no longer."""
-        if shot.in_progress is not working:
-            shot.in_progress = working
-            self.in_flight += 1 if working else -1
-            self.in_progress_by_server[shot.server] = self.in_progress_by_server.get(shot.server, 0) + (
-                1 if working else -1
+                attempt.trials = []
+
+    def set_in_progress(self, attempt: AttemptRecord, in_progress: bool) -> None:
+        """Count an attempt as in progress at its server, or no longer."""
+        if attempt.in_progress is not in_progress:
+            attempt.in_progress = in_progress
+            self.in_flight += 1 if in_progress else -1
+            self.in_progress_by_server[attempt.server] = self.in_progress_by_server.get(attempt.server, 0) + (
+                1 if in_progress else -1
             )
-            if not self.in_progress_by_server[shot.server]:
-                del self.in_progress_by_server[shot.server]
+            if not self.in_progress_by_server[attempt.server]:
+                del self.in_progress_by_server[attempt.server]
--- a/caperdrift/checks/routes.py
+++ b/caperdrift/checks/routes.py
@@ -1,4 +1,4 @@
-"""Routes: no server beyond a request's route, no more than its caps, and shares within chance."""
+"""Checks of routes: servers, limits and deadlines are respected, and targets are drawn by their shares."""
 
 from __future__ import annotations
 
@@ -13,41 +13,52 @@
 from caperdrift.policy.balancer import Balancer
 from caperdrift.policy.proxy_count import proxy_count
 
-MAX_DEVIATIONS = 6.0  # standard deviations that the draws of a target may be off its share
-FIRST_CHECK_DRAWS = 32  # draws; the next look is at twice as many: many looks would find what is chance
+MAX_DEVIATIONS = 6.0  # standard deviations by which the draws of a target may differ from its share
+# Number of draws at the first check of the shares. Each further check is at twice as many, because frequent
+# checks would report a deviation by chance.
+FIRST_CHECK_DRAWS = 32
 
 
 @dataclass(slots=True, eq=False)
 class TargetDraws:
-    """Targets drawn for one route, as long as it stays as it is."""
+    """Targets drawn for one route, as long as the route does not change."""
 
     route: Route
     drawn: Counter[HostSelector] = field(default_factory=Counter)
-    next_check_at: int = FIRST_CHECK_DRAWS
+    next_check_at: int = FIRST_CHECK_DRAWS  # number of draws
 
 
 class RouteChecks(ReferenceModel):
+    """Checks of requests with a route."""
+
     def __init__(
-        self, balancer: Balancer, seed: int, on_broken: Callable[[str], None] | None = None, number: int = 0
+        self,
+        balancer: Balancer,
+        seed: int,
+        on_broken: Callable[[str], None] | None = None,
+        event_number: int = 0,
     ) -> None:
-        super().__init__(balancer, seed, on_broken, number)
-        self.draws: dict[int, TargetDraws] = {}  # by the route's number
+        super().__init__(balancer, seed, on_broken, event_number)
+        self.draws: dict[int, TargetDraws] = {}  # by number of the route
 
     def check_arrival(self, event: RequestArrived) -> None:
-        """A request that is new: its place under the limit, and the target that it is meant for."""
+        """Check a new request: the limit of its route and the target drawn for it."""
         route, request = self.requests[event.request].route, self.balancer.requests.get(event.request)
         if route is None:
             return
         if request is None:
-            # Answered at once, perhaps for want of servers of the target: the rest of the draws tell nothing.
+            # Answered at once, perhaps because the target has no usable servers: without its draw, the others
+            # are not representative.
             self.draws.pop(event.route, None)
             return
         if route.limit:
-            held, part = (
+            pending, part = (
                 self.pending_by_route[event.route],
                 math.ceil(route.limit / proxy_count(self.balancer)),
             )
-            self.require(held <= part, f"route {event.route} has {held} at once, of {part}")
+            self.require(
+                pending <= part, f"route {event.route} has {pending} pending requests, over its part, {part}"
+            )
         if route.targets:
             draws = self.draws.get(event.route)
             if draws is None or draws.route != route:
@@ -58,41 +69,43 @@
                 self.check_shares(event.route, draws)
 
     def check_shares(self, number: int, draws: TargetDraws) -> None:
+        """Check that the targets of a route were drawn about as often as their shares say."""
         count = draws.drawn.total()
         shares: Counter[HostSelector] = Counter()
         for target in draws.route.targets:
             shares[target.hosts] += target.share  # type: ignore[assignment]
         for hosts, share in shares.items():
-            drawn, what = draws.drawn[hosts], f"of {count} requests, not {share}"
+            drawn, expected = draws.drawn[hosts], f"of {count} requests, not {share}"
             bound = MAX_DEVIATIONS * math.sqrt(max(0.0, share * (1.0 - share)) * count) + 1.0
             within = abs(drawn - share * count) <= bound
-            self.require(within, f"route {number} drew a target for {drawn} {what}")
+            self.require(within, f"route {number} drew a target for {drawn} {expected}")
 
-    def check_routed(self, now_us: int, action: Send, owed: RequestRecord, entry: ListedServer) -> None:
-        """A server, listed like this, for a request that is about to be sent to it."""
-        route, name = owed.route, action.request
+    def check_routed(self, now_us: int, action: Send, request: RequestRecord, entry: ListedServer) -> None:
+        """Check the server and the time-out of a request that is about to be sent, against its route."""
+        route, name = request.route, action.request
         if route is None:
             return
         if route.targets:
-            named = any(matches(target.hosts, entry) for target in route.targets)
-            self.require(named, f"{name} sent to server {action.server}, which its route does not name")
+            selected = any(matches(target.hosts, entry) for target in route.targets)
+            self.require(selected, f"{name} sent to server {action.server}, which its route does not select")
             greatest = max(target.share for target in route.targets)
-            meant = {t.hosts for t in route.targets if t.share == greatest}
-            meant.add(self.balancer.requests[name].targets[0])
-            named = any(matches(hosts, entry) for hosts in meant)
+            intended = {t.hosts for t in route.targets if t.share == greatest}
+            intended.add(self.balancer.requests[name].targets[0])
+            selected = any(matches(hosts, entry) for hosts in intended)
             self.require(
-                named, f"{name} sent to server {action.server} of a target that it was not meant for"
+                selected,
+                f"{name} sent to server {action.server} of neither its drawn nor greatest target",
             )
-        if route.deadline_us and owed.started_us and action.timeout_us > 1:
-            late_us = now_us + action.timeout_us - owed.started_us - route.deadline_us
+        if route.deadline_us and request.started_us and action.timeout_us > 1:
+            late_us = now_us + action.timeout_us - request.started_us - route.deadline_us
             self.require(late_us <= 0, f"{name} sent until {late_us} us after its route's deadline")
 
 
-def matches(hosts: HostSelector, entry: ListedServer) -> bool:
-    """Whether a server is one of `hosts`."""
-    wanted = (hosts.kinds, entry.kind), (hosts.groups, entry.group), (hosts.zones, entry.zone)
-    if any(numbers and number not in numbers for numbers, number in wanted):
+def matches(selector: HostSelector, entry: ListedServer) -> bool:
+    """Whether a listed server is selected; independent of policy/routes.py, which it checks."""
+    pairs = (selector.kinds, entry.kind), (selector.groups, entry.group), (selector.zones, entry.zone)
+    if any(numbers and number not in numbers for numbers, number in pairs):
         return False
-    if hosts.labels and not hosts.labels & entry.labels:
+    if selector.labels and not selector.labels & entry.labels:
         return False
-    return not any(matches(others, entry) for others in hosts.none_of)
+    return not any(matches(excluded, entry) for excluded in selector.none_of)
--- a/caperdrift/policy/admission.py
+++ b/caperdrift/policy/admission.py
@@ -60,7 +60,7 @@
     """Count a request of a tenant; returns the part of the tenant's recent requests beyond its share.
 
     The result is 0 or less within the share, and 0 for an unknown tenant. While anything is shed, it is the
-    probability to shed a request of the tenant, which protects the others from clients that retry without limit.
+    probability to shed the request: this protects other tenants from clients that retry without limit.
     """
     if not 0 <= tenant < len(proxy.tenant_traffic):
         return 0.0
--- a/caperdrift/policy/lists.py
+++ b/caperdrift/policy/lists.py
@@ -18,10 +18,11 @@
     if event.kind is ListKind.ERROR:
         proxy.list_calls_failed += 1
         wait_us = proxy.settings.must_ask_within_us / 40 * 2 ** min(proxy.list_calls_failed, 4)
-        wait_us *= proxy.random.uniform(0.5, 1.0)  # jitter: proxies failing together must not retry so
+        # Jitter: proxies that fail together must not retry together.
+        wait_us *= proxy.random.uniform(0.5, 1.0)
         proxy.log(
             f"could not read the server list ({proxy.list_calls_failed} failures in a row); "
-            f"keeping the last one, retrying in {wait_us / 1e6:.1f} s"
+            f"keeping the last one, retrying in {wait_us / 1e6:.2f} s"
         )
         proxy.actions.append(SetTimer(proxy.now_us + int(wait_us), LIST_TIMER_TOKEN))
         return
--- a/faultlab/storm/module.py
+++ b/faultlab/storm/module.py
@@ -39,7 +39,7 @@
             learned = None
         balancer = Balancer(settings, rng.getrandbits(32))
         if check:
-            attach_checks(balancer, seed, number=done)
+            attach_checks(balancer, seed, event_number=done)
         world = World(rng, settings, learned, Random(f"plans {seed} {done}") if seed % 2 == 0 else None)
         for _ in range(min(rng.randint(500, EPISODE), events - done)):
             now_us, event = world.next()
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -53,7 +53,7 @@
     balancer = Twice(SETTINGS, 3)
     attach_checks(balancer, 3)
     balancer.handle(START_US, ServerList(ListKind.FULL))
-    with pytest.raises(InvariantBroken, match="seed 3 event 2: r1 answered though nothing is owed"):
+    with pytest.raises(InvariantBroken, match="seed 3 event 2: r1 answered though no answer is due"):
         balancer.handle(START_US, RequestArrived("r1", 0, 400_000))
 
 
@@ -118,9 +118,9 @@
     ("has the weight", weights, "MIN_WEIGHT", 0.01),
     ("cold server", choice, "has_cold_capacity", lambda proxy, server, request: True),
     ("half-open", Breaker, "start_trial", lambda breaker: breaker.episode),
-    ("out by its count", retries, "remove_in_flight", lambda proxy, attempt: None),
-    ("of a target that it was not meant for", routes, "matches", lambda hosts, entry: True),
-    ("at once, of", balancer, "is_at_limit", lambda proxy, number, route: False),
+    ("in flight by its count", retries, "remove_in_flight", lambda proxy, attempt: None),
+    ("of neither its drawn nor greatest target", routes, "matches", lambda hosts, entry: True),
+    ("pending requests, over its part", balancer, "is_at_limit", lambda proxy, number, route: False),
     ("after its route's deadline", admission, "apply_route_caps", lambda proxy, route, *left: (1, *left)),
     (
         "drew a target",
