--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -294,7 +294,7 @@
     keyed = replace(KEYED, in_order=waits == "in line")
     driver = Driver(replace(SETTINGS, classes=(keyed,), max_attempts=2), servers=6)
     first, ahead = driver.arrive(patience_us=800_000, key=7)
-    name, actions = driver.arrive(patience_us=800_000, key=7, open=waits == "for its body")
+    name, actions = driver.arrive(patience_us=800_000, key=7, body_incomplete=waits == "for its body")
     came_us = driver.now_us
     other = RequestClass(aim_us=5_000, give_up_us=9_000, effect=Effect.UNSAFE, late_worth=0.2)
     driver.handle(SettingsChanged(replace(SETTINGS, classes=(other,), max_attempts=1)))
