--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -60,11 +60,11 @@
         return self.handle(ServerList(kind, entries))
 
     def arrive(
-        self, klass: int = 0, patience_us: int = 400_000, **extra: int | bool
+        self, klass: int = 0, client_timeout_us: int = 400_000, **extra: int | bool
     ) -> tuple[str, list[Action]]:
         self.count += 1
         name = f"r{self.count}"
-        event = RequestArrived(name, klass, patience_us)
+        event = RequestArrived(name, klass, client_timeout_us)
         return name, self.handle(replace(event, **extra))  # type: ignore[arg-type]
 
     def end(
--- a/tests/test_deduplication_window.py
+++ b/tests/test_deduplication_window.py
@@ -183,7 +183,7 @@
     """The window starts at the first attempt and is that of the class when the request arrived."""
     driver = Driver(replace(SETTINGS, classes=(klass,)), servers=4)
     sent_us = driver.now_us
-    name, actions = driver.arrive(patience_us=klass.give_up_us)
+    name, actions = driver.arrive(client_timeout_us=klass.give_up_us)
     assert sends(actions)[0].write_deadline_us == 0
     driver.now_us += 10_000
     again = sends(driver.end(name, sends(actions)[0].server, outcome))[0]
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -40,8 +40,8 @@
 def test_a_class_that_was_dropped_excuses_no_server() -> None:
     """Its last good answer was for requests that come no more: who fails all that comes is bad as a whole."""
     driver = Driver(servers=1)
-    for klass, patience_us in ((0, 400_000), (2, 1_000_000)):
-        name, actions = driver.arrive(klass, patience_us)
+    for klass, client_timeout_us in ((0, 400_000), (2, 1_000_000)):
+        name, actions = driver.arrive(klass, client_timeout_us)
         driver.end(name, sends(actions)[0].server)
     classes = (replace(SAFE, dropped=True), KEYED, UNSAFE)
     driver.handle(SettingsChanged(replace(SETTINGS, classes=classes)))
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -152,14 +152,14 @@
 
 def test_requests_of_a_key_take_turns() -> None:
     driver = Driver(ORDERED)
-    first, actions = driver.arrive(key=7, patience_us=900_000)
+    first, actions = driver.arrive(key=7, client_timeout_us=900_000)
     server = sends(actions)[0].server
-    second, actions = driver.arrive(key=7, patience_us=900_000)
+    second, actions = driver.arrive(key=7, client_timeout_us=900_000)
     assert not sends(actions) and not finals(actions)
     assert sends(driver.arrive(key=8)[1])
     (send,) = sends(driver.end(first, server))
     assert send.request == second
-    third = driver.arrive(key=7, patience_us=900_000)[0]
+    third = driver.arrive(key=7, client_timeout_us=900_000)[0]
     driver.now_us += 10_000
     assert finals(driver.end(second, send.server, Outcome.RESET)) == [Fail(second)]
     rest = driver.timers[-1]
@@ -174,7 +174,7 @@
 def test_a_client_that_comes_again_under_its_name_while_its_key_rests_is_answered() -> None:
     """The end of the rest forgot the new request: it was sent, and its answer never passed on."""
     driver = Driver(ORDERED)
-    name, actions = driver.arrive(key=7, patience_us=900_000)
+    name, actions = driver.arrive(key=7, client_timeout_us=900_000)
     driver.end(name, sends(actions)[0].server, Outcome.RESET)
     rest = driver.timers[-1]
     assert not sends(driver.handle(RequestArrived(name, 0, 900_000, 7)))
@@ -188,7 +188,7 @@
 def test_a_popular_key_is_refused_before_a_line_that_cannot_be_served() -> None:
     """The hopeless one was refused its place in line, then sent out of turn all the same."""
     driver = Driver(ORDERED)
-    told = [driver.arrive(key=7, patience_us=400_000)[1] for _ in range(30)]
+    told = [driver.arrive(key=7, client_timeout_us=400_000)[1] for _ in range(30)]
     refused = [actions for actions in told if finals(actions)]
     assert len(refused) > 20 and sum(len(sends(actions)) for actions in told) == 1
     waiting = driver.timers[-1]
@@ -251,14 +251,14 @@
     assert moved[0] == moved[1] > moved[2] > moved[3] == 0.0
 
 
-@pytest.mark.parametrize("patience_us", [0, 1, 40])
+@pytest.mark.parametrize("client_timeout_us", [0, 1, 40])
 @pytest.mark.parametrize("klass", [0, 1, 2])
-def test_a_request_with_hardly_any_patience_gets_one_answer(klass: int, patience_us: int) -> None:
+def test_a_request_with_hardly_any_time_gets_one_answer(klass: int, client_timeout_us: int) -> None:
     driver = Driver()
-    name, actions = driver.arrive(klass=klass, patience_us=patience_us)
+    name, actions = driver.arrive(klass=klass, client_timeout_us=client_timeout_us)
     answers = finals(actions)
     for send in sends(actions):
-        assert 0 < send.timeout_us <= max(1, patience_us)
+        assert 0 < send.timeout_us <= max(1, client_timeout_us)
         driver.now_us += send.timeout_us
         answers += finals(driver.end(name, send.server, Outcome.TIMEOUT))
     assert len(answers) == 1 and not driver.balancer.requests
@@ -271,7 +271,7 @@
         klass = replace(KEYED, scope=scope)
         driver = Driver(replace(SETTINGS, classes=(klass,)), servers=0)
         driver.list_servers(*(ListedServer(n, zone=n % 2, group=n % 3) for n in range(12)))
-        name, actions = driver.arrive(patience_us=700_000)
+        name, actions = driver.arrive(client_timeout_us=700_000)
         first = sends(actions)[0].server
         driver.now_us += KEYED.window_us - 1 + late
         again = sends(driver.end(name, first, Outcome.RESET))
@@ -705,8 +705,8 @@
     for marks in (True, False):
         driver = Driver(replace(SETTINGS, classes=(late,), marks_retry=marks))
         for n in range(30):
-            patience_us = 330_000 if n % 5 == 4 else 220_000
-            name, actions = driver.arrive(patience_us=patience_us, is_retry=marks and n % 5 == 4)
+            client_timeout_us = 330_000 if n % 5 == 4 else 220_000
+            name, actions = driver.arrive(client_timeout_us=client_timeout_us, is_retry=marks and n % 5 == 4)
             (send,) = sends(actions)
             if n > 4:
                 assert (send.timeout_us < 150_000) == (n % 5 == 4)
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -273,7 +273,7 @@
     assert driver.balancer.count_skipped(driver.now_us) == 1
     assert driver.balancer.servers[1].weight == 0.3
     assert driver.balancer.smoothed_us == [*smoothed, 25_000.0]
-    name, actions = driver.arrive(klass=3, patience_us=200_000)
+    name, actions = driver.arrive(klass=3, client_timeout_us=200_000)
     assert sends(actions)[0].server in (1, 2)
     assert not driver.end(name, sends(actions)[0].server)
 
@@ -284,7 +284,7 @@
     driver.handle(SettingsChanged(replace(SETTINGS, classes=(UNSAFE, KEYED, UNSAFE))))
     again = driver.end(name, sends(actions)[0].server, Outcome.ERROR)
     assert len(sends(again)) == 1
-    later, actions = driver.arrive(patience_us=1_000_000)
+    later, actions = driver.arrive(client_timeout_us=1_000_000)
     assert not sends(driver.end(later, sends(actions)[0].server, Outcome.ERROR))
 
 
@@ -293,8 +293,8 @@
     """Effect, scope, window, tries and deadline are all others by the time at which it goes out whole."""
     keyed = replace(KEYED, in_order=waits == "in line")
     driver = Driver(replace(SETTINGS, classes=(keyed,), max_attempts=2), servers=6)
-    first, ahead = driver.arrive(patience_us=800_000, key=7)
-    name, actions = driver.arrive(patience_us=800_000, key=7, body_incomplete=waits == "for its body")
+    first, ahead = driver.arrive(client_timeout_us=800_000, key=7)
+    name, actions = driver.arrive(client_timeout_us=800_000, key=7, body_incomplete=waits == "for its body")
     came_us = driver.now_us
     other = RequestClass(aim_us=5_000, give_up_us=9_000, effect=Effect.UNSAFE, late_worth=0.2)
     driver.handle(SettingsChanged(replace(SETTINGS, classes=(other,), max_attempts=1)))
@@ -316,12 +316,12 @@
 def test_a_dropped_class_takes_nothing_new_and_has_no_part_in_worths_or_shedding() -> None:
     driver = Driver(servers=3)
     balancer = driver.balancer
-    open_, actions = driver.arrive(klass=2, patience_us=1_000_000)
+    open_, actions = driver.arrive(klass=2, client_timeout_us=1_000_000)
     balancer.smoothed_us[2] = 9e9
     changed = replace(SETTINGS, classes=(SAFE, KEYED, replace(UNSAFE, dropped=True)))
     driver.handle(SettingsChanged(changed))
     assert balancer.longest_latency_us() == max(balancer.smoothed_us[:2])
-    refused = driver.arrive(klass=2, patience_us=1_000_000)[1]
+    refused = driver.arrive(klass=2, client_timeout_us=1_000_000)[1]
     assert len(finals(refused)) == 1 and not sends(refused)
     shed = balancer.shed_low_value
     driver.end(
--- a/tests/test_routes_module.py
+++ b/tests/test_routes_module.py
@@ -104,7 +104,7 @@
     assert {sent_to(actions), sent_to(driver.handle(TimerFired(timer.token)))} == {1, 3}
 
 
-def test_caps_are_the_lower_of_both_and_the_class_s_patience_is_learned_all_the_same() -> None:
+def test_caps_are_the_lower_of_both_and_the_client_timeout_is_learned_all_the_same() -> None:
     driver = driver_with(Route(max_attempts=2, deadline_us=100_000), Route(max_attempts=9, deadline_us=10**9))
     plain = Driver(servers=12)
     name, actions = driver.arrive(route=1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -139,11 +139,11 @@
             dropped = klass.effect is Effect.KEYED and klass.scope is Scope.ALL
             assert klass.effect is Effect.SAFE or dropped
 
-    def arrive(self, klass: int, patience_us: int) -> None:
+    def arrive(self, klass: int, client_timeout_us: int) -> None:
         name = f"r{len(self.cases)}"
-        key = patience_us % 3 or None
-        self.cases[name] = Case(klass, key, self.now_us + patience_us)
-        self.give(RequestArrived(name, klass, patience_us, key))
+        key = client_timeout_us % 3 or None
+        self.cases[name] = Case(klass, key, self.now_us + client_timeout_us)
+        self.give(RequestArrived(name, klass, client_timeout_us, key))
 
     def finish(self, pick: int, outcome: Outcome) -> None:
         out = [(n, i) for n, c in self.cases.items() for i, t in enumerate(c.tries) if t.outcome is None]
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -125,9 +125,9 @@
 def test_a_server_that_is_closed_to_one_class_alone_is_not_skipped() -> None:
     driver = Driver(servers=1)
     for _ in range(2):
-        name, actions = driver.arrive(klass=2, patience_us=1_000_000)
+        name, actions = driver.arrive(klass=2, client_timeout_us=1_000_000)
         driver.end(name, sends(actions)[0].server, Outcome.ERROR)
-    assert not sends(driver.arrive(klass=2, patience_us=1_000_000)[1])
+    assert not sends(driver.arrive(klass=2, client_timeout_us=1_000_000)[1])
     assert driver.balancer.count_skipped(driver.now_us) == 0
 
 
