--- a/caperdrift/policy/admission.py
+++ b/caperdrift/policy/admission.py
@@ -13,8 +13,8 @@
 RETRY_TOKENS_PER_REQUEST = 0.2  # retry budget: retries that each first try adds
 SAME_TIMEOUT_TOLERANCE = 0.02  # relative difference up to which two client time-outs count as equal
 HALVE_COUNTS_AT = 500  # total of first tries at which the counts of offered and served requests are halved
-# Weight of the newest request in the tenants' shares of traffic; less with so many tenants that fewer than
-# about six requests of each would be remembered.
+# Weight of the newest request in the tenants' shares of traffic. It is lower with more than eight tenants, so
+# that about six requests of each are still remembered.
 TENANT_SMOOTHING = 0.02
 TENANT_SHARE_TOLERANCE = 1.5  # a tenant's traffic beyond this multiple of its share is more than chance
 
@@ -59,8 +59,9 @@
 def tenant_excess(proxy: Proxy, tenant: int) -> float:
     """Count a request of a tenant; returns the part of the tenant's recent requests beyond its share.
 
-    The result is 0 or less within the share, and 0 for an unknown tenant. While anything is shed, it is the
-    probability to shed the request: this protects other tenants from clients that retry without limit.
+    The result is scaled by the worth that such a request lacks; 0 or less within the share, 0 for an unknown
+    tenant. While anything is shed, it is the probability to shed the request: this protects other tenants
+    from clients that retry without limit.
     """
     if not 0 <= tenant < len(proxy.tenant_traffic):
         return 0.0
--- a/caperdrift/policy/choice.py
+++ b/caperdrift/policy/choice.py
@@ -112,10 +112,14 @@
     """A server's weight in the random choice, lower while it is cold; 0 if it has no cold capacity left."""
     if not has_cold_capacity(proxy, server, request):
         return 0.0
-    free = 1.0 / (1.0 + len(server.in_flight)) ** IN_FLIGHT_EXPONENT
+    load_factor = 1.0 / (1.0 + len(server.in_flight)) ** IN_FLIGHT_EXPONENT
     weight = server.weight * server.class_state(request.klass).weight
     return (
-        server.entry.weight * weight * free * zone_factor(proxy, server.entry) * capacity_share(proxy, server)
+        server.entry.weight
+        * weight
+        * load_factor
+        * zone_factor(proxy, server.entry)
+        * capacity_share(proxy, server)
     )
 
 
--- a/caperdrift/policy/servers.py
+++ b/caperdrift/policy/servers.py
@@ -77,7 +77,7 @@
     aim_us: int  # clock reading at which its target latency is over
     relative_work: float  # hinted work over the mean of its class; 1 without a hint
     first_try: bool  # not a client retry
-    tenant_excess: float  # share of its tenant's recent requests that exceeds the tenant's share
+    tenant_excess: float  # probability to shed it for its tenant's excess, see admission.py
     route: int  # number of its route; 0: none
     targets: tuple[HostSelector, ...]  # of its route, in order of preference; empty: all servers
     pool_size: int = 0  # number of servers that its last attempt was chosen from
--- a/caperdrift/policy/shedding.py
+++ b/caperdrift/policy/shedding.py
@@ -10,7 +10,7 @@
 # A class has low value if its gain per unit of server time is below this multiple of the mean. Such a class
 # is shed when answers have to wait, the others only when servers are overloaded.
 LOW_VALUE_FACTOR = 0.5
-CROWDED_FACTOR = 2.75  # latency over baseline that shows an overloaded server, whatever the target
+OVERLOAD_FACTOR = 2.75  # latency over baseline that shows an overloaded server, whatever the target
 NOTICEABLE_WAIT_SHARE = 0.02  # share of the slack: a shorter wait may just be a pause of a fast host
 SHED_STEP = 0.1  # change of a shed share after one answer
 SHED_RATE = 0.4  # change per second since the previous answer, where that is more
@@ -66,15 +66,17 @@
     failed = event.outcome is not Outcome.OK
     slack_us = class_settings.aim_for_work_us(request.work_us) - baseline_us
     # Where hosts answer in a fraction of a millisecond, any pause of a process is many times the baseline.
-    crowded = failed or waited_us > max(
-        (CROWDED_FACTOR - 1.0) * baseline_us * request.relative_work, NOTICEABLE_WAIT_SHARE * slack_us
+    overloaded = failed or waited_us > max(
+        (OVERLOAD_FACTOR - 1.0) * baseline_us * request.relative_work, NOTICEABLE_WAIT_SHARE * slack_us
+    )
+    waited_long = (
+        (failed or waited_us > TOLERATED_WAIT_SHARE * slack_us) if slack_us > baseline_us else overloaded
     )
-    long = (failed or waited_us > TOLERATED_WAIT_SHARE * slack_us) if slack_us > baseline_us else crowded
     # Scaled by the time since the previous answer: overload must show as soon with few answers as with many.
     step = max(SHED_STEP, SHED_RATE * min(proxy.now_us - proxy.shed_updated_us, MAX_SHED_INTERVAL_US) / 1e6)
     proxy.shed_updated_us = proxy.now_us
-    proxy.shed_low_value = min(MAX_SHED, max(0.0, proxy.shed_low_value + (step if long else -step)))
-    change = step if crowded else -step
+    proxy.shed_low_value = min(MAX_SHED, max(0.0, proxy.shed_low_value + (step if waited_long else -step)))
+    change = step if overloaded else -step
     late_us = OVERDUE_FACTOR * proxy.expected_latency_us(request)
     if event.outcome is Outcome.TIMEOUT and class_settings.late_worth <= 0.0 and event.latency_us < late_us:
         change = step / 4  # timed out at the target already: a lost connection is as likely as overload
