--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -1,4 +1,4 @@
-"""The module's invariants hold in random worlds, and a module that breaks one is caught."""
+"""The balancer's invariants hold in random simulations, and a balancer that breaks one is detected."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class Twice(Balancer):
-    """Answers again what it has refused."""
+    """Repeats each refusal."""
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
         actions = super().handle(now_us, event)
@@ -53,7 +53,7 @@
     balancer = Twice(SETTINGS, 3)
     attach_checks(balancer, 3)
     balancer.handle(START_US, ServerList(ListKind.FULL))
-    with pytest.raises(InvariantBroken, match="seed 3 event 2: r1 answered though nothing is owed"):
+    with pytest.raises(InvariantBroken, match="seed 3 event 2: r1 answered though no answer is due"):
         balancer.handle(START_US, RequestArrived("r1", 0, 400_000))
 
 
@@ -109,7 +109,7 @@
         if any(isinstance(action, Send) for action in actions):
             sent += 1
             balancer.handle(now_us + 500, AttemptEnded(name, 0, 1, Outcome.OK, 500, finished=True))
-    assert sent > 1  # so soon after the first a sixtieth of the budget has no room for another
+    assert sent > 1  # a sixtieth of the budget would not allow a second request so early
 
 
 BREAKS: tuple[tuple[str, Any, str, Any], ...] = (
@@ -118,9 +118,9 @@
     ("has the weight", weights, "MIN_WEIGHT", 0.01),
     ("cold server", choice, "has_cold_capacity", lambda proxy, server, request: True),
     ("half-open", Breaker, "start_trial", lambda breaker: breaker.episode),
-    ("out by its count", retries, "remove_in_flight", lambda proxy, attempt: None),
-    ("of a target that it was not meant for", routes, "matches", lambda hosts, entry: True),
-    ("at once, of", balancer, "is_at_limit", lambda proxy, number, route: False),
+    ("in flight by its count", retries, "remove_in_flight", lambda proxy, attempt: None),
+    ("of neither its drawn nor greatest target", routes, "matches", lambda hosts, entry: True),
+    ("pending requests, over its part", balancer, "is_at_limit", lambda proxy, number, route: False),
     ("after its route's deadline", admission, "apply_route_caps", lambda proxy, route, *left: (1, *left)),
     (
         "drew a target",
@@ -136,5 +136,5 @@
     what: str, place: Any, name: str, broken: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(place, name, broken)
-    runs = (run_module(seed, 20_000, True) for seed in (2, 1, 4, 3, 6, 5))  # worlds of even ones have routes
+    runs = (run_module(seed, 20_000, True) for seed in (2, 1, 4, 3, 6, 5))  # even seeds have routes
     assert any(what in violation for run in runs for violation in run.violations)
--- a/tests/test_routes_module.py
+++ b/tests/test_routes_module.py
@@ -1,4 +1,4 @@
-"""Routes in the decision module: what a plan narrows, and that nothing else changes."""
+"""Routes in the decision module: what a plan restricts, and that it changes nothing else."""
 
 from __future__ import annotations
 
@@ -104,7 +104,7 @@
     assert {sent_to(actions), sent_to(driver.handle(TimerFired(timer.token)))} == {1, 3}
 
 
-def test_caps_are_the_lower_of_both_and_the_class_s_patience_is_learned_all_the_same() -> None:
+def test_caps_are_the_lower_of_both_and_the_client_timeout_is_learned_all_the_same() -> None:
     driver = driver_with(Route(max_attempts=2, deadline_us=100_000), Route(max_attempts=9, deadline_us=10**9))
     plain = Driver(servers=12)
     name, actions = driver.arrive(route=1)
@@ -126,8 +126,8 @@
     held = [driver.arrive(route=1) for _ in range(3)]
     name, actions = driver.arrive(route=1)
     assert actions == [Refuse(name)] and name not in driver.balancer.requests
-    assert len(sends(driver.arrive()[1])) == 1  # those of no route are not counted
-    driver.handle(Plan({1: Route(limit=9)}))  # what is held counts on under another plan
+    assert len(sends(driver.arrive()[1])) == 1  # requests without a route do not count
+    driver.handle(Plan({1: Route(limit=9)}))  # pending requests still count under another plan
     assert len(sends(driver.arrive(route=1)[1])) == 1
     driver.handle(Plan({1: Route(limit=5)}))
     driver.end(held[0][0], sent_to(held[0][1]))
@@ -147,7 +147,10 @@
 def test_a_route_that_the_plan_has_not_is_told_and_narrows_nothing() -> None:
     driver, plain = driver_with(Route((Target(ODD),))), Driver(servers=12)
     (_, actions), (_, was) = driver.arrive(route=7), plain.arrive()
-    assert actions == [Log("route 7 is not in the plan; its requests go as if there were none"), *was]
+    assert actions == [
+        Log("route 7 is not in the plan; its requests are handled as if they had no route"),
+        *was,
+    ]
 
 
 def test_the_servers_of_a_target_are_worked_out_once_for_each_ranking() -> None:
@@ -177,7 +180,7 @@
 
 
 def test_a_cold_server_s_budget_is_shared_by_all_who_have_few_to_choose_from() -> None:
-    """Of three named servers each of 60 proxies uses all; of 60 servers few use each."""
+    """With three servers in the target each of 60 proxies uses all; with 60 servers, few proxies use each."""
     settings = replace(SETTINGS, proxies=60, warm_after_us=8_000_000, start_capacity=0.1)
     driver = Driver(settings, servers=0)
     driver.list_servers(*(ListedServer(n, group=int(n < 3)) for n in range(60)))
