--- a/cloverkeel/discovery.py
+++ b/cloverkeel/discovery.py
@@ -36,7 +36,7 @@
         """The call was answered. Raises ValueError if the reply is not a usable list."""
 
     def watch_failed(self) -> None:
-        """A call has failed; a watch has ended with it."""
+        """A fetch or a watch has failed and ended."""
 
 
 class Discovery:
@@ -49,7 +49,7 @@
         self, address: Address, names: Names, on_list: OnList, pushed: bool, stop_sending_s: float
     ) -> None:
         self.names, self.on_list = names, on_list
-        self.pushed = pushed  # a local agent pushes changes: watched from the start, without being asked
+        self.pushed = pushed  # a local agent has changes at once: watched from the start, unasked
         self.stop_sending_s = stop_sending_s  # how long a host may be used after a list shows it draining
         self.failures = 0  # failed calls in a row
         self.closed = False
--- a/cloverkeel/gateway.py
+++ b/cloverkeel/gateway.py
@@ -233,7 +233,7 @@
             self.post(lambda: BodyEnded(id_))
 
     def on_list(self, kind: ListKind, entries: list[HostEntry]) -> None:
-        """Apply a list of hosts and tell the Balancer."""
+        """Apply a list of hosts to the pools and pass it to the Balancer."""
         self.post(lambda: apply_list(self.pools, self.listed_hosts, kind, entries))
 
     # Actions out
--- a/cloverkeel/operator.py
+++ b/cloverkeel/operator.py
@@ -55,7 +55,7 @@
         self.listener: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen. Raises OSError."""
+        """Start to listen. Raises OSError."""
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(lambda: OperatorConnection(self), *self.address)
 
