--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -27,7 +27,7 @@
 
 
 def outcomes(run: Running) -> list[AttemptEnded]:
-    """What the module is told of attempts from now on."""
+    """The AttemptEnded events that the decision module gets from now on."""
     told: list[AttemptEnded] = []
     handle = run.gateway.balancer.handle
 
@@ -58,24 +58,24 @@
     [
         (answers(reply(200, b"a book")), Outcome.OK, 200),
         (answers(reply(500)), Outcome.ERROR, 502),
-        (answers(reply(503)), Outcome.ERROR, 502),  # without the mark nothing is known
+        (answers(reply(503)), Outcome.ERROR, 502),  # without X-Rejected it may have run
         (answers(reply(404, b"", "X-Rejected: 1")), Outcome.ERROR, 502),
         (answers(b"no HTTP at all\r\n\r\n"), Outcome.ERROR, 502),
         (answers(FULL), Outcome.FULL, 503),
         (answers(reply(504, b"", "X-Rejected: 1")), Outcome.FULL, 503),
         (reset, Outcome.RESET, 502),
-        (half_an_answer, Outcome.RESET, 502),  # a 200 must be whole
+        (half_an_answer, Outcome.RESET, 502),  # an incomplete 200
     ],
 )
 @on_loop
-async def test_what_comes_back_is_the_outcome(script: Script, outcome: Outcome, status: int) -> None:
+async def test_each_kind_of_response_has_its_outcome(script: Script, outcome: Outcome, status: int) -> None:
     async with peer(script) as host, running(configuration(host)) as run:
         told = outcomes(run)
         answer = await run.ask(request("transfer", b"42"))
         assert answer.status == status
         assert [event.outcome for event in told] == [outcome]
         assert told[0].server == host_id(0) and told[0].finished is (outcome is Outcome.OK)
-        assert len(host.seen) == 1  # an unsafe request goes out once
+        assert len(host.seen) == 1  # an unsafe request is sent once
         assert not run.gateway.pending
 
 
@@ -88,7 +88,7 @@
 
 
 @on_loop
-async def test_a_connection_that_never_comes_up_is_given_up_in_the_time_of_the_settings() -> None:
+async def test_connecting_ends_after_the_configured_time_out() -> None:
     import socket
 
     with socket.socket() as full:
@@ -96,7 +96,7 @@
         full.listen(0)
         address = full.getsockname()
         fill = [socket.socket() for _ in range(4)]
-        for one in fill:  # a backlog that is full lets nothing more come up
+        for one in fill:  # with a full backlog no further connection is established
             one.setblocking(False)
             one.connect_ex(address)
         config = configuration(f"127.0.0.1:{address[1]}", connectTimeoutUs=50_000)
@@ -115,7 +115,7 @@
         told = outcomes(run)
         assert (await run.ask(request("transfer", budget_ms=60))).status == 504
         assert [event.outcome for event in told] == [Outcome.TIMEOUT]
-        await until(lambda: host.ended == 1)  # the host can tell that nobody waits
+        await until(lambda: host.ended == 1)  # the host sees that the attempt was abandoned
         assert run.gateway.pools.open_connections == 0 and not run.gateway.pending
 
 
@@ -127,7 +127,7 @@
         assert (await client.ask(request("transfer", budget_ms=60))).status == 504
         host.seen[0].answer(reply(200, b"too late"))
         host.script = answers(reply(200, b"in time"))
-        # After a time-out the module may refuse a few.
+        # After a time-out the module may shed a few requests.
         while (answer := await client.ask(request())).status == 503:
             pass
         assert answer.body == b"in time"
@@ -137,7 +137,7 @@
 
 @pytest.mark.parametrize(("klass", "again"), [("search", True), ("hold", True), ("transfer", False)])
 @on_loop
-async def test_after_a_reset_only_what_may_run_twice_goes_out_again(klass: str, again: bool) -> None:
+async def test_after_a_reset_only_requests_that_may_run_twice_are_retried(klass: str, again: bool) -> None:
     first: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
@@ -152,12 +152,12 @@
         assert answer.status == (200 if again else 502)
         assert len(first) == (2 if again else 1)
         keys = {exchange.message.headers.get("idempotency-key") for exchange in first}
-        assert len(keys) == 1  # the repeat carries the key of the first
+        assert len(keys) == 1  # the retry has the same key
 
 
 @pytest.mark.parametrize("klass", ["search", "hold", "transfer"])
 @on_loop
-async def test_every_class_goes_elsewhere_when_a_host_is_full(klass: str) -> None:
+async def test_every_class_is_retried_elsewhere_if_a_host_is_full(klass: str) -> None:
     turned_away: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
@@ -183,13 +183,13 @@
         async with running(config) as run:
             statuses = [(await run.ask(request("hold"))).status for _ in range(8)]
             assert one.seen and set(statuses) == {200, 502}
-            # What was reset at one host has not gone to the other group.
+            # A request that was reset at one host is not sent to the other group.
             lost = {e.message.headers["x-call-id"] for e in one.seen}
             assert lost.isdisjoint(e.message.headers["x-call-id"] for e in other.seen)
 
 
 @on_loop
-async def test_what_the_host_says_passes_back_and_what_the_client_says_passes_on() -> None:
+async def test_end_to_end_headers_and_bodies_pass_both_ways() -> None:
     script = answers(
         reply(200, b"\x00\xff body", "Content-Type: text/x", "X-Hit: 1", "X-Load-Report: TEXT queue=2")
     )
@@ -210,7 +210,7 @@
 
 @pytest.mark.parametrize("report", ["TEXT queue=lots", "JSON {}", "TEXT", "TEXT =,=", "\xff"])
 @on_loop
-async def test_a_load_report_that_cannot_be_read_costs_nothing(report: str) -> None:
+async def test_a_malformed_load_report_is_ignored(report: str) -> None:
     data = b"HTTP/1.1 200 X\r\nContent-Length: 0\r\nX-Load-Report: " + report.encode("latin-1") + b"\r\n\r\n"
     async with peer(answers(data)) as host, running(configuration(host)) as run:
         assert (await run.ask(request())).status == 200
@@ -228,7 +228,7 @@
 
 
 @on_loop
-async def test_a_client_that_leaves_ends_the_attempt() -> None:
+async def test_a_client_s_disconnect_cancels_the_attempt() -> None:
     async with peer(silent) as host, running(configuration(host, multiplex=100)) as run:
         told = outcomes(run)
         client = await run.connect()
@@ -242,7 +242,7 @@
 
 
 @on_loop
-async def test_an_error_of_the_module_fails_one_request_and_no_more() -> None:
+async def test_an_exception_in_the_module_fails_one_request_only() -> None:
     async with peer() as host, running(configuration(host)) as run:
         handle = run.gateway.balancer.handle
         run.gateway.balancer.handle = None  # type: ignore[method-assign,assignment]
@@ -252,7 +252,7 @@
 
 
 @on_loop
-async def test_a_send_that_comes_too_late_is_moot() -> None:
+async def test_a_send_after_the_request_s_end_is_reported_as_not_sent() -> None:
     from caperdrift.interface import Send
 
     async with peer() as host, running(configuration(host)) as run:
@@ -263,7 +263,7 @@
         client.send(data)
         await until(lambda: host.seen)
         id_ = host.seen[0].message.headers["x-call-id"]
-        run.gateway.execute(Send(id_, 12345, 1_000_000))  # a host that nobody has listed
+        run.gateway.execute(Send(id_, 12345, 1_000_000))  # an unknown host
         assert [event.outcome for event in told] == [Outcome.NOT_SENT]
         client.close()
         await asyncio.sleep(0)
--- a/tests/test_gateway_pools.py
+++ b/tests/test_gateway_pools.py
@@ -1,4 +1,4 @@
-"""Connections to hosts: kept, reused, given up; drains."""
+"""Connections to hosts: keeping, reusing and closing them; draining hosts."""
 
 from __future__ import annotations
 
@@ -32,8 +32,8 @@
 
 
 @pytest.fixture(autouse=True)
-def no_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Connections may be used again at once: that they rest first is tested in test_host_crossings."""
+def no_reuse_delay(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Connections may be reused at once; the reuse delay is tested in test_host_crossings."""
     monkeypatch.setattr("cloverkeel.hosts.idle.REUSE_DELAY_US", 0)
 
 
@@ -55,7 +55,7 @@
             assert (await run.ask(request())).status == 200
         assert host.opened == 2
         last = [exchange.connection for exchange in host.seen[2:]]
-        assert len(set(last)) == 1  # the one used last, so that the other can age
+        assert len(set(last)) == 1  # the connection used last, so that the other one can expire
 
 
 @on_loop
@@ -66,7 +66,7 @@
         host.seen[0].writer.close()
         await until(lambda: not connection.is_quiet())
         ended: list[Outcome] = []
-        # Sent before the loop has told of the end, if it has not yet.
+        # Sent before the event loop reports the close, if it has not done so.
         if not idle(run):
             idle(run).append(connection)
 
@@ -80,8 +80,8 @@
 
 
 @on_loop
-async def test_the_poll_sees_an_end_before_the_loop_does() -> None:
-    """A blocked loop must not write to what is already closed: the kernel is asked, not the loop's memory."""
+async def test_the_poll_sees_a_close_before_the_event_loop_does() -> None:
+    """After a blocked turn, the event loop must not write to a connection that the kernel knows is closed."""
     import socket
 
     with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -96,12 +96,12 @@
             await asking
             connection = idle(run)[0]
             assert connection.is_quiet()
-            taken.close()  # and the loop has had no turn since
+            taken.close()  # the event loop has not run since
             assert not connection.is_quiet()
 
 
 @on_loop
-async def test_a_host_that_asks_for_the_end_of_a_connection_gets_it() -> None:
+async def test_connection_close_from_a_host_is_honoured() -> None:
     async with (
         peer(answers(reply(200, b"", "Connection: close"))) as host,
         running(configuration(host)) as run,
@@ -113,7 +113,7 @@
 
 
 @on_loop
-async def test_spare_connections_end_soon_and_the_last_before_the_host_ends_it() -> None:
+async def test_surplus_idle_connections_are_closed_soon_and_the_last_before_the_host_does() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         tasks = [asyncio.create_task(run.ask(request())) for _ in range(4)]
         await until(lambda: len(host.seen) == 4)
@@ -131,8 +131,8 @@
 
 
 @on_loop
-async def test_none_is_idle_for_longer_than_the_settings_say() -> None:
-    """With a shorter idle time than a spare one's own, spare ones were left for the host to end."""
+async def test_no_connection_is_idle_for_longer_than_configured() -> None:
+    """Guards against surplus connections that outlast a configured idle time shorter than their own."""
     async with peer(silent) as host, running(configuration(host, keepaliveUs=2_000_000)) as run:
         tasks = [asyncio.create_task(run.ask(request())) for _ in range(3)]
         await until(lambda: len(host.seen) == 3)
@@ -153,7 +153,7 @@
         names = parse(configuration(host)).names
         _, _, entries = parse_list(hosts_list(8, endpoint("s-0", host.address, status="DRAINING")), names)
         run.gateway.on_list(ListKind.DELTA, entries)
-        assert (await run.ask(request())).status == 503  # nowhere to go
+        assert (await run.ask(request())).status == 503  # no other host
         host.seen[0].answer(reply(200, b"done"))
         assert (await asking).body == b"done"
         await until(lambda: host.ended == 1)
@@ -162,8 +162,8 @@
 
 @pytest.mark.parametrize("whole", [False, True])
 @on_loop
-async def test_a_host_that_is_gone_keeps_no_idle_connection(whole: bool) -> None:
-    """They stayed open and nobody knew of them: neither swept nor given up when descriptors ran short."""
+async def test_a_removed_host_has_no_idle_connections(whole: bool) -> None:
+    """Guards against idle connections that stay open unknown to the pool: never expired or reclaimed."""
     async with peer() as host, running(configuration(host)) as run:
         assert (await run.ask(request())).status == 200
         assert idle(run)
@@ -176,8 +176,8 @@
 
 
 @on_loop
-async def test_nothing_starts_after_the_grace_of_a_drain() -> None:
-    """A connection that comes up too late carries nothing, even if the attempt was begun in time."""
+async def test_no_attempt_is_written_after_the_drain_s_grace_time() -> None:
+    """The attempt was started in time, but its connection is established too late."""
     async with peer() as host, running(configuration(host)) as run:
         pools, ended = run.gateway.pools, list[Outcome]()
 
@@ -194,7 +194,7 @@
 
 
 @on_loop
-async def test_a_host_that_moves_is_reached_at_its_new_address() -> None:
+async def test_a_host_is_reached_at_its_new_address() -> None:
     async with peer() as old, peer() as new, running(configuration(old)) as run:
         old.script = silent
         asking = asyncio.create_task(run.ask(request()))
@@ -204,13 +204,13 @@
         run.gateway.on_list(ListKind.DELTA, entries)
         old.seen[0].answer(reply())
         await asking
-        assert not idle(run)  # the old connection is not kept for the new address
+        assert not idle(run)  # the old connection is not reused
         assert (await run.ask(request())).status == 200
         assert len(old.seen) == len(new.seen) == 1
 
 
 @on_loop
-async def test_a_host_that_has_started_anew_gets_new_connections() -> None:
+async def test_a_restarted_host_gets_new_connections() -> None:
     async with peer() as host, running(configuration(host)) as run:
         names = parse(configuration(host)).names
         assert (await run.ask(request())).status == 200
@@ -223,7 +223,7 @@
 
 
 @on_loop
-async def test_idle_connections_make_room_when_descriptors_run_short() -> None:
+async def test_idle_connections_are_closed_if_descriptors_run_short() -> None:
     async with peer() as one, peer() as two:
         config = configuration(one, two)
         async with running(config) as run:
@@ -237,19 +237,19 @@
             object.__setattr__(run.server.config, "sockets", 1)
             first, _ = run.server.connections
             first.idle_since_s -= 60
-            run.server.reclaim_descriptors()  # a client's comes first: a new one costs that host work
+            run.server.reclaim_descriptors()  # a client's first: new ones cost hosts work
             assert await client.reader.read() == b"" and pools.open_connections == had
             for _ in range(had):
                 run.server.reclaim_descriptors()
             await until(lambda: pools.open_connections == 0)
-            assert (await late.ask(request())).status == 200  # too fresh an idle one to be closed
+            assert (await late.ask(request())).status == 200  # too recently used to be closed
             late.close()
             client.close()
 
 
 @on_loop
-async def test_an_answer_that_overtakes_its_request_ends_the_connection() -> None:
-    """Bytes beyond the one answer that is due belong to nothing: the connection is not used again."""
+async def test_an_unexpected_second_response_closes_the_connection() -> None:
+    """Data beyond the expected response belongs to no request: the connection is not reused."""
 
     def twice(exchange: Exchange) -> None:
         exchange.answer(reply(200, b"mine") + reply(200, b"whose?"))
@@ -261,8 +261,9 @@
 
 
 @on_loop
-async def test_an_attempt_called_off_while_its_connection_comes_up_harms_no_other() -> None:
-    """What took up such a connection was told "could not connect" of a request that the host had in hand."""
+async def test_cancelling_an_attempt_while_it_connects_affects_no_other() -> None:
+    """Guards against "could not connect" being reported for the request that took over such a connection,
+    although the host is working on it."""
     async with peer() as host, running(configuration(host)) as run:
         pools, known = run.gateway.pools, run.gateway.pools.hosts[host_id(0)]
         ended: list[Outcome] = []
@@ -270,7 +271,7 @@
         def on_end(attempt: Attempt, outcome: Outcome, answer: Reply | None) -> None:
             ended.append(outcome)
 
-        for turns in range(12):  # of the loop between the call and its end: one of them meets the moment
+        for turns in range(12):  # of the event loop before the cancellation: one count hits the moment
             for after in range(3):
                 ended.clear()
                 first = Attempt(known, lambda: request("transfer"), on_end)
--- a/tests/test_gateway_process.py
+++ b/tests/test_gateway_process.py
@@ -1,4 +1,4 @@
-"""The real program as a process: start, configuration, signals, exit."""
+"""The gateway as a process: start, configuration, signals, exit."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 async def program(
     folder: Path, config: dict[str, Any], operator: int = 0, listener: socket.socket | None = None
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, int]]:
-    """The program, once it is ready, and its port; on a socket that it inherits, ready for its operators."""
+    """The process and its port, once it is ready; with an inherited socket, once /api/ready says so."""
     port = listener.getsockname()[1] if listener is not None else free_port()
     file = folder / "config.json"
     file.write_text(json.dumps(config | {"listen": f"127.0.0.1:{port}"}))
@@ -90,12 +90,12 @@
 
 
 class Clients:
-    """Twelve clients that send without a pause, over connections that they keep while they may."""
+    """Twelve clients that send without a pause on keep-alive connections."""
 
     def __init__(self, port: int) -> None:
         self.port = port
         self.served = self.lost = self.turned_back = 0
-        self.closed = 0  # connections ended with an answer
+        self.closed = 0  # connections closed with a response
         self.stopping = False
         self.tasks = [asyncio.create_task(self.run(number)) for number in range(12)]
 
@@ -133,7 +133,7 @@
 
 
 @on_loop
-async def test_it_serves_and_ends_with_0(tmp_path: Path) -> None:
+async def test_it_serves_and_exits_with_0(tmp_path: Path) -> None:
     async with peer() as host, program(tmp_path, configuration(host)) as (process, port):
         assert await ask(port, request("transfer", b"x")) == 200
         process.send_signal(signal.SIGTERM)
@@ -142,15 +142,15 @@
 
 
 @on_loop
-async def test_a_restart_finishes_what_is_held_and_still_takes_what_comes(tmp_path: Path) -> None:
+async def test_a_drain_finishes_pending_requests_and_still_accepts_new_ones(tmp_path: Path) -> None:
     async with peer(silent) as host, program(tmp_path, configuration(host)) as (process, port):
         idle, busy = await connect(port), await connect(port)
         assert (await idle.ask(READY)).status == 200
         busy.send(request("transfer", b"held"))
         await until(lambda: host.seen)
         process.send_signal(signal.SIGTERM)
-        assert await idle.reader.read() == b""  # idle ones are closed, and so the signal has come
-        process.send_signal(signal.SIGTERM)  # a second one changes nothing
+        assert await idle.reader.read() == b""  # idle connections are closed: the signal has arrived
+        process.send_signal(signal.SIGTERM)  # a second signal has no effect
         assert await ask(port, READY) == 503
         late = await connect(port)
         late.send(request("transfer", b"late"))
@@ -167,7 +167,7 @@
 
 
 @on_loop
-async def test_all_that_was_read_on_one_connection_is_answered_on_the_way_out(tmp_path: Path) -> None:
+async def test_pipelined_requests_are_answered_before_exit(tmp_path: Path) -> None:
     async with peer(silent) as host, program(tmp_path, configuration(host)) as (process, port):
         idle, client = await connect(port), await connect(port)
         assert (await idle.ask(READY)).status == 200
@@ -184,8 +184,8 @@
 
 
 @on_loop
-async def test_what_never_ends_is_answered_as_failed_and_does_not_keep_it(tmp_path: Path) -> None:
-    """All that was held when its time was out was lost with the process."""
+async def test_requests_that_never_end_fail_at_the_end_of_the_drain(tmp_path: Path) -> None:
+    """Guards against a process that exits at the end of its drain time without answering pending requests."""
     async with peer(silent) as host, program(tmp_path, configuration(host)) as (process, port):
         client, other = await connect(port), await connect(port)
         client.send(request("transfer") + request("search"))
@@ -200,8 +200,8 @@
 
 
 @on_loop
-async def test_a_changed_file_and_a_signal_move_it_to_another_discovery(tmp_path: Path) -> None:
-    """SIGHUP ended the program, and all that it held was lost."""
+async def test_a_reload_changes_the_address_of_the_list_service(tmp_path: Path) -> None:
+    """Guards against SIGHUP terminating the process, with the loss of all pending requests."""
     async with peer(silent) as before, peer() as after, peer(silent) as host, peer() as other:
         config = configuration(host, discovery=before.address)
         async with program(tmp_path, config) as (process, port):
@@ -212,14 +212,14 @@
             file = tmp_path / "config.json"
             kept = json.loads(file.read_text())
             file.write_text("{")
-            process.send_signal(signal.SIGHUP)  # cannot be used: all stays as it is
+            process.send_signal(signal.SIGHUP)  # invalid: the configuration in use is kept
             assert process.stderr is not None
             line = b"-"
             while line and b"not reconfigured" not in line:
                 line = await process.stderr.readline()
-            assert line  # it has not ended
-            whole = list_reply(3, endpoint("s-9", other.address))
-            after.script = lambda e: None if "from" in e.message.first else e.answer(whole)
+            assert line  # the process is still running
+            full_list = list_reply(3, endpoint("s-9", other.address))
+            after.script = lambda e: None if "from" in e.message.first else e.answer(full_list)
             file.write_text(json.dumps(kept | {"discovery": after.address}))
             process.send_signal(signal.SIGHUP)
             await until(lambda: after.seen)
@@ -232,9 +232,9 @@
 
 
 @on_loop
-async def test_a_signal_during_the_start_ends_it_with_0(tmp_path: Path) -> None:
+async def test_a_signal_during_the_start_exits_with_0(tmp_path: Path) -> None:
     pipe = tmp_path / "config.json"
-    os.mkfifo(pipe)  # the program waits here for its configuration
+    os.mkfifo(pipe)  # the process blocks here, reading its configuration
     process = await start({"LB_CONFIG": str(pipe)})
     end = await asyncio.get_running_loop().run_in_executor(None, os.open, pipe, os.O_WRONLY)
     process.send_signal(signal.SIGTERM)
@@ -260,7 +260,7 @@
 
 @pytest.mark.parametrize(("text", "why"), BAD)
 @on_loop
-async def test_a_configuration_that_cannot_be_used_is_one_line_and_2(
+async def test_an_invalid_configuration_is_one_log_line_and_exit_code_2(
     tmp_path: Path, text: str | None, why: str
 ) -> None:
     file = tmp_path / "config.json"
@@ -273,14 +273,14 @@
 
 
 @on_loop
-async def test_no_configuration_is_one_line_and_2() -> None:
+async def test_no_configuration_is_one_log_line_and_exit_code_2() -> None:
     process = await start({"LB_CONFIG": ""})
     _, errors = await process.communicate()
     assert process.returncode == 2 and errors == b"cloverkeel: LB_CONFIG is not set\n"
 
 
 @on_loop
-async def test_an_address_in_use_is_one_line(tmp_path: Path) -> None:
+async def test_an_address_in_use_is_one_log_line(tmp_path: Path) -> None:
     async with peer() as host:
         file = tmp_path / "config.json"
         file.write_text(json.dumps(configuration(host) | {"listen": host.address}))
@@ -291,10 +291,10 @@
 
 
 @on_loop
-async def test_no_request_is_lost_at_a_restart_under_way(tmp_path: Path) -> None:
-    """Clients keep sending, and connect anew, for as long as the front lets them after the signal.
+async def test_no_request_is_lost_while_draining(tmp_path: Path) -> None:
+    """Clients keep sending and reconnecting for as long as they are accepted after the signal.
 
-    A connection that ends between requests may have crossed one: that is sent once more, on a new one.
+    A request may cross the close of its connection: the client sends it once more, on a new connection.
     """
 
     async with peer(slowly) as host, program(tmp_path, configuration(host)) as (process, port):
@@ -309,21 +309,21 @@
 
 
 def listening() -> socket.socket:
-    """The clients' socket, as a platform holds it."""
+    """A listening socket for clients, as the platform passes it on."""
     held = socket.create_server(("127.0.0.1", 0), backlog=256)
     held.set_inheritable(True)
     return held
 
 
 @on_loop
-async def test_a_new_version_takes_over_on_the_inherited_socket_and_nobody_is_turned_back(
+async def test_a_new_process_takes_over_on_the_inherited_socket_without_refusals(
     tmp_path: Path,
 ) -> None:
-    """The new process could not bind the address in use, and ended with 1.
+    """Guards against a new process that can't bind the address in use and exits with 1.
 
-    What the old process owes at the signal is of the class that the clients' crowd does not shed. As one of
-    theirs it was refused now and then on a slow machine (503 after 4,466 others were served, 1 of 192 runs of
-    24 loops on 8 cores), never came to the host, and the test waited for it to its end.
+    The request that the old process holds at the signal is of a class that is not shed under the load of
+    `Clients`. Otherwise it was refused now and then on a slow machine (503 after 4,466 others were served, in
+    1 of 192 runs of 24 loops on 8 cores), never reached the host, and the test waited for it to its end.
     """
 
     async def script(exchange: Exchange) -> None:
@@ -334,8 +334,8 @@
         with listening() as held:
             ports, config = (free_port(), free_port()), configuration(host)
             for lane in config["settings"]["lanes"]:
-                lane |= {"aimUs": 500_000}  # what is kept free of the time to the end
-            # The clients' own crowd sheds them where the machine is slow, but not what is worth far more.
+                lane |= {"aimUs": 500_000}  # sets how much of the drain time is left free at its end
+            # On a slow machine the load of `Clients` sheds their own class, but not one of far higher value.
             config["settings"]["lanes"][1] |= {"aimUs": 20_000, "value": 50.0}
             async with program(tmp_path, config, ports[0], held) as (old, port):
                 resting, busy = await connect(port), await connect(port)
@@ -346,11 +346,11 @@
                     busy.send(request("hold", b"held"))
                     await until(lambda: any(e.message.body == b"held" for e in host.seen))
                     old.send_signal(signal.SIGTERM)
-                    while await ask(ports[0], OPERATORS_READY) != 503:  # 0: no answer, which tells nothing
+                    while await ask(ports[0], OPERATORS_READY) != 503:  # 0: no response
                         await asyncio.sleep(0.002)
-                    # Its idle connections to hosts are given up while it still owes an answer.
+                    # Its idle connections to hosts are closed while a request is still pending.
                     await until(lambda: host.ended > 0)
-                    # The old process owes one answer, and still takes a request on a connection that rested.
+                    # With one request pending, the old process still accepts another on an idle connection.
                     answer = await resting.ask(request("hold", b"late"))
                     assert (answer.status, answer.headers["connection"]) == (200, "close")
                     await until(lambda: clients.closed >= 6)
@@ -369,7 +369,7 @@
 
 
 @on_loop
-async def test_what_rests_until_the_end_is_closed_in_time(tmp_path: Path) -> None:
+async def test_idle_connections_are_closed_before_the_end_of_the_drain(tmp_path: Path) -> None:
     async with peer() as host:
         with listening() as held:
             config = configuration(host)
@@ -386,7 +386,7 @@
 
 @pytest.mark.parametrize("text", ["x", "-1", "9999", "1.5", "0"])
 @on_loop
-async def test_a_descriptor_that_is_no_listening_socket_is_one_line_and_2(tmp_path: Path, text: str) -> None:
+async def test_a_bad_inherited_descriptor_is_one_log_line_and_exit_code_2(tmp_path: Path, text: str) -> None:
     async with peer() as host:
         file = tmp_path / "config.json"
         file.write_text(json.dumps(configuration(host)))
@@ -397,7 +397,7 @@
 
 
 @on_loop
-async def test_a_connected_socket_is_no_listening_one(tmp_path: Path) -> None:
+async def test_a_socket_that_does_not_listen_is_refused(tmp_path: Path) -> None:
     async with peer() as host:
         file = tmp_path / "config.json"
         file.write_text(json.dumps(configuration(host)))
