--- a/cloverkeel/__main__.py
+++ b/cloverkeel/__main__.py
@@ -90,7 +90,7 @@
             )
         gateway = Gateway(config, warm, store_counters if keeper is not None else None)
         if config.transforms is not None:
-            from cloverkeel.transforms.local import load as load_transforms
+            from cloverkeel.transforms.loader import load as load_transforms
 
             try:
                 loaded = load_transforms(config.transforms)
--- a/cloverkeel/fleet/routes/environment.py
+++ b/cloverkeel/fleet/routes/environment.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from cloverkeel.gateway import Gateway
-    from cloverkeel.transforms.activation.parts import TransformParts
+    from cloverkeel.transforms.activation.part import TransformsPart
 
 PublishedHeaders = Mapping[str, frozenset[str]]
 
@@ -47,7 +47,7 @@
     """The world of one gateway, as it is now. `transforms`: None where the fleet publishes none."""
 
     def __init__(
-        self, gateway: Gateway, room: Mapping[str, int], transforms: TransformParts | None = None
+        self, gateway: Gateway, room: Mapping[str, int], transforms: TransformsPart | None = None
     ) -> None:
         self.gateway, self.capacity, self.transforms = gateway, room, transforms
         self.headers_written: dict[str, frozenset[str]] = {}  # headers, by a version's id
@@ -72,7 +72,9 @@
         activator = self.transforms.activator if self.transforms is not None else None
         if activator is None:
             return None
-        wanted = {id: order for id, order in activator.core.book.wanted().items() if order.source}
+        wanted = {
+            id: order for id, order in activator.core.ledger_state.versions_to_stage().items() if order.source
+        }
         for id, order in wanted.items():
             if id not in self.headers_written:
                 self.headers_written[id] = await asyncio.to_thread(_headers_written, order.source)
--- a/cloverkeel/fleet/routes/part.py
+++ b/cloverkeel/fleet/routes/part.py
@@ -33,7 +33,7 @@
 
 if TYPE_CHECKING:
     from cloverkeel.gateway import Gateway
-    from cloverkeel.transforms.activation.parts import TransformParts
+    from cloverkeel.transforms.activation.part import TransformsPart
 
 FIRST_PLAN_WAIT_S = 1.0
 TOML_CONTENT_TYPE = (b"Content-Type", b"application/toml")
@@ -49,7 +49,7 @@
         settings: RoutesSettings,
         gateway: Gateway,
         ledger: LedgerPart,
-        transforms: TransformParts | None,
+        transforms: TransformsPart | None,
         serve: Callable[[View], None],
     ) -> None:
         self.settings, self.gateway, self.ledger, self.serve = settings, gateway, ledger, serve
--- a/cloverkeel/fleet/start.py
+++ b/cloverkeel/fleet/start.py
@@ -31,7 +31,7 @@
     from cloverkeel.fleet.routes.part import RoutesPart
     from cloverkeel.fleet.state import Keeper
     from cloverkeel.gateway import Gateway
-    from cloverkeel.transforms.activation.parts import TransformParts
+    from cloverkeel.transforms.activation.part import TransformsPart
 
 INCARNATION_TIMEOUT_S = 1.0  # for the store to return an incarnation
 TAKE_OVER_TIMEOUT_S = 0.2  # the same in an upgrade, when the older process may still hold the store
@@ -62,13 +62,13 @@
         self.sharing: ListSharing | None = None
         self.neighbours: Neighbours | None = None
         self.restore_task: asyncio.Task[None] | None = None
-        self.transforms: TransformParts | None = None
+        self.transforms: TransformsPart | None = None
         self.ledger = make_ledger(config, cluster, keeper)  # shared by all parts that keep records in it
         published = config.transforms.fleet if config.transforms is not None else None
         if published is not None and self.ledger is not None:
-            from cloverkeel.transforms.activation.parts import TransformParts
+            from cloverkeel.transforms.activation.part import TransformsPart
 
-            self.transforms = TransformParts(published, gateway, self.ledger)
+            self.transforms = TransformsPart(published, gateway, self.ledger)
         self.routes: RoutesPart | None = None
         if config.routes is not None and self.ledger is not None:
             from cloverkeel.fleet.routes.part import RoutesPart
--- a/cloverkeel/front/requests.py
+++ b/cloverkeel/front/requests.py
@@ -17,7 +17,7 @@
 
 if TYPE_CHECKING:
     from cloverkeel.fleet.routes.serving import RouteTable
-    from cloverkeel.transforms.active import ActiveSet, Refused
+    from cloverkeel.transforms.active_set import ActiveSet, Refused
 
 NO_TENANT = -1  # for a caller that the settings do not name; 0 would charge its requests to the first tenant
 UNFORWARDED_REQUEST_HEADERS = frozenset({b"x-budget-ms"})
@@ -125,7 +125,7 @@
     if routes is not None:
         route = routes.find(segments[0], headers.get(b"x-caller", b""), path)
         if active_set is not None and route is not None and route.chain is not None:
-            active_set = active_set.chained(route.chain)
+            active_set = active_set.for_chain(route.chain)
     if active_set is not None:
         forwarded = transform_request(request, active_set, forwarded, headers, segments[0], path)
     timeout_us = settings.give_up_us if budget_ms is None else budget_ms * 1000
@@ -174,8 +174,8 @@
         raise RequestError(502, f"transform {transformed.name} failed")
     if active_set.has_response:
         request.transform_response = partial(active_set.response, klass, caller, path, call_id=id_)
-    if active_set.compares:
-        request.report_outcome = partial(active_set.answered, klass, caller, path, id_)
+    if active_set.needs_outcomes:
+        request.report_outcome = partial(active_set.record_outcome, klass, caller, path, id_)
     return transformed
 
 
--- a/cloverkeel/gateway.py
+++ b/cloverkeel/gateway.py
@@ -57,7 +57,7 @@
 
 if TYPE_CHECKING:
     from cloverkeel.fleet.routes.serving import RouteTable
-    from cloverkeel.transforms.active import ActiveSet
+    from cloverkeel.transforms.active_set import ActiveSet
 
 NO_METRICS: Mapping[str, int] = {}
 
--- a/cloverkeel/transforms/activation/command.py
+++ b/cloverkeel/transforms/activation/command.py
@@ -17,7 +17,7 @@
 )
 from cloverkeel.fleet.membership.command import CommandError
 
-LACKS = "transforms.fleet"
+CONFIG_KEY = "transforms.fleet"
 
 
 def register(verbs: Any) -> None:
@@ -36,17 +36,17 @@
 
 def _publish(address: Address, arguments: argparse.Namespace) -> int:
     source = read_file(arguments.file)
-    answer = request_json(address, f"/api/transforms/publish?wait={arguments.wait}", source, lacks=LACKS)
-    return _said("published", answer, arguments.wait)
+    answer = request_json(address, f"/api/transforms/publish?wait={arguments.wait}", source, lacks=CONFIG_KEY)
+    return _print_outcome("published", answer, arguments.wait)
 
 
 def _rollback(address: Address, arguments: argparse.Namespace) -> int:
     query = urlencode({"name": arguments.name, "wait": arguments.wait})
-    answer = request_json(address, f"/api/transforms/rollback?{query}", b"", lacks=LACKS)
-    return _said("rollback ordered", answer, arguments.wait)
+    answer = request_json(address, f"/api/transforms/rollback?{query}", b"", lacks=CONFIG_KEY)
+    return _print_outcome("rollback ordered", answer, arguments.wait)
 
 
-def _said(done: str, answer: dict[str, Any], wait: str) -> int:
+def _print_outcome(done: str, answer: dict[str, Any], wait: str) -> int:
     what = f"{answer['name']} {answer['id']}"
     if answer["confirmed"]:
         print(f"{done}: {what}, held by {answer['held']}")
@@ -56,12 +56,12 @@
 
 
 def _status(address: Address, arguments: argparse.Namespace) -> int:
-    answer = request_json(address, "/api/transforms", lacks=LACKS)
-    print(json.dumps(answer) if arguments.json else "\n".join(lines(answer)))
+    answer = request_json(address, "/api/transforms", lacks=CONFIG_KEY)
+    print(json.dumps(answer) if arguments.json else "\n".join(status_lines(answer)))
     return 0
 
 
-def lines(answer: dict[str, Any]) -> list[str]:
+def status_lines(answer: dict[str, Any]) -> list[str]:
     """The status for people: one line on the fleet, then one for each name and what is in its way."""
     if not {"epoch", "member", "transforms", "members", "first"} <= answer.keys():
         raise CommandError("the answer is no status of transforms")
--- a/cloverkeel/transforms/activation/configuration.py
+++ b/cloverkeel/transforms/activation/configuration.py
@@ -11,17 +11,17 @@
 
 Seconds = Annotated[float, msgspec.Meta(ge=0.0, le=3600)]
 Share = Annotated[float, msgspec.Meta(gt=0.0, le=1.0)]
-DEFAULT = Settings(1)
+DEFAULTS = Settings(1)
 
 
 class FleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Equal at all gateways of the cluster; docs/activation.md says what each does."""
 
     size: Annotated[int, msgspec.Meta(ge=1, le=4096)]  # gateways that the fleet is made of
-    stage_timeout_s: Seconds = DEFAULT.stage_timeout_s
-    canary_share: Share = DEFAULT.canary_share
-    canary_s: Seconds = DEFAULT.canary_s
-    quarantine_share: Annotated[float, msgspec.Meta(ge=0.0, lt=1.0)] = DEFAULT.quarantine_share
+    stage_timeout_s: Seconds = DEFAULTS.stage_timeout_s
+    canary_share: Share = DEFAULTS.canary_share
+    canary_s: Seconds = DEFAULTS.canary_s
+    quarantine_share: Annotated[float, msgspec.Meta(ge=0.0, lt=1.0)] = DEFAULTS.quarantine_share
 
     @property
     def settings(self) -> Settings:
--- a/cloverkeel/transforms/activation/core.py
+++ b/cloverkeel/transforms/activation/core.py
@@ -7,42 +7,42 @@
 
 import msgspec
 
-from cloverkeel.transforms.activation.book import Book, runs
-from cloverkeel.transforms.activation.deciding import Proposer, Voter
+from cloverkeel.transforms.activation.ledger_state import LedgerState, active_versions
+from cloverkeel.transforms.activation.paxos import Proposer, Voter
 from cloverkeel.transforms.activation.interface import (
     Action,
     Activate,
-    Drop,
+    DeleteRecord,
     Event,
-    Note,
-    Put,
-    Recorded,
+    LogEvent,
+    WriteRecord,
+    RecordsChanged,
     Settings,
     Settled,
     Stage,
     Staged,
     Tick,
-    Tripped,
+    BreakerChanged,
     ViewChanged,
 )
 from cloverkeel.transforms.activation.planning import next_epoch
 from cloverkeel.transforms.activation.records import (
     EPOCH,
-    EPOCHS,
+    EPOCH_OWNER,
     ORDER,
     PROPOSAL,
     REPORT,
     VOTE,
-    Body,
+    ActivationRecord,
     Epoch,
     Proposal,
     Report,
     Vote,
-    key_of,
+    record_key,
     vote_key,
 )
 
-TIDY_S = 5.0  # between two looks for orders that are over
+CLEANUP_INTERVAL_S = 5.0  # between two looks for orders that are over
 
 
 class Activation:
@@ -57,105 +57,105 @@
         disk: int,
         settings: Settings,
         rng: random.Random,
-        loaded: Iterable[Recorded] = (),
+        loaded: Iterable[RecordsChanged] = (),
     ) -> None:
-        self.me, self.disk, self.settings = member, disk, settings
-        self.book = Book()
+        self.member, self.store_id, self.settings = member, disk, settings
+        self.ledger_state = LedgerState()
         self.live: tuple[str, ...] = (member,)
         self.known: tuple[str, ...] = (member,)
         self.settled = False
         self.voter = Voter(member, disk)
         self.proposer = Proposer(member, life, settings, rng)
-        self.staged: dict[str, str] = {}  # versions tried: "" or why not
+        self.stage_results: dict[str, str] = {}  # versions tried: "" or why not
         self.staging: set[str] = set()
-        self.open: set[str] = set()
+        self.open_breakers: set[str] = set()
         self.active: dict[str, str] = {}
         self.epoch = Epoch()  # that this member runs
-        self.since: dict[str, float] = {}  # conditions of the plan: since when asked after
-        self.asked: set[str] = set()
-        self.waits: dict[str, str] = {}
+        self.condition_since_s: dict[str, float] = {}  # conditions of the plan: since when asked after
+        self.conditions_checked: set[str] = set()
+        self.wait_reasons: dict[str, str] = {}
         # Own records not shown yet, by kind: key, body, written when.
-        self.unread: dict[str, tuple[str, Body, float]] = {}
+        self.unconfirmed: dict[str, tuple[str, ActivationRecord, float]] = {}
         self.now_s = 0.0
-        self.tidy_s = 0.0
-        self.notes: list[Action] = []
+        self.next_cleanup_s = 0.0
+        self.pending_actions: list[Action] = []
         for each in loaded:
-            self._take(each, self.notes)
+            self._update_ledger_state(each, self.pending_actions)
 
     def handle(self, now_s: float, event: Event) -> list[Action]:
         self.now_s = now_s
-        out, self.notes = self.notes, []
+        out, self.pending_actions = self.pending_actions, []
         match event:
-            case Recorded():
-                self._take(event, out)
+            case RecordsChanged():
+                self._update_ledger_state(event, out)
             case ViewChanged(live, known):
-                self.live = tuple(sorted({*live, self.me}))
+                self.live = tuple(sorted({*live, self.member}))
                 self.known = tuple(sorted({*known, *self.live}))
             case Settled(settled):
                 self.settled = settled
             case Staged(id, reason):
-                self._staged(id, reason, out)
-            case Tripped(id, is_open):
-                self._tripped(id, is_open, out)
+                self._on_staged(id, reason, out)
+            case BreakerChanged(id, is_open):
+                self._on_breaker_changed(id, is_open, out)
             case Tick():
-                self._tidy(out)
-        self._stage(out)
-        self._switch(out)
+                self._clean_up(out)
+        self._request_staging(out)
+        self._activate_versions(out)
         if self.may_decide():
             self._decide(out)
         self._report(out)
         self._resend(out)
         return out
 
-    def _take(self, shown: Recorded, out: list[Action]) -> None:
-        for fault in self.book.take(shown.kind, shown.key, shown.payloads):
+    def _update_ledger_state(self, shown: RecordsChanged, out: list[Action]) -> None:
+        for fault in self.ledger_state.update_key(shown.kind, shown.key, shown.payloads):
             fields = (("kind", shown.kind), ("key", shown.key), ("reason", fault))
-            out.append(Note("transforms.malformed", fields))
+            out.append(LogEvent("transforms.malformed", fields))
 
     def may_decide(self) -> bool:
         """Whether this member votes and proposes: once its ledger is settled, or it is the whole fleet."""
-        return self.settled or (self.settings.size == 1 and self.known == (self.me,))
+        return self.settled or (self.settings.size == 1 and self.known == (self.member,))
 
     # What this member runs.
 
-    def _stage(self, out: list[Action]) -> None:
-        wanted = self.book.wanted()
-        for id in [id for id in self.staged if id not in wanted]:
-            del self.staged[id]
-            self.open.discard(id)
+    def _request_staging(self, out: list[Action]) -> None:
+        wanted = self.ledger_state.versions_to_stage()
+        for id in [id for id in self.stage_results if id not in wanted]:
+            del self.stage_results[id]
+            self.open_breakers.discard(id)
         for id, order in wanted.items():
-            if id not in self.staged and id not in self.staging:
+            if id not in self.stage_results and id not in self.staging:
                 self.staging.add(id)
                 out.append(Stage(id, order.name, order.source))
 
-    def _staged(self, id: str, reason: str, out: list[Action]) -> None:
+    def _on_staged(self, id: str, reason: str, out: list[Action]) -> None:
         self.staging.discard(id)
-        order = self.book.orders.get(id)
+        order = self.ledger_state.orders.get(id)
         if order is None:
             return
-        self.staged[id] = reason[:500]
+        self.stage_results[id] = reason[:500]
         fields = (("transform", order.name), ("version", id), ("outcome", reason or "staged"))
-        out.append(Note("transforms.staged", fields))
+        out.append(LogEvent("transforms.staged", fields))
 
-    def _tripped(self, id: str, is_open: bool, out: list[Action]) -> None:
-        (self.open.add if is_open else self.open.discard)(id)
-        out.append(Note("transforms.breaker", (("version", id), ("open", is_open))))
+    def _on_breaker_changed(self, id: str, is_open: bool, out: list[Action]) -> None:
+        (self.open_breakers.add if is_open else self.open_breakers.discard)(id)
+        out.append(LogEvent("transforms.breaker", (("version", id), ("open", is_open))))
 
-    def _switch(self, out: list[Action]) -> None:
-        before, epoch = self.epoch, self.book.epoch
-        able = frozenset(id for id, reason in self.staged.items() if not reason)
-        active = runs(epoch, self.me, able)
+    def _activate_versions(self, out: list[Action]) -> None:
+        before, epoch = self.epoch, self.ledger_state.epoch
+        able = frozenset(id for id, reason in self.stage_results.items() if not reason)
+        active = active_versions(epoch, self.member, able)
         if epoch.number > before.number:
             self.epoch = epoch
-            self._tell(before, epoch, out)
+            self._log_epoch(before, epoch, out)
         elif active == self.active:
             return
         if active != self.active:
             self.active = active
-            self.open &= set(active.values())
+            self.open_breakers &= set(active.values())
             out.append(Activate(epoch.number, active))
 
-    def _tell(self, before: Epoch, epoch: Epoch, out: list[Action]) -> None:
+    def _log_epoch(self, before: Epoch, epoch: Epoch, out: list[Action]) -> None:
         for name, slot in epoch.slots.items():
             old = before.slot(name)
             if slot == old:
@@ -167,12 +167,12 @@
             )  # fmt: skip
             happened = slot.why.partition(":")[0].replace(" ", "_") if slot.why != old.why else "epoch"
             named = happened if happened in ("quarantined", "rolled_back", "refused") else "epoch"
-            out.append(Note(f"transforms.{named}", fields))
-            for order in self.book.orders.values():
+            out.append(LogEvent(f"transforms.{named}", fields))
+            for order in self.ledger_state.orders.values():
                 over = order.name == name and old.last < order.sequence < slot.last
                 if over:
                     out.append(
-                        Note(
+                        LogEvent(
                             "transforms.passed_over",
                             (("transform", name), ("version", order.id), ("by", slot.last[1])),
                         )
@@ -181,93 +181,104 @@
     # What all run.
 
     def _decide(self, out: list[Action]) -> None:
-        number = self.book.epoch.number
-        if (number or len(self.known) <= self.settings.size) and (vote := self.voter.consider(self.book)):
-            self._put(VOTE, vote_key(self.me, self.disk, vote.epoch), vote, out)
+        number = self.ledger_state.epoch.number
+        if (number or len(self.known) <= self.settings.size) and (
+            vote := self.voter.next_vote(self.ledger_state)
+        ):
+            self._write(VOTE, vote_key(self.member, self.store_id, vote.epoch), vote, out)
         value = None
-        if self.live[0] == self.me:
-            self.asked.clear()
-            value, self.waits = next_epoch(
-                self.book, self.live, len(self.known), self.settings, self._lasting
+        if self.live[0] == self.member:
+            self.conditions_checked.clear()
+            value, self.wait_reasons = next_epoch(
+                self.ledger_state, self.live, len(self.known), self.settings, self._condition_age_s
             )
-            self.since = {name: at_s for name, at_s in self.since.items() if name in self.asked}
+            self.condition_since_s = {
+                name: at_s for name, at_s in self.condition_since_s.items() if name in self.conditions_checked
+            }
         else:
-            self.waits, self.since = {}, {}
-        if self.live[0] != self.me and self.proposer.proposal is None:
+            self.wait_reasons, self.condition_since_s = {}, {}
+        if self.live[0] != self.member and self.proposer.proposal is None:
             return
-        match self.proposer.step(self.now_s, self.book, value):
+        match self.proposer.step(self.now_s, self.ledger_state, value):
             case Proposal() as proposal:
-                self._put(PROPOSAL, key_of(self.me, proposal.epoch), proposal, out)
+                self._write(PROPOSAL, record_key(self.member, proposal.epoch), proposal, out)
             case Epoch() as epoch:
-                if EPOCH not in self.unread or self.unread[EPOCH][1] != epoch:
-                    self._put(EPOCH, key_of(EPOCHS, epoch.number), epoch, out)
+                if EPOCH not in self.unconfirmed or self.unconfirmed[EPOCH][1] != epoch:
+                    self._write(EPOCH, record_key(EPOCH_OWNER, epoch.number), epoch, out)
 
-    def _lasting(self, name: str) -> float:
-        self.asked.add(name)
-        return self.now_s - self.since.setdefault(name, self.now_s)
+    def _condition_age_s(self, name: str) -> float:
+        self.conditions_checked.add(name)
+        return self.now_s - self.condition_since_s.setdefault(name, self.now_s)
 
     def _report(self, out: list[Action]) -> None:
-        staged = {id: reason for id, reason in sorted(self.staged.items())}
-        shown = self.book.reports.get(self.me)
-        last = self.unread[REPORT][1] if REPORT in self.unread else shown
+        staged = {id: reason for id, reason in sorted(self.stage_results.items())}
+        shown = self.ledger_state.reports.get(self.member)
+        last = self.unconfirmed[REPORT][1] if REPORT in self.unconfirmed else shown
         number = max(shown.number if shown else 0, last.number if isinstance(last, Report) else 0)
-        report = Report(number, self.epoch.number, staged, tuple(sorted(self.open)), self.disk)
+        report = Report(number, self.epoch.number, staged, tuple(sorted(self.open_breakers)), self.store_id)
         if report != last:
             report = msgspec.structs.replace(report, number=number + 1)
-            self._put(REPORT, key_of(self.me, report.number), report, out)
+            self._write(REPORT, record_key(self.member, report.number), report, out)
 
-    def _tidy(self, out: list[Action]) -> None:
+    def _clean_up(self, out: list[Action]) -> None:
         """Each member drops what it has left behind; the first drops orders that are over and old epochs,
         once all live members run the current one."""
-        if self.now_s < self.tidy_s or not self.may_decide():
+        if self.now_s < self.next_cleanup_s or not self.may_decide():
             return
-        self.tidy_s = self.now_s + TIDY_S
-        reports, epoch = self.book.reports, self.book.epoch
-        last = max((p.epoch for p in self.book.proposals.get(self.me, ())), default=0)
-        current = {PROPOSAL: key_of(self.me, last)}
+        self.next_cleanup_s = self.now_s + CLEANUP_INTERVAL_S
+        reports, epoch = self.ledger_state.reports, self.ledger_state.epoch
+        last = max((p.epoch for p in self.ledger_state.proposals.get(self.member, ())), default=0)
+        current = {PROPOSAL: record_key(self.member, last)}
         if (vote := self._own_vote()) is not None:
-            current[VOTE] = vote_key(self.me, self.disk, vote.epoch)
-        if self.me in reports:
-            current[REPORT] = key_of(self.me, reports[self.me].number)
+            current[VOTE] = vote_key(self.member, self.store_id, vote.epoch)
+        if self.member in reports:
+            current[REPORT] = record_key(self.member, reports[self.member].number)
         for kind, stands in current.items():
-            out += [Drop(kind, key) for key in self.book.left_keys(kind, self.me, stands)]
-        if self.live[0] != self.me:
+            out += [
+                DeleteRecord(kind, key) for key in self.ledger_state.obsolete_keys(kind, self.member, stands)
+            ]
+        if self.live[0] != self.member:
             return
         if any(m not in reports or reports[m].epoch != epoch.number for m in self.live):
             return
-        for order in self.book.orders.values():
+        for order in self.ledger_state.orders.values():
             slot = epoch.slot(order.name)
-            if order.sequence <= slot.last and order.id not in slot.named():
-                out.append(Drop(ORDER, order.key))
-        out += [Drop(EPOCH, key) for key in self.book.left_keys(EPOCH, EPOCHS, key_of(EPOCHS, epoch.number))]
+            if order.sequence <= slot.last and order.id not in slot.referenced_versions():
+                out.append(DeleteRecord(ORDER, order.key))
+        out += [
+            DeleteRecord(EPOCH, key)
+            for key in self.ledger_state.obsolete_keys(
+                EPOCH, EPOCH_OWNER, record_key(EPOCH_OWNER, epoch.number)
+            )
+        ]
 
     # Own records until the ledger shows them.
 
-    def _put(self, kind: str, key: str, body: Body, out: list[Action]) -> None:
-        self.unread[kind] = key, body, self.now_s
+    def _write(self, kind: str, key: str, body: ActivationRecord, out: list[Action]) -> None:
+        self.unconfirmed[kind] = key, body, self.now_s
         to = body.promised[1] if isinstance(body, Vote) else self.live[0] if isinstance(body, Report) else ""
-        out.append(Put(kind, key, body, to))
+        out.append(WriteRecord(kind, key, body, to))
 
     def _resend(self, out: list[Action]) -> None:
-        for kind, (key, body, at_s) in list(self.unread.items()):
-            if self._shown(body):
-                del self.unread[kind]
-            elif self.now_s - at_s >= self.settings.resend_s:
-                self._put(kind, key, body, out)
+        for kind, (key, body, at_s) in list(self.unconfirmed.items()):
+            if self._is_confirmed(body):
+                del self.unconfirmed[kind]
+            elif self.now_s - at_s >= self.settings.resend_interval_s:
+                self._write(kind, key, body, out)
 
     def _own_vote(self) -> Vote | None:
-        return self.book.votes.get(self.me, {}).get(self.disk)
+        return self.ledger_state.votes.get(self.member, {}).get(self.store_id)
 
-    def _shown(self, body: Body) -> bool:
+    def _is_confirmed(self, body: ActivationRecord) -> bool:
         """Whether the ledger shows this member's record, or what makes it idle."""
-        book = self.book
+        book = self.ledger_state
         if isinstance(body, Epoch):
             return book.epoch.number >= body.number
         if isinstance(body, Proposal):
-            return body.epoch <= book.epoch.number or body in book.proposals.get(self.me, ()) or (
+            return body.epoch <= book.epoch.number or body in book.proposals.get(self.member, ()) or (
                 body != self.proposer.proposal
             )  # fmt: skip
         if isinstance(body, Vote):
             return self._own_vote() == body or body != self.voter.vote
-        shown = book.reports.get(self.me)
+        shown = book.reports.get(self.member)
         return isinstance(body, Report) and shown is not None and shown.number >= body.number
--- a/cloverkeel/transforms/activation/interface.py
+++ b/cloverkeel/transforms/activation/interface.py
@@ -4,7 +4,7 @@
 
 import dataclasses
 
-from cloverkeel.transforms.activation.records import Body
+from cloverkeel.transforms.activation.records import ActivationRecord
 
 
 @dataclasses.dataclass(frozen=True)
@@ -14,14 +14,14 @@
     canary_share: float = 0.2  # of the live members, one at least
     canary_s: float = 5.0  # that the canaries run a version before all do
     quarantine_share: float = 0.25  # of those that run a version: more open breakers stop it
-    retry_s: float = 5.0  # for a ballot to come to its end, at least
-    outbid_s: float = 0.5  # the same once a higher one is seen, at most
-    resend_s: float = 2.0  # until a record that the ledger did not take is written again
-    voters_after_s: float = 30.0  # that others than the voters are live, before they are made voters
+    ballot_timeout_s: float = 5.0  # for a ballot to come to its end, at least
+    outbid_delay_s: float = 0.5  # the same once a higher one is seen, at most
+    resend_interval_s: float = 2.0  # until a record that the ledger did not take is written again
+    voter_change_delay_s: float = 30.0  # that others than the voters are live, before they are made voters
 
 
 @dataclasses.dataclass(frozen=True)
-class Recorded:
+class RecordsChanged:
     """The ledger shows these siblings under a key; none: deleted."""
 
     kind: str
@@ -53,7 +53,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Tripped:
+class BreakerChanged:
     """This member's breaker of a version has opened, or closed again."""
 
     id: str
@@ -65,22 +65,22 @@
     """Due about each 0.1 s."""
 
 
-Event = Recorded | ViewChanged | Settled | Staged | Tripped | Tick
+Event = RecordsChanged | ViewChanged | Settled | Staged | BreakerChanged | Tick
 
 
 @dataclasses.dataclass(frozen=True)
-class Put:
+class WriteRecord:
     """Write this over all that the ledger shows under its key. `to`: the member that waits for it, told at
     once, the others by rumour; "": all are told at once."""
 
     kind: str
     key: str
-    body: Body
-    to: str = ""
+    body: ActivationRecord
+    notify: str = ""
 
 
 @dataclasses.dataclass(frozen=True)
-class Drop:
+class DeleteRecord:
     kind: str
     key: str
 
@@ -103,11 +103,11 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Note:
+class LogEvent:
     """Something for the log."""
 
     name: str
     fields: tuple[tuple[str, object], ...]
 
 
-Action = Put | Drop | Stage | Activate | Note
+Action = WriteRecord | DeleteRecord | Stage | Activate | LogEvent
--- a/cloverkeel/transforms/activation/book.py
+++ b/cloverkeel/transforms/activation/ledger_state.py
@@ -8,34 +8,36 @@
     PROPOSAL,
     REPORT,
     VOTE,
-    Body,
+    ActivationRecord,
     Epoch,
     Order,
     Proposal,
     Report,
     Vote,
     decode,
-    disk_of,
+    key_store_id,
     merge_votes,
-    owner_of,
+    key_owner,
 )
 
 
 VoterId = tuple[str, int]  # a member, and the disk that keeps its votes
 
 
-class Book:
+class LedgerState:
     def __init__(self) -> None:
         self.orders: dict[str, Order] = {}  # by id
         self.proposals: dict[str, tuple[Proposal, ...]] = {}  # by member
         self.votes: dict[str, dict[int, Vote]] = {}  # by member: by disk
         self.reports: dict[str, Report] = {}
         self.epoch = Epoch()
-        self.kept: dict[tuple[str, str], dict[str, list[Body]]] = {}  # by kind and owner: by key
+        self.by_owner: dict[
+            tuple[str, str], dict[str, list[ActivationRecord]]
+        ] = {}  # by kind and owner: by key
 
-    def take(self, kind: str, key: str, payloads: tuple[bytes, ...]) -> list[str]:
+    def update_key(self, kind: str, key: str, payloads: tuple[bytes, ...]) -> list[str]:
         """Take over what stands under a key now; the faults found in it, a line each."""
-        bodies: list[Body] = []
+        bodies: list[ActivationRecord] = []
         faults = []
         for payload in payloads:
             try:
@@ -46,19 +48,19 @@
             self.orders.pop(key.rpartition("/")[2], None)
             self.orders.update({order.id: order for order in bodies if isinstance(order, Order)})
         else:
-            self._owned(kind, key, bodies)
+            self._update_owned(kind, key, bodies)
         return faults
 
-    def _owned(self, kind: str, key: str, bodies: list[Body]) -> None:
-        owner = owner_of(key)
-        keys = self.kept.setdefault((kind, owner), {})
+    def _update_owned(self, kind: str, key: str, bodies: list[ActivationRecord]) -> None:
+        owner = key_owner(key)
+        keys = self.by_owner.setdefault((kind, owner), {})
         keys[key] = bodies
         if not bodies:
             del keys[key]
         every = [body for stands in keys.values() for body in stands]
         if kind == PROPOSAL:
             self.proposals[owner] = tuple(body for body in every if isinstance(body, Proposal))
-        elif kind == VOTE and (by_disk := _by_disk(keys)):
+        elif kind == VOTE and (by_disk := _votes_by_store(keys)):
             self.votes[owner] = by_disk
         elif kind == REPORT and (reports := [body for body in every if isinstance(body, Report)]):
             self.reports[owner] = max(reports, key=lambda report: report.number)
@@ -66,7 +68,7 @@
             epochs = [body for body in every if isinstance(body, Epoch)]
             self.epoch = max([self.epoch, *epochs], key=lambda epoch: epoch.number)
 
-    def voted(self, number: int) -> dict[VoterId, Vote]:
+    def votes_on(self, number: int) -> dict[VoterId, Vote]:
         """The votes on an epoch's number."""
         return {
             (member, disk): vote
@@ -75,9 +77,9 @@
             if vote.epoch == number
         }
 
-    def left_keys(self, kind: str, owner: str, current: str) -> list[str]:
+    def obsolete_keys(self, kind: str, owner: str, current: str) -> list[str]:
         """Keys of an owner that the one written now has left behind, if it is shown."""
-        keys = self.kept.get((kind, owner), {})
+        keys = self.by_owner.get((kind, owner), {})
         return [key for key in keys if key != current] if current in keys else []
 
     def open_orders(self, name: str) -> list[Order]:
@@ -94,12 +96,12 @@
         numbers = [order.number for order in self.orders.values() if order.name == name]
         return max([self.epoch.slot(name).last[0], *numbers]) + 1
 
-    def wanted(self) -> dict[str, Order]:
+    def versions_to_stage(self) -> dict[str, Order]:
         """By id, the versions that this member is to have staged: those that slots name, and the last open
         order of each name where it publishes one."""
         ids: set[str] = set()
         for slot in self.epoch.slots.values():
-            ids |= slot.named()
+            ids |= slot.referenced_versions()
         found = {id: self.orders[id] for id in sorted(ids) if id in self.orders}
         for name in self.names():
             orders = self.open_orders(name)
@@ -108,14 +110,14 @@
         return found
 
 
-def _by_disk(keys: dict[str, list[Body]]) -> dict[int, Vote]:
+def _votes_by_store(keys: dict[str, list[ActivationRecord]]) -> dict[int, Vote]:
     found: dict[int, list[Vote]] = {}
     for key, bodies in keys.items():
-        found.setdefault(disk_of(key), []).extend(body for body in bodies if isinstance(body, Vote))
+        found.setdefault(key_store_id(key), []).extend(body for body in bodies if isinstance(body, Vote))
     return {disk: merge_votes(votes) for disk, votes in found.items() if votes}
 
 
-def runs(epoch: Epoch, member: str, staged: frozenset[str]) -> dict[str, str]:
+def active_versions(epoch: Epoch, member: str, staged: frozenset[str]) -> dict[str, str]:
     """The active set of a member that has these versions staged: name to version. A pure function."""
     found = {}
     for name, slot in sorted(epoch.slots.items()):
--- a/cloverkeel/transforms/activation/parts.py
+++ b/cloverkeel/transforms/activation/part.py
@@ -21,27 +21,27 @@
 from cloverkeel.operator import Answer
 from cloverkeel.transforms.activation.configuration import FleetSettings
 from cloverkeel.transforms.activation.engine import Engine
-from cloverkeel.transforms.activation.following import Following
+from cloverkeel.transforms.activation.store_follower import StoreFollower
 from cloverkeel.transforms.activation.records import Order
 from cloverkeel.transforms.activation.shell import Activator
 
 if TYPE_CHECKING:
     from cloverkeel.gateway import Gateway
 
-FIRST_S = 1.0
-STAGING_S = 0.01  # between two looks whether what the disk holds is staged
+FIRST_SET_WAIT_S = 1.0
+STAGING_POLL_S = 0.01  # between two looks whether what the disk holds is staged
 
 
-class TransformParts:
+class TransformsPart:
     """`start` after the ledger's part has; `close` before it closes."""
 
     def __init__(self, settings: FleetSettings, gateway: Gateway, ledger: LedgerPart) -> None:
         self.settings, self.ledger = settings, ledger
-        self.following: Following | None = None
-        self.follows: asyncio.Task[None] | None = None
+        self.store_follower: StoreFollower | None = None
+        self.follower_task: asyncio.Task[None] | None = None
         self.engine = Engine(gateway, lambda _id, _is_open: None)
         self.activator: Activator | None = None
-        self.beginning: asyncio.Task[None] | None = None
+        self.start_task: asyncio.Task[None] | None = None
 
     async def start(self, member: str) -> None:
         """Takes part once the ledger does. In an upgrade that is when the process before has ended, and until
@@ -51,27 +51,29 @@
         keeper = self.ledger.keeper
         waits = []
         if keeper.store is None:  # another process holds it
-            self.following = Following(keeper.directory, member, self.engine)
-            self.follows = loop.create_task(self.following.run())
-            waits.append(loop.create_task(self.following.looked.wait()))
-        self.beginning = loop.create_task(self._begin())
-        await asyncio.wait([self.beginning, *waits], timeout=FIRST_S, return_when=asyncio.FIRST_COMPLETED)
-
-    async def _begin(self) -> None:
+            self.store_follower = StoreFollower(keeper.directory, member, self.engine)
+            self.follower_task = loop.create_task(self.store_follower.run())
+            waits.append(loop.create_task(self.store_follower.first_read_done.wait()))
+        self.start_task = loop.create_task(self._start_activator())
+        await asyncio.wait(
+            [self.start_task, *waits], timeout=FIRST_SET_WAIT_S, return_when=asyncio.FIRST_COMPLETED
+        )
+
+    async def _start_activator(self) -> None:
         ledger = await self.ledger.ready()
-        if self.following is not None and self.follows is not None:
-            self.following.over.set()
-            await self.follows
+        if self.store_follower is not None and self.follower_task is not None:
+            self.store_follower.stop_requested.set()
+            await self.follower_task
         self.activator = Activator(ledger, self.settings.settings, self.engine)
         self.activator.start()
         while self.activator.core.staging:
-            await asyncio.sleep(STAGING_S)
+            await asyncio.sleep(STAGING_POLL_S)
 
     def close(self) -> None:
-        if self.follows is not None:
-            self.follows.cancel()
-        if self.beginning is not None:
-            self.beginning.cancel()
+        if self.follower_task is not None:
+            self.follower_task.cancel()
+        if self.start_task is not None:
+            self.start_task.cancel()
         if self.activator is not None:
             self.activator.close()
 
@@ -96,7 +98,7 @@
             return error_answer(400, error)
         except WriteRefused as error:
             return error_answer(503, error)
-        return _done(order, answer, sha256=sha256)
+        return _order_answer(order, answer, sha256=sha256)
 
     async def rollback(self, query: bytes, body: bytes) -> Answer:
         """`name` and `wait` in the query."""
@@ -109,10 +111,10 @@
             return error_answer(400, error)
         except WriteRefused as error:
             return error_answer(503, error)
-        return _done(order, answer)
+        return _order_answer(order, answer)
 
 
-def _done(order: Order, answer: LedgerAnswer, **more: Any) -> Answer:
+def _order_answer(order: Order, answer: LedgerAnswer, **more: Any) -> Answer:
     confirmed = isinstance(answer, Acknowledged)
     body = {
         "name": order.name, "id": order.id, "number": order.number, "confirmed": confirmed,
--- a/cloverkeel/transforms/activation/records.py
+++ b/cloverkeel/transforms/activation/records.py
@@ -15,10 +15,10 @@
     "transforms.order", "transforms.proposal", "transforms.vote", "transforms.report", "transforms.epoch",
 )  # fmt: skip
 KINDS = (ORDER, PROPOSAL, VOTE, REPORT, EPOCH)
-EPOCHS = "epoch"  # the owner of the epochs' records
-BLOCK = 64  # numbers to a key
-SOURCE_MAX = 255 * 1024  # bytes of a file; the record around it has to fit the ledger's 256 KiB
-NAMES_MAX = 64  # names with a slot
+EPOCH_OWNER = "epoch"  # the owner of the epochs' records
+NUMBERS_PER_KEY = 64  # numbers to a key
+MAX_PUBLISHED_BYTES = 255 * 1024  # bytes of a file; the record around it has to fit the ledger's 256 KiB
+MAX_SLOTS = 64  # names with a slot
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
 Id = Annotated[str, msgspec.Meta(min_length=1, max_length=32)]
@@ -36,7 +36,7 @@
     id: Id
     number: Number
     verb: Literal["publish", "rollback"]
-    source: Annotated[bytes, msgspec.Meta(max_length=SOURCE_MAX)] = b""
+    source: Annotated[bytes, msgspec.Meta(max_length=MAX_PUBLISHED_BYTES)] = b""
 
     @property
     def sequence(self) -> Sequence:
@@ -61,12 +61,12 @@
     last: Sequence = (0, "")
     why: Line = ""
 
-    def versions(self) -> frozenset[str]:
+    def runnable_versions(self) -> frozenset[str]:
         """What may run under this slot."""
         behind = self.before if self.behind and not self.candidate else ""
         return frozenset({self.active, self.candidate, behind} - {""})
 
-    def named(self) -> frozenset[str]:
+    def referenced_versions(self) -> frozenset[str]:
         return frozenset({self.active, self.candidate, self.before} - {""})
 
 
@@ -77,13 +77,13 @@
 
     number: Number = 0
     voters: Members = ()
-    slots: Annotated[dict[Name, Slot], msgspec.Meta(max_length=NAMES_MAX)] = {}
-    disks: Annotated[tuple[Number, ...], msgspec.Meta(max_length=4096)] = ()
-    by: tuple[Name, Number] | None = None
+    slots: Annotated[dict[Name, Slot], msgspec.Meta(max_length=MAX_SLOTS)] = {}
+    store_ids: Annotated[tuple[Number, ...], msgspec.Meta(max_length=4096)] = ()
+    proposed_by: tuple[Name, Number] | None = None
 
-    def named(self) -> dict[str, int]:
+    def voter_store_ids(self) -> dict[str, int]:
         """Each voter's disk; 0: not known."""
-        return dict(zip(self.voters, self.disks or (0,) * len(self.voters), strict=True))
+        return dict(zip(self.voters, self.store_ids or (0,) * len(self.voters), strict=True))
 
     def slot(self, name: str) -> Slot:
         return self.slots.get(name) or Slot()
@@ -112,74 +112,76 @@
 
     number: Number
     epoch: Number
-    staged: dict[Id, Line] = {}
-    open: tuple[Id, ...] = ()
-    disk: Number = 0
+    stage_results: dict[Id, Line] = {}
+    open_breakers: tuple[Id, ...] = ()
+    store_id: Number = 0
 
 
-Body = Order | Proposal | Vote | Report | Epoch
-TYPES: dict[str, type[Body]] = {
+ActivationRecord = Order | Proposal | Vote | Report | Epoch
+RECORD_TYPES: dict[str, type[ActivationRecord]] = {
     ORDER: Order, PROPOSAL: Proposal, VOTE: Vote, REPORT: Report, EPOCH: Epoch,
 }  # fmt: skip
-_decoders: dict[str, msgspec.msgpack.Decoder[Body]] = {
-    kind: msgspec.msgpack.Decoder(body) for kind, body in TYPES.items()
+_decoders: dict[str, msgspec.msgpack.Decoder[ActivationRecord]] = {
+    kind: msgspec.msgpack.Decoder(body) for kind, body in RECORD_TYPES.items()
 }
 _encoder = msgspec.msgpack.Encoder()
 
 
-def key_of(owner: str, number: int) -> str:
+def record_key(owner: str, number: int) -> str:
     """Where an owner's record of this number stands. A key is left after BLOCK numbers: a record's context
     grows with each write of its key."""
-    return f"{owner}/{number // BLOCK}"
+    return f"{owner}/{number // NUMBERS_PER_KEY}"
 
 
 def vote_key(member: str, disk: int, number: int) -> str:
-    return f"{member}/{disk}-{number // BLOCK}"
+    return f"{member}/{disk}-{number // NUMBERS_PER_KEY}"
 
 
-def disk_of(key: str) -> int:
+def key_store_id(key: str) -> int:
     """The disk in a vote's key; 0: from before disks were named. Raises ValueError."""
     disk, named, _ = key.rpartition("/")[2].partition("-")
     return int(disk) if named else 0
 
 
-def owner_of(key: str) -> str:
+def key_owner(key: str) -> str:
     return key.rpartition("/")[0]
 
 
-def encode(body: Body) -> bytes:
+def encode(body: ActivationRecord) -> bytes:
     return _encoder.encode(body)
 
 
 @functools.lru_cache(maxsize=512)
-def _decoded(kind: str, payload: bytes) -> Body:
+def _decode_cached(kind: str, payload: bytes) -> ActivationRecord:
     """All votes on one ballot are one payload, and with many voters long to read."""
     return _decoders[kind].decode(payload)
 
 
-def decode(kind: str, key: str, payload: bytes) -> Body:
+def decode(kind: str, key: str, payload: bytes) -> ActivationRecord:
     """Raises ValueError for a payload that is none of its kind, or stands under another's key."""
     try:
-        body = _decoders[kind].decode(payload) if kind == ORDER else _decoded(kind, payload)
+        body = _decoders[kind].decode(payload) if kind == ORDER else _decode_cached(kind, payload)
     except (msgspec.DecodeError, RecursionError) as error:
         raise ValueError(str(error)) from None
     if isinstance(body, Order) and body.key != key:
         raise ValueError("the order's name and id are not its key's")
-    if isinstance(body, Proposal) and (body.ballot[1] != owner_of(key) or _differ(body.epoch, body.value)):
+    if isinstance(body, Proposal) and (
+        body.ballot[1] != key_owner(key) or _epochs_differ(body.epoch, body.value)
+    ):
         raise ValueError("the proposal is another member's, or its value another epoch's")
     if (
         isinstance(body, Vote)
-        and disk_of(key) >= 0
-        and ((body.accepted is None) != (body.value is None) or _differ(body.epoch, body.value))
+        and key_store_id(key) >= 0
+        and ((body.accepted is None) != (body.value is None) or _epochs_differ(body.epoch, body.value))
     ):
         raise ValueError("the vote accepts no value, or another epoch's")
     epoch = body if isinstance(body, Epoch) else getattr(body, "value", None)
-    if epoch is not None and epoch.disks and len(epoch.disks) != len(epoch.voters):
+    if epoch is not None and epoch.store_ids and len(epoch.store_ids) != len(epoch.voters):
         raise ValueError("the epoch names not one disk for each voter")
     return body
 
 
-def _differ(number: int, value: Epoch | None) -> bool:
+def _epochs_differ(number: int, value: Epoch | None) -> bool:
     return value is not None and value.number != number
 
 
--- a/cloverkeel/transforms/activation/shell.py
+++ b/cloverkeel/transforms/activation/shell.py
@@ -16,24 +16,31 @@
 from cloverkeel.fleet.membership.updates import Status
 from cloverkeel.tasks import BackgroundTasks
 from cloverkeel.transforms.activation.core import Activation
-from cloverkeel.transforms.activation.engine import Engine, candidates, vetted
+from cloverkeel.transforms.activation.engine import Engine, candidate_predecessors, compile_checked
 from cloverkeel.transforms.activation.interface import (
     Action,
     Activate,
-    Drop,
+    DeleteRecord,
     Event,
-    Note,
-    Put,
-    Recorded,
+    LogEvent,
+    WriteRecord,
+    RecordsChanged,
     Settings,
     Settled,
     Stage,
     Staged,
     Tick,
-    Tripped,
+    BreakerChanged,
     ViewChanged,
 )
-from cloverkeel.transforms.activation.records import KINDS, NAMES_MAX, ORDER, SOURCE_MAX, Order, encode
+from cloverkeel.transforms.activation.records import (
+    KINDS,
+    MAX_SLOTS,
+    ORDER,
+    MAX_PUBLISHED_BYTES,
+    Order,
+    encode,
+)
 from cloverkeel.transforms.activation.status import status
 
 TICK_S = 0.1
@@ -44,34 +51,39 @@
 
     def __init__(self, ledger: LedgerService, settings: Settings, engine: Engine) -> None:
         self.ledger, self.engine = ledger, engine
-        engine.tripped = lambda id, is_open: self.give(Tripped(id, is_open))
+        engine.report_breaker = lambda id, is_open: self.handle(BreakerChanged(id, is_open))
         self.membership = ledger.membership
         life = secrets.randbits(62)
         shown = [
-            _recorded(kind, key, ledger.read(kind, key)[0]) for kind in KINDS for key in ledger.keys(kind)
+            _records_changed(kind, key, ledger.read(kind, key)[0])
+            for kind in KINDS
+            for key in ledger.keys(kind)
         ]
         self.core = Activation(self.membership.name, life, ledger.store_id, settings, random.Random(), shown)
         # What the process followed before it took the file over runs on, without a gap.
-        self.core.staged |= dict.fromkeys(engine.staged, "")
+        self.core.stage_results |= dict.fromkeys(engine.staged, "")
         self.loop = asyncio.get_running_loop()
         self.tasks = BackgroundTasks()
-        self.ticker: asyncio.TimerHandle | None = None
+        self.tick_timer: asyncio.TimerHandle | None = None
         self.view: ViewChanged | None = None
         self.closed = False
-        self.runs: tuple[dict[str, str], dict[str, str]] = {}, {}  # versions, and those before candidates
+        self.activated: tuple[dict[str, str], dict[str, str]] = (
+            {},
+            {},
+        )  # versions, and those before candidates
 
     def start(self) -> None:
-        self.ledger.on_key_changed(self._on_expose)
-        self.membership.on_change(lambda _rumour, _before: self._look())
+        self.ledger.on_key_changed(self._on_key_changed)
+        self.membership.on_change(lambda _rumour, _before: self._update_view())
         for id, installed in self.engine.staged.items():
             if installed.breaker.state is not State.CLOSED:
-                self.give(Tripped(id, True))
+                self.handle(BreakerChanged(id, True))
         self._tick()
 
     def close(self) -> None:
         self.closed = True
-        if self.ticker is not None:
-            self.ticker.cancel()
+        if self.tick_timer is not None:
+            self.tick_timer.cancel()
         self.tasks.cancel()
 
     # For developers.
@@ -79,30 +91,32 @@
     async def publish(self, source: bytes, wait: Level, timeout_s: float) -> tuple[Order, str, WriteResult]:
         """Have a file run by all: the order, the file's SHA-256, and how far it is held. Raises ValueError
         where the file cannot be published, WriteRefused where the ledger did not keep it."""
-        if len(source) > SOURCE_MAX:
-            raise ValueError(f"the file has {len(source)} bytes, and at most {SOURCE_MAX} can be published")
-        compiled = await asyncio.to_thread(vetted, source)
+        if len(source) > MAX_PUBLISHED_BYTES:
+            raise ValueError(
+                f"the file has {len(source)} bytes, and at most {MAX_PUBLISHED_BYTES} can be published"
+            )
+        compiled = await asyncio.to_thread(compile_checked, source)
         name = compiled.manifest.name
-        if why := self.engine.refusal(name):
+        if why := self.engine.name_conflict(name):
             raise ValueError(why)
-        names = self.core.book.names()
-        if name not in names and len(names) >= NAMES_MAX:
-            raise ValueError(f"there are {NAMES_MAX} transforms already")
-        order, answer = await self._order(name, "publish", source, wait, timeout_s)
+        names = self.core.ledger_state.names()
+        if name not in names and len(names) >= MAX_SLOTS:
+            raise ValueError(f"there are {MAX_SLOTS} transforms already")
+        order, answer = await self._write_order(name, "publish", source, wait, timeout_s)
         return order, compiled.sha256, answer
 
     async def rollback(self, name: str, wait: Level, timeout_s: float) -> tuple[Order, WriteResult]:
         """Take out the candidate, or else what is active. Raises ValueError where there is neither, and
         WriteRefused."""
-        slot = self.core.book.epoch.slot(name)
-        if not slot.active and not slot.candidate and not self.core.book.open_orders(name):
+        slot = self.core.ledger_state.epoch.slot(name)
+        if not slot.active and not slot.candidate and not self.core.ledger_state.open_orders(name):
             raise ValueError(f"there is nothing of {name} to roll back")
-        return await self._order(name, "rollback", b"", wait, timeout_s)
+        return await self._write_order(name, "rollback", b"", wait, timeout_s)
 
-    async def _order(
+    async def _write_order(
         self, name: str, verb: Literal["publish", "rollback"], source: bytes, wait: Level, timeout_s: float
     ) -> tuple[Order, WriteResult]:
-        number = self.core.book.next_number(name)
+        number = self.core.ledger_state.next_number(name)
         order = Order(name, secrets.token_hex(8), number, verb, source)
         context = self.ledger.read(ORDER, order.key)[1]
         answer = await self.ledger.write(ORDER, order.key, encode(order), context, wait, timeout_s)
@@ -116,44 +130,44 @@
 
     # Events in, actions out.
 
-    def give(self, what: Event) -> None:
+    def handle(self, what: Event) -> None:
         if self.closed:
             return
         for action in self.core.handle(self.loop.time(), what):
-            self._act(action)
-        if self.runs != self._wanted():
-            self._run()  # a canary's version is active on all now, or the other way round
+            self._perform(action)
+        if self.activated != self._target_versions():
+            self._activate()  # a canary's version is active on all now, or the other way round
 
-    def _wanted(self) -> tuple[dict[str, str], dict[str, str]]:
-        return dict(self.core.active), candidates(self.core.epoch, self.core.active)
+    def _target_versions(self) -> tuple[dict[str, str], dict[str, str]]:
+        return dict(self.core.active), candidate_predecessors(self.core.epoch, self.core.active)
 
-    def _run(self) -> None:
-        self.runs = self._wanted()
-        self.engine.activate(*self.runs)
-        self.engine.forget(set(self.core.staged))
+    def _activate(self) -> None:
+        self.activated = self._target_versions()
+        self.engine.activate(*self.activated)
+        self.engine.retain(set(self.core.stage_results))
 
-    def _act(self, action: Action) -> None:
+    def _perform(self, action: Action) -> None:
         match action:
-            case Put() | Drop():
+            case WriteRecord() | DeleteRecord():
                 self.tasks.spawn(self._write(action))
             case Stage():
                 self.tasks.spawn(self._stage(action))
             case Activate(epoch, versions):
-                self._run()
+                self._activate()
                 shown = ",".join(f"{name}:{id}" for name, id in versions.items())
                 event("transforms.activated", epoch=epoch, versions=shown or "-")
-            case Note(name, fields):
+            case LogEvent(name, fields):
                 event(name, **dict(fields))
 
-    async def _write(self, action: Put | Drop) -> None:
+    async def _write(self, action: WriteRecord | DeleteRecord) -> None:
         """What is refused the core writes again: it is not shown."""
         kind, key = action.kind, action.key
         context = self.ledger.read(kind, key)[1]
         try:
-            if isinstance(action, Put):
+            if isinstance(action, WriteRecord):
                 # At a quorum it is told to all at once, and again to those that are silent.
-                wait = Level.LOCAL if action.to else Level.QUORUM
-                await self.ledger.write(kind, key, encode(action.body), context, wait, tell=action.to)
+                wait = Level.LOCAL if action.notify else Level.QUORUM
+                await self.ledger.write(kind, key, encode(action.body), context, wait, tell=action.notify)
             else:
                 await self.ledger.delete(kind, key, context)
         except WriteRefused as error:
@@ -162,29 +176,29 @@
 
     async def _stage(self, action: Stage) -> None:
         try:
-            compiled = await asyncio.to_thread(vetted, action.source)
+            compiled = await asyncio.to_thread(compile_checked, action.source)
             reason = self.engine.install(action.id, action.name, compiled)
         except ValueError as error:
             reason = str(error).partition("\n")[0]
         except (MemoryError, RecursionError) as error:
             reason = type(error).__name__
-        self.give(Staged(action.id, reason))
+        self.handle(Staged(action.id, reason))
 
-    def _on_expose(self, shown: KeyChanged) -> None:
+    def _on_key_changed(self, shown: KeyChanged) -> None:
         if shown.kind in KINDS:
-            self.give(_recorded(shown.kind, shown.key, shown.records))
+            self.handle(_records_changed(shown.kind, shown.key, shown.records))
 
     # Time and the view.
 
     def _tick(self) -> None:
-        self.ticker = self.loop.call_later(TICK_S, self._tick)
-        self._look()
+        self.tick_timer = self.loop.call_later(TICK_S, self._tick)
+        self._update_view()
         core = self.ledger.core
         if core is not None and core.settling.settled != self.core.settled:
-            self.give(Settled(core.settling.settled))
-        self.give(Tick())
+            self.handle(Settled(core.settling.settled))
+        self.handle(Tick())
 
-    def _look(self) -> None:
+    def _update_view(self) -> None:
         if not self.membership.joined.is_set():
             return
         rumours = self.membership.view()
@@ -195,8 +209,8 @@
         view = ViewChanged(tuple(live), tuple(known))
         if view != self.view:
             self.view = view
-            self.give(view)
+            self.handle(view)
 
 
-def _recorded(kind: str, key: str, records: Siblings) -> Recorded:
-    return Recorded(kind, key, tuple(payload for _, payload in records if payload is not None))
+def _records_changed(kind: str, key: str, records: Siblings) -> RecordsChanged:
+    return RecordsChanged(kind, key, tuple(payload for _, payload in records if payload is not None))
--- a/cloverkeel/transforms/activation/status.py
+++ b/cloverkeel/transforms/activation/status.py
@@ -11,21 +11,21 @@
 
 def status(core: Activation) -> dict[str, Any]:
     """`members`: epoch and failed versions of each that has reported; `waits`: known at the first member."""
-    book = core.book
+    book = core.ledger_state
     return {
-        "member": core.me,
+        "member": core.member,
         "epoch": core.epoch.number,
         "may_decide": core.may_decide(),
         "first": core.live[0],
-        "waits": dict(core.waits),
-        "transforms": [_name(core, name) for name in book.names()],
+        "waits": dict(core.wait_reasons),
+        "transforms": [_transform_status(core, name) for name in book.names()],
         "members": [
             {
                 "name": member,
                 "live": member in core.live,
                 "epoch": report.epoch,
-                "failed": {id: reason for id, reason in report.staged.items() if reason},
-                "open": list(report.open),
+                "failed": {id: reason for id, reason in report.stage_results.items() if reason},
+                "open": list(report.open_breakers),
             }
             for member, report in sorted(book.reports.items())
             if member in core.known
@@ -33,8 +33,8 @@
     }
 
 
-def _name(core: Activation, name: str) -> dict[str, Any]:
-    book = core.book
+def _transform_status(core: Activation, name: str) -> dict[str, Any]:
+    book = core.ledger_state
     slot, orders = book.epoch.slot(name), book.open_orders(name)
     runs = slot.candidate or slot.active
     state = "canary" if slot.candidate else "active" if slot.active else "none"
@@ -43,25 +43,25 @@
     return {
         "name": name,
         "state": state,
-        "active": _version(book.orders.get(slot.active), slot.active),
-        "candidate": _version(book.orders.get(slot.candidate), slot.candidate),
+        "active": _version_status(book.orders.get(slot.active), slot.active),
+        "candidate": _version_status(book.orders.get(slot.candidate), slot.candidate),
         "canaries": list(slot.canaries),
-        "before": _version(book.orders.get(slot.before), slot.before),
+        "before": _version_status(book.orders.get(slot.before), slot.before),
         "behind": list(slot.behind),
         "last": list(slot.last),
-        "open_orders": [_version(order, order.id) for order in orders],
+        "open_orders": [_version_status(order, order.id) for order in orders],
         "staged_at": sum(
-            report.staged.get(orders[-1].id if orders else runs) == ""
+            report.stage_results.get(orders[-1].id if orders else runs) == ""
             for member, report in book.reports.items()
             if member in core.live
         ),
         "of": len(core.live),
         "why": slot.why,
-        "waits": core.waits.get(name, ""),
+        "waits": core.wait_reasons.get(name, ""),
     }
 
 
-def _version(order: Order | None, id: str) -> dict[str, str] | None:
+def _version_status(order: Order | None, id: str) -> dict[str, str] | None:
     if not id:
         return None
     sha256 = hashlib.sha256(order.source).hexdigest() if order is not None and order.source else ""
--- a/cloverkeel/transforms/active.py
+++ b/cloverkeel/transforms/active_set.py
@@ -18,12 +18,12 @@
 from cloverkeel.fleet import events, invariants
 from cloverkeel.http1 import Header
 from cloverkeel.transforms import guard
-from cloverkeel.transforms.comparing import Comparison
+from cloverkeel.transforms.comparison import Comparison
 from cloverkeel.transforms.protocol import Failure, Head, Manifest, Transform
 
-Listener = Callable[[str, str, State], None]
-WHOLE = 1 << 64
-CHAINS_MOST = 1_024  # different ones of routes that a set keeps made
+BreakerListener = Callable[[str, str, State], None]
+HASH_RANGE = 1 << 64
+MAX_CHAINS = 1_024  # different ones of routes that a set keeps made
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,10 +31,10 @@
     """The call is not to go on: `name`, whose owner chose `on_error refuse`, failed."""
 
     name: str
-    why: str
+    reason: str
 
 
-class Installed:
+class InstalledTransform:
     """A version in this gateway: its breaker and counts go from set to set with it.
 
     `share` is the part of calls, 0 to 1, that it gets where another version of the same name has the rest;
@@ -46,23 +46,23 @@
         self.breaker = Breaker()
         self.counts: Counter[str] = Counter()  # ran, skipped (breaker), and each kind of failure
         self.last_failure = ""
-        self._listeners: list[Listener] = []
-        self.take(share)
+        self._listeners: list[BreakerListener] = []
+        self.set_share(share)
 
-    def take(self, share: float) -> None:
+    def set_share(self, share: float) -> None:
         """From now on this part of the calls; those entered so far are compared with none that come."""
         if not 0.0 <= share <= 1.0:
             raise ValueError(f"a share is 0 to 1, not {share}")
-        self.share, self._limit = share, int(share * WHOLE)
+        self.share, self._hash_limit = share, int(share * HASH_RANGE)
         self.comparison = Comparison()
 
-    def on_trip(self, listener: Listener) -> None:
+    def on_breaker_change(self, listener: BreakerListener) -> None:
         """`listener(name, sha256, state)` each time that the breaker has opened or closed."""
         self._listeners.append(listener)
 
-    def takes(self, call_id: str) -> bool:
+    def is_in_share(self, call_id: str) -> bool:
         """Whether a call is of this version's share: the same call always is or never, at every gateway."""
-        return stable_id(f"{self.manifest.name}\0{call_id}", 8) < self._limit
+        return stable_id(f"{self.manifest.name}\0{call_id}", 8) < self._hash_limit
 
     def run(self, head: Head) -> Head | Failure | None:
         """One run, entered in the breaker; None where the breaker does not let it."""
@@ -76,24 +76,24 @@
         failed = isinstance(result, Failure)
         if isinstance(result, Failure):
             self.counts[result.kind] += 1
-            self.last_failure = f"{result.kind}: {result.why}"
+            self.last_failure = f"{result.kind}: {result.reason}"
         else:
             self.counts["ran"] += 1
         changed = breaker.record(now_us, failed, trial, 0.0)
         if changed is not None:
-            self._tell(changed)
+            self._notify_listeners(changed)
         return result
 
-    def answered(self, call_id: str, failed: bool) -> None:
+    def record_outcome(self, call_id: str, failed: bool) -> None:
         """Hosts failed a call, of this version's share or not, or served it."""
         if self.breaker.state is State.OPEN:
             return  # none has it now
-        if self.comparison.enter(call_id, self.takes(call_id), failed):
+        if self.comparison.record(call_id, self.is_in_share(call_id), failed):
             self.counts["worse"] += 1
             self.last_failure = str(self.comparison)
-            self._tell(self.breaker.reopen(self.clock()))
+            self._notify_listeners(self.breaker.reopen(self.clock()))
 
-    def _tell(self, state: State) -> None:
+    def _notify_listeners(self, state: State) -> None:
         why = {"why": self.last_failure} if state is State.OPEN else {}
         name, sha256 = self.manifest.name, self.transform.sha256
         events.event("transforms.trip", transform=name, sha256=sha256, state=state.value, **why)
@@ -120,11 +120,11 @@
 
     __slots__ = ("_chains", "_compared", "_request", "_response", "installed")
 
-    def __init__(self, *installed: Installed, chain: tuple[str, ...] | None = None) -> None:
+    def __init__(self, *installed: InstalledTransform, chain: tuple[str, ...] | None = None) -> None:
         if chain is not None:
             installed = tuple(each for each in installed if each.manifest.name in chain)
         self.installed = installed
-        by_name: dict[str, list[Installed]] = {}
+        by_name: dict[str, list[InstalledTransform]] = {}
         for each in sorted(installed, key=lambda i: (i.manifest.name, i.share)):
             by_name.setdefault(each.manifest.name, []).append(each)
         for name, versions in by_name.items():
@@ -139,17 +139,19 @@
         self._response = self._of_phase("response", names)
         self._compared = tuple(i for i in installed if i.share < 1.0 and i.manifest.phase == "request")
 
-    def chained(self, chain: tuple[str, ...]) -> ActiveSet:
+    def for_chain(self, chain: tuple[str, ...]) -> ActiveSet:
         """A route's transforms of this set, in the route's order; what is not there is passed over."""
         made = self._chains.get(chain)
         if made is None:
-            if len(self._chains) >= CHAINS_MOST:  # of routes that are long gone, most of them
+            if len(self._chains) >= MAX_CHAINS:  # of routes that are long gone, most of them
                 self._chains.clear()
             made = self._chains[chain] = ActiveSet(*self.installed, chain=chain)
         return made
 
     @staticmethod
-    def _of_phase(phase: str, names: list[list[Installed]]) -> tuple[tuple[Installed, ...], ...]:
+    def _of_phase(
+        phase: str, names: list[list[InstalledTransform]]
+    ) -> tuple[tuple[InstalledTransform, ...], ...]:
         return tuple(tuple(v) for v in names if any(i.manifest.phase == phase for i in v))
 
     @property
@@ -157,38 +159,38 @@
         return bool(self._response)
 
     @property
-    def compares(self) -> bool:
+    def needs_outcomes(self) -> bool:
         """Whether `answered` wants to hear of calls."""
         return bool(self._compared)
 
-    def answered(self, klass: bytes, caller: bytes, path: bytes, call_id: str, failed: bool) -> None:
+    def record_outcome(self, klass: bytes, caller: bytes, path: bytes, call_id: str, failed: bool) -> None:
         """What hosts made of a call that `request` passed on. Those refused or left say nothing."""
         for version in self._compared:
             if version.manifest.applies(klass, caller, path):
-                version.answered(call_id, failed)
+                version.record_outcome(call_id, failed)
 
     def request(
         self, klass: bytes, caller: bytes, path: bytes, headers: list[Header], call_id: str
     ) -> list[Header] | Refused:
         """The end-to-end headers of a request as they go on to a host; `path` is without its query."""
-        return self._changed("request", self._request, Head(tuple(headers), klass, caller, path), call_id)
+        return self._apply("request", self._request, Head(tuple(headers), klass, caller, path), call_id)
 
     def response(
         self, klass: bytes, caller: bytes, path: bytes, headers: list[Header], call_id: str
     ) -> list[Header] | Refused:
         """The same of a host's answer, for the call that it answers."""
-        return self._changed("response", self._response, Head(tuple(headers), klass, caller, path), call_id)
+        return self._apply("response", self._response, Head(tuple(headers), klass, caller, path), call_id)
 
-    def _changed(
+    def _apply(
         self,
         phase: Literal["request", "response"],
-        names: tuple[tuple[Installed, ...], ...],
+        names: tuple[tuple[InstalledTransform, ...], ...],
         head: Head,
         call_id: str,
     ) -> list[Header] | Refused:
         for versions in names:
             for version in versions:
-                if version.share < 1.0 and not version.takes(call_id):
+                if version.share < 1.0 and not version.is_in_share(call_id):
                     continue
                 manifest = version.manifest
                 if manifest.phase != phase or not manifest.applies(head.klass, head.caller, head.path):
@@ -198,15 +200,15 @@
                     continue  # a canary's breaker is open: the other has its calls
                 if isinstance(result, Head):
                     if invariants.ON:
-                        check(manifest, head, result)
+                        check_invariant(manifest, head, result)
                     head = result
                 elif manifest.on_error == "refuse":
-                    return Refused(manifest.name, result.why)
+                    return Refused(manifest.name, result.reason)
                 break
         return list(head.headers)
 
 
-def check(manifest: Manifest, came: Head, leaves: Head) -> None:
+def check_invariant(manifest: Manifest, came: Head, leaves: Head) -> None:
     """Log where the invariant of the whole part is broken; the call goes on."""
     kept = guard.differs_only_in(manifest.writes, came.headers, leaves.headers)
     with contextlib.suppress(invariants.InvariantError):
--- a/cloverkeel/transforms/commands.py
+++ b/cloverkeel/transforms/commands.py
@@ -22,7 +22,7 @@
 
 def check(arguments: argparse.Namespace) -> int:
     """0: sound; 1: faults or failed cases, one a line; 2: the file cannot be read."""
-    from cloverkeel.transforms.engine import compile, failed_cases
+    from cloverkeel.transforms.compiler import compile, failed_cases
     from cloverkeel.transforms.source import SourceError, parse
 
     path = arguments.file
--- a/cloverkeel/transforms/expressions.py
+++ b/cloverkeel/transforms/expressions.py
@@ -9,173 +9,173 @@
 import lark
 
 from cloverkeel.transforms.protocol import Manifest
-from cloverkeel.transforms.running import FUNCTIONS, TEXT_STEP, Run, joined
-from cloverkeel.transforms.source import NESTING_MOST, Fault, header_name, place_of, text_of
+from cloverkeel.transforms.runtime import FUNCTIONS, TEXT_BYTES_PER_STEP, Run, join_texts
+from cloverkeel.transforms.source import MAX_NESTING, Fault, header_name, token_position, token_text
 
 if TYPE_CHECKING:
     from cloverkeel.transforms.source import Tree
 
 Closure = Callable[[Run, tuple[bytes, ...]], Any]
-PARAMETERS_MOST = 8
-FACTS: dict[str, Callable[[Run], bytes]] = {
+MAX_PARAMETERS = 8
+CALL_FIELDS: dict[str, Callable[[Run], bytes]] = {
     "class": lambda run: run.klass,
     "caller": lambda run: run.caller,
     "path": lambda run: run.path,
 }
-RESERVED = {*FACTS, *FUNCTIONS, "value", "has", "header"}
+RESERVED_NAMES = {*CALL_FIELDS, *FUNCTIONS, "value", "has", "header"}
 
 
 @dataclass(slots=True, frozen=True)
-class Compiled:
+class CompiledExpression:
     """What an expression does, whether it makes a truth (else a text), how deep it nests with its calls."""
 
     run: Closure
-    is_truth: bool
+    is_boolean: bool
     depth: int
 
 
 @dataclass(slots=True, frozen=True)
-class Function:
-    parameters: int
-    body: Compiled
+class UserFunction:
+    parameter_count: int
+    body: CompiledExpression
 
 
-class Expressions:
+class ExpressionCompiler:
     """Compiles expressions one after another; `faults` collects what is wrong with them."""
 
     def __init__(self, manifest: Manifest) -> None:
         self.manifest = manifest
         self.faults: list[Fault] = []
-        self.functions: dict[str, Function] = {}
+        self.functions: dict[str, UserFunction] = {}
         self.parameters: list[str] = []  # of the function that is being defined
         self.has_value = False  # within `rewrite`
 
-    def fault(self, token: lark.Token, reason: str) -> None:
-        self.faults.append(Fault(*place_of(token), reason))
+    def add_fault(self, token: lark.Token, reason: str) -> None:
+        self.faults.append(Fault(*token_position(token), reason))
 
-    def define(self, tree: Tree) -> None:
+    def define_function(self, tree: Tree) -> None:
         token, parameters, body = cast("tuple[lark.Token, Tree, Tree]", tuple(tree.children))
         names = [str(name) for name in parameters.children]
         for name in cast("list[lark.Token]", [token, *parameters.children]):
-            if name in RESERVED or name in self.functions:
-                self.fault(name, f"{name} has a meaning already")
-        if len(set(names)) < len(names) or len(names) > PARAMETERS_MOST:
-            self.fault(token, f"parameters are {PARAMETERS_MOST} at most, each with a name of its own")
+            if name in RESERVED_NAMES or name in self.functions:
+                self.add_fault(name, f"{name} has a meaning already")
+        if len(set(names)) < len(names) or len(names) > MAX_PARAMETERS:
+            self.add_fault(token, f"parameters are {MAX_PARAMETERS} at most, each with a name of its own")
         self.parameters = names
-        self.functions[str(token)] = Function(len(names), self.expression(body))
+        self.functions[str(token)] = UserFunction(len(names), self.compile_expression(body))
         self.parameters = []
 
-    def text(self, tree: Tree) -> Closure:
-        return self.expect(tree, False).run
+    def compile_text(self, tree: Tree) -> Closure:
+        return self.compile_typed(tree, False).run
 
-    def truth(self, tree: Tree) -> Closure:
-        return self.expect(tree, True).run
+    def compile_boolean(self, tree: Tree) -> Closure:
+        return self.compile_typed(tree, True).run
 
-    def expect(self, tree: Tree, is_truth: bool) -> Compiled:
-        compiled = self.expression(tree)
-        if compiled.is_truth is not is_truth:
+    def compile_typed(self, tree: Tree, is_truth: bool) -> CompiledExpression:
+        compiled = self.compile_expression(tree)
+        if compiled.is_boolean is not is_truth:
             kinds = "a text", "a truth"
             at = tree.meta.line, tree.meta.column
             self.faults.append(Fault(*at, f"{kinds[is_truth]} is wanted here, this is {kinds[not is_truth]}"))
         return compiled
 
-    def expression(self, tree: Tree) -> Compiled:
-        make: Callable[[Tree], Compiled] = getattr(self, f"_{tree.data}")
+    def compile_expression(self, tree: Tree) -> CompiledExpression:
+        make: Callable[[Tree], CompiledExpression] = getattr(self, f"_{tree.data}")
         compiled = make(tree)
-        if compiled.depth > NESTING_MOST:
+        if compiled.depth > MAX_NESTING:
             at = tree.meta.line, tree.meta.column
-            self.faults.append(Fault(*at, f"nested deeper than {NESTING_MOST}, calls included"))
-            return Compiled(compiled.run, compiled.is_truth, 0)  # said once
+            self.faults.append(Fault(*at, f"nested deeper than {MAX_NESTING}, calls included"))
+            return CompiledExpression(compiled.run, compiled.is_boolean, 0)  # said once
         return compiled
 
-    def _text(self, tree: Tree) -> Compiled:
-        value = text_of(cast(lark.Token, tree.children[0]), self.faults).encode("ascii", "replace")
-        cost = 1 + len(value) // TEXT_STEP
+    def _text(self, tree: Tree) -> CompiledExpression:
+        value = token_text(cast(lark.Token, tree.children[0]), self.faults).encode("ascii", "replace")
+        cost = 1 + len(value) // TEXT_BYTES_PER_STEP
 
         def run(run: Run, _: tuple[bytes, ...]) -> bytes:
-            run.left -= cost
+            run.steps_left -= cost
             return value
 
-        return Compiled(run, False, 1)
+        return CompiledExpression(run, False, 1)
 
-    def _name(self, tree: Tree) -> Compiled:
+    def _name(self, tree: Tree) -> CompiledExpression:
         token = cast(lark.Token, tree.children[0])
         if token in self.parameters:
             place = self.parameters.index(token)
 
             def parameter(run: Run, given: tuple[bytes, ...]) -> bytes:
-                run.left -= 1
+                run.steps_left -= 1
                 return given[place]
 
-            return Compiled(parameter, False, 1)
-        fact = (lambda run: run.value) if token == "value" and self.has_value else FACTS.get(str(token))
+            return CompiledExpression(parameter, False, 1)
+        fact = (lambda run: run.value) if token == "value" and self.has_value else CALL_FIELDS.get(str(token))
         if fact is None:
-            self.fault(token, f"{token} is not known here")
-            return Compiled(lambda run, given: b"", False, 1)
+            self.add_fault(token, f"{token} is not known here")
+            return CompiledExpression(lambda run, given: b"", False, 1)
 
         def of_call(run: Run, _: tuple[bytes, ...]) -> bytes:
-            run.left -= 1
+            run.steps_left -= 1
             return fact(run)
 
-        return Compiled(of_call, False, 1)
+        return CompiledExpression(of_call, False, 1)
 
-    def _call(self, tree: Tree) -> Compiled:
+    def _call(self, tree: Tree) -> CompiledExpression:
         token = cast(lark.Token, tree.children[0])
         given = cast("list[Tree]", tree.children[1:])
         if token in ("has", "header"):
             return self._header(token, given)
-        arguments = [self.expect(each, False) for each in given]
+        arguments = [self.compile_typed(each, False) for each in given]
         runs = [argument.run for argument in arguments]
         depth = 1 + max((argument.depth for argument in arguments), default=0)
         if token in self.functions:
             function = self.functions[str(token)]
             body = function.body.run
-            self._count(token, len(runs), function.parameters)
+            self._check_arity(token, len(runs), function.parameter_count)
 
             def call(run: Run, outer: tuple[bytes, ...]) -> Any:
-                run.pay(1)
+                run.spend(1)
                 return body(run, tuple([argument(run, outer) for argument in runs]))
 
-            return Compiled(call, function.body.is_truth, depth + function.body.depth)
+            return CompiledExpression(call, function.body.is_boolean, depth + function.body.depth)
         if token not in FUNCTIONS:
-            self.fault(token, f"no function {token} is defined above")
-            return Compiled(lambda run, outer: b"", False, depth)
+            self.add_fault(token, f"no function {token} is defined above")
+            return CompiledExpression(lambda run, outer: b"", False, depth)
         work, count, is_truth = FUNCTIONS[str(token)]
-        self._count(token, len(runs), count)
+        self._check_arity(token, len(runs), count)
 
         def builtin(run: Run, outer: tuple[bytes, ...]) -> Any:
-            run.left -= 1
+            run.steps_left -= 1
             return work(run, *[argument(run, outer) for argument in runs])
 
         def of_one(run: Run, outer: tuple[bytes, ...]) -> Any:
-            run.left -= 1
+            run.steps_left -= 1
             return work(run, only(run, outer))
 
         if len(runs) == 1:
             (only,) = runs
-            return Compiled(of_one, is_truth, depth)
+            return CompiledExpression(of_one, is_truth, depth)
 
-        return Compiled(builtin, is_truth, depth)
+        return CompiledExpression(builtin, is_truth, depth)
 
-    def _count(self, token: lark.Token, given: int, wanted: int) -> None:
+    def _check_arity(self, token: lark.Token, given: int, wanted: int) -> None:
         if given != wanted:
-            self.fault(token, f"{token} takes {wanted}, {given} given")
+            self.add_fault(token, f"{token} takes {wanted}, {given} given")
 
-    def _header(self, token: lark.Token, given: list[Tree]) -> Compiled:
+    def _header(self, token: lark.Token, given: list[Tree]) -> CompiledExpression:
         most = 1 if token == "has" else 2
         if not 1 <= len(given) <= most or given[0].data != "text":
-            self.fault(
+            self.add_fault(
                 token,
                 f"{token} takes a header's name between quotes" + (", and a default" if most > 1 else ""),
             )
-            return Compiled(lambda run, outer: b"", token == "has", 1)
+            return CompiledExpression(lambda run, outer: b"", token == "has", 1)
         literal = cast(lark.Token, given[0].children[0])
         name = header_name(literal, self.faults)
         if name not in self.manifest.reads:
-            self.fault(literal, f"{literal} is not in reads")
+            self.add_fault(literal, f"{literal} is not in reads")
         if token == "has":
-            return Compiled(lambda run, outer: run.first(name) is not None, True, 1)
-        default = self.expect(given[1], False) if len(given) > 1 else None
+            return CompiledExpression(lambda run, outer: run.first(name) is not None, True, 1)
+        default = self.compile_typed(given[1], False) if len(given) > 1 else None
 
         def header(run: Run, outer: tuple[bytes, ...]) -> bytes:
             value = run.first(name)
@@ -183,66 +183,66 @@
                 return value
             return b"" if default is None else cast(bytes, default.run(run, outer))
 
-        return Compiled(header, False, 1 + (default.depth if default is not None else 0))
+        return CompiledExpression(header, False, 1 + (default.depth if default is not None else 0))
 
-    def _joined(self, tree: Tree) -> Compiled:
-        runs, depth = self._parts(tree, False)
+    def _joined(self, tree: Tree) -> CompiledExpression:
+        runs, depth = self._operands(tree, False)
 
         def join(run: Run, outer: tuple[bytes, ...]) -> bytes:
-            run.left -= 1
-            return joined(run, [part(run, outer) for part in runs])
+            run.steps_left -= 1
+            return join_texts(run, [part(run, outer) for part in runs])
 
-        return Compiled(join, False, depth)
+        return CompiledExpression(join, False, depth)
 
-    def _any(self, tree: Tree) -> Compiled:
-        return self._logic(tree, any)
+    def _any(self, tree: Tree) -> CompiledExpression:
+        return self._short_circuit(tree, any)
 
-    def _all(self, tree: Tree) -> Compiled:
-        return self._logic(tree, all)
+    def _all(self, tree: Tree) -> CompiledExpression:
+        return self._short_circuit(tree, all)
 
-    def _logic(self, tree: Tree, decide: Callable[[Any], bool]) -> Compiled:
+    def _short_circuit(self, tree: Tree, decide: Callable[[Any], bool]) -> CompiledExpression:
         """The later parts are left out where the first decide."""
-        runs, depth = self._parts(tree, True)
+        runs, depth = self._operands(tree, True)
 
         def logic(run: Run, outer: tuple[bytes, ...]) -> bool:
-            run.left -= 1
+            run.steps_left -= 1
             return decide(part(run, outer) for part in runs)
 
-        return Compiled(logic, True, depth)
+        return CompiledExpression(logic, True, depth)
 
-    def _negated(self, tree: Tree) -> Compiled:
-        runs, depth = self._parts(tree, True)
+    def _negated(self, tree: Tree) -> CompiledExpression:
+        runs, depth = self._operands(tree, True)
 
         def negated(run: Run, outer: tuple[bytes, ...]) -> bool:
-            run.left -= 1
+            run.steps_left -= 1
             return not runs[0](run, outer)
 
-        return Compiled(negated, True, depth)
+        return CompiledExpression(negated, True, depth)
 
-    def _equal(self, tree: Tree, wanted: bool = True) -> Compiled:
-        (left, right), depth = self._parts(tree, False)
+    def _equal(self, tree: Tree, wanted: bool = True) -> CompiledExpression:
+        (left, right), depth = self._operands(tree, False)
 
         def equal(run: Run, outer: tuple[bytes, ...]) -> bool:
             a, b = left(run, outer), right(run, outer)
-            run.pay(1 + min(len(a), len(b)) // TEXT_STEP)
+            run.spend(1 + min(len(a), len(b)) // TEXT_BYTES_PER_STEP)
             return (a == b) is wanted
 
-        return Compiled(equal, True, depth)
+        return CompiledExpression(equal, True, depth)
 
-    def _unequal(self, tree: Tree) -> Compiled:
+    def _unequal(self, tree: Tree) -> CompiledExpression:
         return self._equal(tree, False)
 
-    def _choice(self, tree: Tree) -> Compiled:
+    def _choice(self, tree: Tree) -> CompiledExpression:
         question, yes, no = cast("list[Tree]", tree.children)
-        asked, chosen = self.expect(question, True), self.expression(yes)
-        other = self.expect(no, chosen.is_truth)
+        asked, chosen = self.compile_typed(question, True), self.compile_expression(yes)
+        other = self.compile_typed(no, chosen.is_boolean)
 
         def choice(run: Run, outer: tuple[bytes, ...]) -> Any:
-            run.left -= 1
+            run.steps_left -= 1
             return chosen.run(run, outer) if asked.run(run, outer) else other.run(run, outer)
 
-        return Compiled(choice, chosen.is_truth, 1 + max(asked.depth, chosen.depth, other.depth))
+        return CompiledExpression(choice, chosen.is_boolean, 1 + max(asked.depth, chosen.depth, other.depth))
 
-    def _parts(self, tree: Tree, is_truth: bool) -> tuple[list[Closure], int]:
-        parts = [self.expect(cast("Tree", child), is_truth) for child in tree.children]
+    def _operands(self, tree: Tree, is_truth: bool) -> tuple[list[Closure], int]:
+        parts = [self.compile_typed(cast("Tree", child), is_truth) for child in tree.children]
         return [part.run for part in parts], 1 + max(part.depth for part in parts)
--- a/cloverkeel/transforms/guard.py
+++ b/cloverkeel/transforms/guard.py
@@ -11,9 +11,16 @@
 from itertools import chain
 
 from cloverkeel.http1 import HEAD_LIMIT, Header
-from cloverkeel.transforms.protocol import FORBIDDEN, NAME, Failure, Head, OverBudgetError, Transform
+from cloverkeel.transforms.protocol import (
+    FORBIDDEN_WRITES,
+    HEADER_NAME,
+    Failure,
+    Head,
+    OverBudgetError,
+    Transform,
+)
 
-VALUE = re.compile(rb"[^\x00-\x08\x0a-\x1f\x7f]*")
+HEADER_VALUE = re.compile(rb"[^\x00-\x08\x0a-\x1f\x7f]*")
 
 
 def run(transform: Transform, head: Head) -> Head | Failure:
@@ -35,7 +42,7 @@
         written = [(name, value) for name, value in transform.apply(shown)]
         if written == before:
             return head
-        fault = fault_of(written, set(before), writes)
+        fault = output_fault(written, set(before), writes)
     except OverBudgetError:
         return Failure("over budget", f"more than {manifest.steps} steps")
     except Exception as error:
@@ -48,7 +55,7 @@
     return Head(tuple(kept), head.klass, head.caller, head.path)
 
 
-def fault_of(written: Sequence[Header], before: set[Header], writes: frozenset[bytes]) -> str | None:
+def output_fault(written: Sequence[Header], before: set[Header], writes: frozenset[bytes]) -> str | None:
     """What is wrong with the headers that a transform wrote, or None. One that came so may stay so."""
     for pair in written:
         if pair in before:
@@ -57,16 +64,16 @@
         if type(name) is not bytes or type(value) is not bytes:
             return "a header is two bytes objects"
         if name not in writes:  # else it is a name, in lower case
-            if not NAME.fullmatch(name):
+            if not HEADER_NAME.fullmatch(name):
                 return f"{name!r:.80} is no header's name"
             if name.lower() not in writes:
                 return f"{name.decode()} is not in writes"
-        if not VALUE.fullmatch(value):
+        if not HEADER_VALUE.fullmatch(value):
             return f"{name.decode()} would hold a control character"
     return None
 
 
 def differs_only_in(writes: frozenset[bytes], came: Sequence[Header], leaves: Sequence[Header]) -> bool:
     """Whether two heads are the same, in order, but for what is in `writes` and not forbidden."""
-    free = writes - FORBIDDEN
+    free = writes - FORBIDDEN_WRITES
     return [h for h in came if h[0].lower() not in free] == [h for h in leaves if h[0].lower() not in free]
--- a/cloverkeel/transforms/local.py
+++ b/cloverkeel/transforms/loader.py
@@ -6,16 +6,16 @@
 
 from cloverkeel.errors import ConfigError
 from cloverkeel.fleet import events
-from cloverkeel.transforms.active import ActiveSet, Installed
-from cloverkeel.transforms.protocol import GROUP, Manifest, Transform
+from cloverkeel.transforms.active_set import ActiveSet, InstalledTransform
+from cloverkeel.transforms.protocol import ENTRY_POINT_GROUP, Manifest, Transform
 from cloverkeel.transforms.settings import TransformSettings
 
 
 def load(settings: TransformSettings) -> ActiveSet:
     """All of them, or ConfigError for the first that cannot be used."""
     events.setup_logging()
-    installed = [Installed(from_file(path)) for path in settings.files]
-    installed += [Installed(plugin(name)) for name in settings.plugins]
+    installed = [InstalledTransform(load_file(path)) for path in settings.files]
+    installed += [InstalledTransform(load_plugin(name)) for name in settings.plugins]
     try:
         active = ActiveSet(*installed)
     except ValueError as error:
@@ -28,10 +28,10 @@
     return active
 
 
-def from_file(path: str) -> Transform:
+def load_file(path: str) -> Transform:
     """Raises ConfigError, with the first fault's place; the golden cases must hold too."""
     # Imported late: shipped code alone needs no parser.
-    from cloverkeel.transforms.engine import compile, failed_cases
+    from cloverkeel.transforms.compiler import compile, failed_cases
     from cloverkeel.transforms.source import SourceError, parse
 
     try:
@@ -46,11 +46,11 @@
     return compiled
 
 
-def plugin(name: str) -> Transform:
+def load_plugin(name: str) -> Transform:
     """The entry point of that name; raises ConfigError where there is none that can be used."""
-    found = entry_points(group=GROUP, name=name)
+    found = entry_points(group=ENTRY_POINT_GROUP, name=name)
     if not found:
-        raise ConfigError(f"transforms: no entry point {name} in the group {GROUP}")
+        raise ConfigError(f"transforms: no entry point {name} in the group {ENTRY_POINT_GROUP}")
     try:
         transform: Transform = next(iter(found)).load()
         manifest = transform.manifest
--- a/cloverkeel/transforms/protocol.py
+++ b/cloverkeel/transforms/protocol.py
@@ -9,11 +9,11 @@
 
 from cloverkeel.http1 import HOP_BY_HOP, Header
 
-GROUP = "firledge.transforms"  # the entry points of transforms that ship with the program
+ENTRY_POINT_GROUP = "firledge.transforms"  # the entry points of transforms that ship with the program
 DEFAULT_STEPS = 1_000
-STEPS_MOST = 10_000
-NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,256}")  # a token (RFC 9110, 5.6.2)
-FORBIDDEN = HOP_BY_HOP | {
+MAX_STEPS = 10_000
+HEADER_NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,256}")  # a token (RFC 9110, 5.6.2)
+FORBIDDEN_WRITES = HOP_BY_HOP | {
     b"x-call-id", b"idempotency-key", b"x-budget-ms", b"host", b"x-load-report", b"x-rejected",
 }  # fmt: skip
 
@@ -39,7 +39,7 @@
 
     def __post_init__(self) -> None:
         for name in self.writes:
-            if name in FORBIDDEN or name != name.lower() or not NAME.fullmatch(name):
+            if name in FORBIDDEN_WRITES or name != name.lower() or not HEADER_NAME.fullmatch(name):
                 raise ValueError(f"{self.name} cannot write {name!r:.80}")
         object.__setattr__(self, "visible", self.reads | self.writes)
 
@@ -65,7 +65,7 @@
     """A run that came to nothing: the head is as it came."""
 
     kind: Literal["raised", "over budget", "bad output"]
-    why: str
+    reason: str
 
 
 class OverBudgetError(Exception):
--- a/cloverkeel/transforms/source.py
+++ b/cloverkeel/transforms/source.py
@@ -13,13 +13,20 @@
 
 from cloverkeel.http1 import Header
 from cloverkeel.transforms.grammar import GRAMMAR
-from cloverkeel.transforms.protocol import DEFAULT_STEPS, FORBIDDEN, NAME, STEPS_MOST, Head, Manifest
+from cloverkeel.transforms.protocol import (
+    DEFAULT_STEPS,
+    FORBIDDEN_WRITES,
+    HEADER_NAME,
+    MAX_STEPS,
+    Head,
+    Manifest,
+)
 
 if TYPE_CHECKING:
     Tree = lark.Tree[lark.Token]
 
-SOURCE_MOST = 32 * 1024  # bytes
-NESTING_MOST = 64
+MAX_SOURCE_BYTES = 32 * 1024  # bytes
+MAX_NESTING = 64
 
 
 @dataclass(slots=True, frozen=True, order=True)
@@ -49,8 +56,8 @@
     title: str
     line: int
     column: int
-    came: Head
-    leaves: tuple[Header, ...] | None
+    input_head: Head
+    expected_headers: tuple[Header, ...] | None
 
 
 @dataclass(slots=True, frozen=True, eq=False)
@@ -64,8 +71,8 @@
 
 def parse(data: bytes) -> Source:
     """Raises SourceError; what only the compiler sees (types, reads, writes) is `engine.compile`'s to say."""
-    if len(data) > SOURCE_MOST:
-        raise SourceError([Fault(1, 1, f"longer than {SOURCE_MOST} bytes")])
+    if len(data) > MAX_SOURCE_BYTES:
+        raise SourceError([Fault(1, 1, f"longer than {MAX_SOURCE_BYTES} bytes")])
     try:
         text = data.decode()
     except UnicodeDecodeError as error:
@@ -75,7 +82,7 @@
     try:
         tree = parser().parse(text)
     except UnexpectedInput as error:
-        raise SourceError([_syntax(error, text)]) from None
+        raise SourceError([_syntax_fault(error, text)]) from None
     _check_nesting(tree)
     builder = _Builder()
     source = builder.source(tree, hashlib.sha256(data).hexdigest())
@@ -89,7 +96,7 @@
     return lark.Lark(GRAMMAR, parser="lalr", propagate_positions=True, maybe_placeholders=False)
 
 
-def _syntax(error: UnexpectedInput, text: str) -> Fault:
+def _syntax_fault(error: UnexpectedInput, text: str) -> Fault:
     expected: set[str] = set(getattr(error, "accepts", None) or getattr(error, "expected", None) or ())
     expected |= set(getattr(error, "allowed", None) or ())
     wanted = ", ".join(sorted(name.strip("_").lower() for name in expected)[:12])
@@ -109,11 +116,11 @@
     for part in tree.iter_subtrees():  # children first
         below = [depths[id(child)] for child in part.children if isinstance(child, lark.Tree)]
         depths[id(part)] = depth = 1 + max(below, default=0)
-        if depth > NESTING_MOST:
-            raise SourceError([Fault(part.meta.line, part.meta.column, f"nested deeper than {NESTING_MOST}")])
+        if depth > MAX_NESTING:
+            raise SourceError([Fault(part.meta.line, part.meta.column, f"nested deeper than {MAX_NESTING}")])
 
 
-def text_of(token: lark.Token, faults: list[Fault]) -> str:
+def token_text(token: lark.Token, faults: list[Fault]) -> str:
     """A text between quotes, or a bare word as it is."""
     if token.type != "STRING":
         return str(token)
@@ -123,16 +130,20 @@
             c = next(rest)
             if c not in '"\\':
                 faults.append(
-                    Fault(place_of(token)[0], place_of(token)[1], f'\\{c}: only \\" and \\\\ are escapes')
+                    Fault(
+                        token_position(token)[0],
+                        token_position(token)[1],
+                        f'\\{c}: only \\" and \\\\ are escapes',
+                    )
                 )
         elif not (" " <= c <= "~" or c == "\t"):
             reason = f"character {place + 1} of this text is not printable ASCII"
-            faults.append(Fault(place_of(token)[0], place_of(token)[1], reason))
+            faults.append(Fault(token_position(token)[0], token_position(token)[1], reason))
         out.append(c)
     return "".join(out)
 
 
-def place_of(token: lark.Token) -> tuple[int, int]:
+def token_position(token: lark.Token) -> tuple[int, int]:
     return token.line or 0, token.column or 0
 
 
@@ -142,8 +153,8 @@
     def __init__(self) -> None:
         self.faults: list[Fault] = []
 
-    def fault(self, token: lark.Token, reason: str) -> None:
-        self.faults.append(Fault(*place_of(token), reason))
+    def add_fault(self, token: lark.Token, reason: str) -> None:
+        self.faults.append(Fault(*token_position(token), reason))
 
     def source(self, tree: Tree, sha256: str) -> Source:
         parts = {part.data: cast("Tree", part) for part in tree.children if isinstance(part, lark.Tree)}
@@ -161,48 +172,50 @@
             "owner": lambda tokens: self.name(tokens[0]),
             "phase": lambda tokens: self.one_of(tokens[0], "request", "response"),
             "classes": self.values, "callers": self.values,
-            "path_prefix": lambda tokens: text_of(tokens[0], self.faults).encode("ascii", "replace"),
-            "reads": self.headers, "writes": self.written, "steps": self.steps,
+            "path_prefix": lambda tokens: token_text(tokens[0], self.faults).encode("ascii", "replace"),
+            "reads": self.header_names, "writes": self.writable_headers, "steps": self.steps,
             "on_error": lambda tokens: self.one_of(tokens[0], "skip", "refuse"),
         }  # fmt: skip
         for entry in cast("list[Tree]", tree.children[1:]):
             tokens, key = cast("list[lark.Token]", entry.children), str(entry.data)
             if key in fields:
-                self.fault(tokens[0], f"{key} is said twice")
+                self.add_fault(tokens[0], f"{key} is said twice")
             fields[key] = take[key](tokens)
         for key in ("owner", "phase"):
             if key not in fields:
-                self.fault(name_token, f"no {key} is given")
+                self.add_fault(name_token, f"no {key} is given")
         return Manifest(**({"owner": "", "phase": "request"} | fields))
 
     def name(self, token: lark.Token) -> str:
-        name = text_of(token, self.faults)
+        name = token_text(token, self.faults)
         if not 1 <= len(name) <= 128:
-            self.fault(token, "a name has 1 to 128 characters")
+            self.add_fault(token, "a name has 1 to 128 characters")
         return name
 
     def one_of(self, token: lark.Token, *words: str) -> str:
         if token not in words:
-            self.fault(token, f"neither {' nor '.join(words)}")
+            self.add_fault(token, f"neither {' nor '.join(words)}")
         return str(token)
 
     def values(self, tokens: list[lark.Token]) -> frozenset[bytes]:
-        return frozenset(text_of(token, self.faults).encode("ascii", "replace") for token in tokens)
+        return frozenset(token_text(token, self.faults).encode("ascii", "replace") for token in tokens)
 
-    def headers(self, tokens: list[lark.Token]) -> frozenset[bytes]:
+    def header_names(self, tokens: list[lark.Token]) -> frozenset[bytes]:
         return frozenset(header_name(token, self.faults) for token in tokens)
 
-    def written(self, tokens: list[lark.Token]) -> frozenset[bytes]:
+    def writable_headers(self, tokens: list[lark.Token]) -> frozenset[bytes]:
         names = [header_name(token, self.faults) for token in tokens]
         for token, name in zip(tokens, names, strict=True):
-            if name in FORBIDDEN:
-                self.fault(token, f"{token} is not a transform's to write")
-        return frozenset(name for name in names if name not in FORBIDDEN and NAME.fullmatch(name))
+            if name in FORBIDDEN_WRITES:
+                self.add_fault(token, f"{token} is not a transform's to write")
+        return frozenset(
+            name for name in names if name not in FORBIDDEN_WRITES and HEADER_NAME.fullmatch(name)
+        )
 
     def steps(self, tokens: list[lark.Token]) -> int:
         steps = int(tokens[0])
-        if not 1 <= steps <= STEPS_MOST:
-            self.fault(tokens[0], f"steps is 1 to {STEPS_MOST}")
+        if not 1 <= steps <= MAX_STEPS:
+            self.add_fault(tokens[0], f"steps is 1 to {MAX_STEPS}")
         return steps or DEFAULT_STEPS
 
     def case(self, tree: Tree) -> Case:
@@ -215,26 +228,30 @@
             key = str(part.data)
             fails = fails or key == "fails"
             if key in ("came", "leaves"):
-                (came if key == "came" else leaves).append(self.line(cast(lark.Token, part.children[0])))
+                (came if key == "came" else leaves).append(
+                    self.header_line(cast(lark.Token, part.children[0]))
+                )
             elif key in facts:
-                facts[key] = text_of(cast(lark.Token, part.children[0]), self.faults).encode(
+                facts[key] = token_text(cast(lark.Token, part.children[0]), self.faults).encode(
                     "ascii", "replace"
                 )
         if fails and leaves:
-            self.fault(title, "a case that fails has no out")
+            self.add_fault(title, "a case that fails has no out")
         head = Head(tuple(came), facts["klass"], facts["caller"], facts["path"])
-        return Case(text_of(title, self.faults), *place_of(title), head, None if fails else tuple(leaves))
+        return Case(
+            token_text(title, self.faults), *token_position(title), head, None if fails else tuple(leaves)
+        )
 
-    def line(self, token: lark.Token) -> Header:
-        name, colon, value = text_of(token, self.faults).encode("ascii", "replace").partition(b":")
-        if not colon or not NAME.fullmatch(name):
-            self.fault(token, "not of the form name: value")
+    def header_line(self, token: lark.Token) -> Header:
+        name, colon, value = token_text(token, self.faults).encode("ascii", "replace").partition(b":")
+        if not colon or not HEADER_NAME.fullmatch(name):
+            self.add_fault(token, "not of the form name: value")
         return name, value.strip(b" \t")
 
 
 def header_name(token: lark.Token, faults: list[Fault]) -> bytes:
     """In lower case; a name that is none is a fault."""
-    name = text_of(token, faults).lower().encode("ascii", "replace")
-    if not NAME.fullmatch(name):
-        faults.append(Fault(*place_of(token), f"{token} is no header's name"))
+    name = token_text(token, faults).lower().encode("ascii", "replace")
+    if not HEADER_NAME.fullmatch(name):
+        faults.append(Fault(*token_position(token), f"{token} is no header's name"))
     return name
--- a/faultlab/storm/cluster/activation.py
+++ b/faultlab/storm/cluster/activation.py
@@ -14,33 +14,33 @@
 from cloverkeel.fleet.ledger.interface import Delete as LedgerDelete
 from cloverkeel.fleet.ledger.interface import Event as LedgerEvent
 from cloverkeel.fleet.ledger.interface import Settings as LedgerSettings
-from cloverkeel.transforms.activation.book import VoterId
+from cloverkeel.transforms.activation.ledger_state import VoterId
 from cloverkeel.transforms.activation.core import Activation
 from cloverkeel.transforms.activation.interface import (
     Activate,
-    Drop,
+    DeleteRecord,
     Event,
-    Put,
-    Recorded,
+    WriteRecord,
+    RecordsChanged,
     Settings,
     Settled,
     Stage,
     Staged,
     Tick,
-    Tripped,
+    BreakerChanged,
 )
 from cloverkeel.transforms.activation.interface import ViewChanged as BrainView
 from cloverkeel.transforms.activation.records import (
     KINDS,
     ORDER,
     VOTE,
-    Body,
+    ActivationRecord,
     Order,
     Vote,
     decode,
-    disk_of,
+    key_store_id,
     encode,
-    owner_of,
+    key_owner,
 )
 
 from faultlab.storm.cluster.activation_truth import ActivationTruth
@@ -67,7 +67,7 @@
         self.reach: dict[str, int] = {}
         self.activation = ActivationTruth(members)
         self.brain_settings = Settings(
-            size=members, stage_timeout_s=3.0, canary_s=1.0, canary_share=0.3, voters_after_s=4.0
+            size=members, stage_timeout_s=3.0, canary_s=1.0, canary_share=0.3, voter_change_delay_s=4.0
         )
         self.bad: set[str] = set()  # versions whose breakers open
         self.unable: dict[str, set[str]] = {}  # version to the members that cannot stage it
@@ -92,7 +92,7 @@
             for key in core.keys(kind):
                 records, _ = core.read(kind, key)
                 payloads = tuple(payload for _, payload in records if payload is not None)
-                loaded.append(Recorded(kind, key, payloads))
+                loaded.append(RecordsChanged(kind, key, payloads))
         settings = self.brain_settings
         brain = Brain(member, Activation(member.name, life, member.disk.number, settings, self.rng, loaded))
         self.brains[member.name] = brain
@@ -102,7 +102,7 @@
     def may_lose(self, member: Member) -> bool:
         """Whether fewer disks than a quorum's are other ones, with this one's, than those that vote."""
         epochs = self.activation.epochs
-        named = epochs[max(epochs)].named() or self.first_disks
+        named = epochs[max(epochs)].voter_store_ids() or self.first_disks
         others = {m.name for m in self.members.values() if named.get(m.name) != m.disk.number}
         return len(others | {member.name}) <= len(self.members) // 2
 
@@ -138,7 +138,7 @@
         super()._act(member, action)
         if isinstance(action, KeyChanged):
             payloads = tuple(payload for _, payload in action.records if payload is not None)
-            self.tell(self.brains[member.name], Recorded(action.kind, action.key, payloads))
+            self.tell(self.brains[member.name], RecordsChanged(action.kind, action.key, payloads))
         elif isinstance(action, Acknowledged):
             self.published += action.level is not Level.LOCAL
 
@@ -149,16 +149,16 @@
             return
         for action in brain.core.handle(self.now_s, event):
             match action:
-                case Put(kind, key, body, to):
+                case WriteRecord(kind, key, body, to):
                     level = Level.LOCAL if to else Level.QUORUM
                     self.later(0.0, self._writer(brain, kind, key, body, level, to))
-                case Drop(kind, key):
+                case DeleteRecord(kind, key):
                     self.later(0.0, self._dropper(brain, kind, key))
                 case Stage(id, _, _):
                     self.later(self.rng.uniform(0.01, 0.4), self._stager(brain, id))
                 case Activate():
                     self._activated(brain, action)
-        epoch = brain.core.book.epoch
+        epoch = brain.core.ledger_state.epoch
         if epoch.number != brain.epoch:
             brain.epoch = epoch.number
             self.first_s.setdefault(epoch.number, self.now_s)
@@ -172,10 +172,10 @@
     def _votes_of(self, member: Member) -> list[tuple[VoterId, Vote]]:
         found = []
         for put in member.disk.rows.values():
-            if put.record.kind == VOTE and owner_of(put.record.key) == member.name and put.payload:
+            if put.record.kind == VOTE and key_owner(put.record.key) == member.name and put.payload:
                 vote = decode(VOTE, put.record.key, put.payload)
                 assert isinstance(vote, Vote)
-                if disk_of(put.record.key) == member.disk.number:
+                if key_store_id(put.record.key) == member.disk.number:
                     found.append(((member.name, member.disk.number), vote))
         return found
 
@@ -190,7 +190,13 @@
         return context
 
     def _writer(
-        self, brain: Brain, kind: str, key: str, body: Body, level: Level = Level.QUORUM, to: str = ""
+        self,
+        brain: Brain,
+        kind: str,
+        key: str,
+        body: ActivationRecord,
+        level: Level = Level.QUORUM,
+        to: str = "",
     ) -> Callable[[], None]:
         def write() -> None:
             context = self._context(brain, kind, key)
@@ -227,7 +233,7 @@
     def _tripper(self, brain: Brain, version: str) -> Callable[[], None]:
         def trip() -> None:
             if version in brain.core.active.values():
-                self.tell(brain, Tripped(version, True))
+                self.tell(brain, BreakerChanged(version, True))
 
         return trip
 
@@ -235,7 +241,7 @@
 
     def order(self, member: Member, name: str, verb: str, level: Level) -> str:
         """A developer's order through this member."""
-        book = self.brains[member.name].core.book
+        book = self.brains[member.name].core.ledger_state
         id = f"{self.rng.getrandbits(64):016x}"
         order = Order(name, id, book.next_number(name), "publish" if verb == "publish" else "rollback")
         self._writer(self.brains[member.name], ORDER, order.key, order, level)()
@@ -255,7 +261,7 @@
                 sides.setdefault(member.side, []).append(brain.core)
         for brains in sides.values():
             voters = max((brain.epoch for brain in brains), key=lambda epoch: epoch.number).voters
-            if 2 * len({brain.me for brain in brains} & set(voters)) > len(voters):
+            if 2 * len({brain.member for brain in brains} & set(voters)) > len(voters):
                 self.activation.together(brains)
 
     def rested(self) -> bool:
@@ -263,9 +269,11 @@
             return False
         brains = [self.brains[m.name].core for m in self.up()]
         return all(
-            b.epoch == brains[0].epoch and not b.unread and not b.staging
-            and not any(slot.candidate or b.book.open_orders(name) for name, slot in b.epoch.slots.items())
-            and not any(b.book.open_orders(name) for name in b.book.names())
+            b.epoch == brains[0].epoch and not b.unconfirmed and not b.staging
+            and not any(
+                slot.candidate or b.ledger_state.open_orders(name) for name, slot in b.epoch.slots.items()
+            )
+            and not any(b.ledger_state.open_orders(name) for name in b.ledger_state.names())
             and not set(b.active.values()) & self.bad
             for b in brains
         )  # fmt: skip
--- a/faultlab/storm/cluster/activation_truth.py
+++ b/faultlab/storm/cluster/activation_truth.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterable
 
-from cloverkeel.transforms.activation.book import VoterId
+from cloverkeel.transforms.activation.ledger_state import VoterId
 from cloverkeel.transforms.activation.core import Activation
 from cloverkeel.transforms.activation.records import Epoch, Vote
 
@@ -39,7 +39,7 @@
         if before is None:
             self.violated(f"epoch {epoch.number} without the one before it")
             return
-        electorate = before.named()
+        electorate = before.voter_store_ids()
         backing = {voter for voter, vote in votes() if vote.value == epoch}
         backing = {(m, disk) for m, disk in backing if not electorate or m in electorate}
         named, every = backing & set(electorate.items()), {member for member, _ in backing}
@@ -55,17 +55,17 @@
         for name, slot in epoch.slots.items():
             gone = self.gone.setdefault(name, set())
             old = before.slot(name)
-            gone |= old.named() - slot.named()
-            if again := gone & slot.named():
+            gone |= old.referenced_versions() - slot.referenced_versions()
+            if again := gone & slot.referenced_versions():
                 self.violated(f"epoch {epoch.number}: {name}: {again} is back")
-            if len(old.versions() | slot.versions()) > 2:
+            if len(old.runnable_versions() | slot.runnable_versions()) > 2:
                 self.violated(f"epoch {epoch.number}: {name}: over two versions at its switch")
 
     def running(self, member: str, brain: Activation, compiled: set[str]) -> None:
         for name, version in brain.active.items():
             if version not in compiled:
                 self.violated(f"{member} runs {name} {version}, which it has not staged")
-            if version not in brain.epoch.slot(name).named():
+            if version not in brain.epoch.slot(name).referenced_versions():
                 self.violated(f"{member} runs {name} {version}, which its epoch does not name")
 
     def together(self, brains: Iterable[Activation]) -> None:
@@ -82,17 +82,22 @@
         """All are healed and have had time: one epoch, nothing open, nothing bad."""
         first = brains[0]
         for brain in brains:
-            if brain.book.epoch != first.book.epoch or brain.epoch != brain.book.epoch:
+            if (
+                brain.ledger_state.epoch != first.ledger_state.epoch
+                or brain.epoch != brain.ledger_state.epoch
+            ):
                 self.violated(
-                    f"{brain.me} ends on epoch {brain.epoch.number}, {first.me} on {first.epoch.number}"
+                    f"{brain.member} ends on epoch {brain.epoch.number}, {first.member} on {first.epoch.number}"
                 )
             for name, slot in brain.epoch.slots.items():
-                left = {o.id for o in brain.book.open_orders(name)}
+                left = {o.id for o in brain.ledger_state.open_orders(name)}
                 if slot.candidate or left:
-                    self.violated(f"{name} does not come to rest: {slot.candidate} {left} {first.waits}")
+                    self.violated(
+                        f"{name} does not come to rest: {slot.candidate} {left} {first.wait_reasons}"
+                    )
                 if slot.active in bad:
                     self.violated(f"{name} ends on a version that fails")
-                expected = slot.before if brain.me in slot.behind else slot.active
-                able = brain.staged.get(expected) == ""
+                expected = slot.before if brain.member in slot.behind else slot.active
+                able = brain.stage_results.get(expected) == ""
                 if brain.active.get(name, "") != (expected if able else ""):
-                    self.violated(f"{brain.me} runs {brain.active.get(name)} of {name}, not {expected}")
+                    self.violated(f"{brain.member} runs {brain.active.get(name)} of {name}, not {expected}")
--- a/faultlab/transforms/engine.py
+++ b/faultlab/transforms/engine.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 from typing import Any, cast
 
-from cloverkeel.transforms.engine import compile
+from cloverkeel.transforms.compiler import compile
 from cloverkeel.transforms.protocol import Head
 from cloverkeel.transforms.source import parse
 from faultlab.gateways import Host, named
--- a/tests/test_activation_core.py
+++ b/tests/test_activation_core.py
@@ -8,19 +8,27 @@
 
 from cloverkeel.fleet.ledger.interface import Level
 from cloverkeel.transforms.activation import records
-from cloverkeel.transforms.activation.book import Book, runs
+from cloverkeel.transforms.activation.ledger_state import LedgerState, active_versions
 from cloverkeel.transforms.activation.core import Activation
-from cloverkeel.transforms.activation.deciding import Proposer, Voter, decides
-from cloverkeel.transforms.activation.interface import Note, Put, Recorded, Settings, Stage, Staged, Tick
-from cloverkeel.transforms.activation.planning import canaries
+from cloverkeel.transforms.activation.paxos import Proposer, Voter, is_quorum
+from cloverkeel.transforms.activation.interface import (
+    LogEvent,
+    WriteRecord,
+    RecordsChanged,
+    Settings,
+    Stage,
+    Staged,
+    Tick,
+)
+from cloverkeel.transforms.activation.planning import choose_canaries
 from cloverkeel.transforms.activation.records import (
     EPOCH,
-    EPOCHS,
+    EPOCH_OWNER,
     ORDER,
     PROPOSAL,
-    SOURCE_MAX,
+    MAX_PUBLISHED_BYTES,
     VOTE,
-    Body,
+    ActivationRecord,
     Epoch,
     Order,
     Proposal,
@@ -33,9 +41,9 @@
 from faultlab.storm.cluster.activation_history import play
 
 
-def take(book: Book, kind: str, key: str, *bodies: Body, disk: int = 0) -> None:
+def take(book: LedgerState, kind: str, key: str, *bodies: ActivationRecord, disk: int = 0) -> None:
     stands = f"{disk}-0" if disk else "0"
-    assert book.take(kind, f"{key}/{stands}", tuple(map(encode, bodies))) == []
+    assert book.update_key(kind, f"{key}/{stands}", tuple(map(encode, bodies))) == []
 
 
 def settled(members: int = 5) -> ActivationCluster:
@@ -53,8 +61,8 @@
 
 
 def test_a_value_that_a_quorum_may_have_accepted_binds_every_later_ballot() -> None:
-    book, rng = Book(), random.Random(1)
-    take(book, EPOCH, EPOCHS, Epoch(1, ("a", "b", "c"), disks=(1, 2, 3)))
+    book, rng = LedgerState(), random.Random(1)
+    take(book, EPOCH, EPOCH_OWNER, Epoch(1, ("a", "b", "c"), store_ids=(1, 2, 3)))
     first, second = Epoch(2, ("a",)), Epoch(2, ("b",))
     accepted = Vote(2, (1, "a", 9), (1, "a", 9), first)
     take(book, VOTE, "b", accepted, disk=2)
@@ -73,102 +81,108 @@
 
 
 def test_a_quorum_is_most_voters_on_the_disks_named_or_all_by_name() -> None:
-    epoch = Epoch(4, ("a", "b", "c", "d"), disks=(1, 2, 3, 4))
+    epoch = Epoch(4, ("a", "b", "c", "d"), store_ids=(1, 2, 3, 4))
     for voted, expected in (
         ({("a", 1), ("b", 2), ("c", 3)}, True),
         ({("a", 1), ("b", 2), ("c", 9), ("x", 4)}, False),
         ({("a", 1), ("b", 2), ("c", 9), ("d", 9)}, True),
         ({("a", 1), ("a", 9), ("b", 2), ("d", 9)}, False),
     ):
-        assert decides(epoch, 2, voted) is expected
-    assert not decides(Epoch(), 3, {("a", 1), ("b", 2)}) and decides(Epoch(), 2, {("a", 1), ("b", 2)})
-    assert decides(Epoch(1, ("a", "b", "c")), 3, {("a", 1), ("b", 2)})  # from before disks were named
+        assert is_quorum(epoch, 2, voted) is expected
+    assert not is_quorum(Epoch(), 3, {("a", 1), ("b", 2)}) and is_quorum(Epoch(), 2, {("a", 1), ("b", 2)})
+    assert is_quorum(Epoch(1, ("a", "b", "c")), 3, {("a", 1), ("b", 2)})  # from before disks were named
 
 
 def test_who_decided_an_epoch_proposes_the_next_in_one_phase_and_once() -> None:
-    book, rng = Book(), random.Random(1)
-    take(book, EPOCH, EPOCHS, Epoch(1, ("a", "b", "c"), disks=(1, 2, 3), by=("a", 5)))
+    book, rng = LedgerState(), random.Random(1)
+    take(book, EPOCH, EPOCH_OWNER, Epoch(1, ("a", "b", "c"), store_ids=(1, 2, 3), proposed_by=("a", 5)))
     proposer = Proposer("a", 5, Settings(3), rng)
-    wanted = Epoch(2, ("a", "b"), by=("a", 5))
+    wanted = Epoch(2, ("a", "b"), proposed_by=("a", 5))
     asked = proposer.step(0.0, book, Epoch(2, ("a", "b")))
     assert asked == Proposal(2, (0, "a", 5), wanted)
     take(book, PROPOSAL, "a", asked)
-    assert Voter("b", 2).consider(book) == Vote(2, (0, "a", 5), (0, "a", 5), wanted)
+    assert Voter("b", 2).next_vote(book) == Vote(2, (0, "a", 5), (0, "a", 5), wanted)
     assert proposer.step(0.1, book, None) is None and proposer.step(20.0, book, None) is None
     assert proposer.step(20.1, book, Epoch(2, ("b",))) == Proposal(2, (1, "a", 5))
     take(book, PROPOSAL, "a", Proposal(2, (0, "a", 6), wanted))  # another life's
     take(book, PROPOSAL, "b", Proposal(2, (0, "b", 5), wanted))  # another member's
-    assert Voter("b", 2).consider(book) is None
+    assert Voter("b", 2).next_vote(book) is None
     assert Proposer("a", 6, Settings(3), rng).step(0.0, book, wanted) == Proposal(2, (1, "a", 6))
 
 
 def test_a_member_on_a_new_disk_begins_with_what_others_heard_of_its_word() -> None:
-    book, voter = Book(), Voter("m", 9)
+    book, voter = LedgerState(), Voter("m", 9)
     word = Vote(1, (2, "b", 1), (2, "b", 1), Epoch(1, ("b",)))
     take(book, VOTE, "m", word, disk=8)
     take(book, PROPOSAL, "c", Proposal(1, (1, "c", 1)))
-    assert voter.consider(book) == Vote(1, (2, "b", 1), (2, "b", 1), Epoch(1, ("b",)))
+    assert voter.next_vote(book) == Vote(1, (2, "b", 1), (2, "b", 1), Epoch(1, ("b",)))
 
 
 def test_a_voter_keeps_its_promise_before_the_ledger_shows_it_and_after_a_restart() -> None:
-    book, voter = Book(), Voter("m", 9)
+    book, voter = LedgerState(), Voter("m", 9)
     take(book, PROPOSAL, "b", Proposal(1, (2, "b", 1)))
-    promise = voter.consider(book)
+    promise = voter.next_vote(book)
     assert promise == Vote(1, (2, "b", 1))
     take(book, PROPOSAL, "a", Proposal(1, (1, "a", 1), Epoch(1)))
-    assert voter.consider(book) is None  # a lower ballot
+    assert voter.next_vote(book) is None  # a lower ballot
     take(book, VOTE, "m", promise, disk=9)
-    assert Voter("m", 9).consider(book) is None  # read back from the disk
+    assert Voter("m", 9).next_vote(book) is None  # read back from the disk
     take(book, PROPOSAL, "b", Proposal(1, (2, "b", 1), Epoch(1, ("b",))))
-    assert voter.consider(book) == Vote(1, (2, "b", 1), (2, "b", 1), Epoch(1, ("b",)))
-    take(book, EPOCH, EPOCHS, Epoch(1, ("x", "y")))
+    assert voter.next_vote(book) == Vote(1, (2, "b", 1), (2, "b", 1), Epoch(1, ("b",)))
+    take(book, EPOCH, EPOCH_OWNER, Epoch(1, ("x", "y")))
     take(book, PROPOSAL, "x", Proposal(2, (1, "x", 1)))
-    assert voter.consider(book) is None  # no voter any more
+    assert voter.next_vote(book) is None  # no voter any more
 
 
 def test_what_runs_is_a_function_of_epoch_and_member() -> None:
     slot = Slot("a", "c", ("m1",), "z", ("m2",))
     canary, quiet = Epoch(3, (), {"t": slot}), Epoch(4, (), {"t": Slot("a", before="z", behind=("m2",))})
     able = frozenset("acz")
-    assert [runs(canary, m, able) for m in ("m0", "m1", "m2")] == [{"t": "a"}, {"t": "c"}, {}]
-    assert [runs(quiet, m, able) for m in ("m0", "m1", "m2")] == [{"t": "a"}, {"t": "a"}, {"t": "z"}]
-    assert runs(canary, "m1", frozenset("a")) == {"t": "a"}  # a canary that has not staged it yet
-    assert runs(quiet, "m0", frozenset("cz")) == {}  # not before all others: nothing, never another version
-    assert slot.versions() == {"a", "c"}
+    assert [active_versions(canary, m, able) for m in ("m0", "m1", "m2")] == [{"t": "a"}, {"t": "c"}, {}]
+    assert [active_versions(quiet, m, able) for m in ("m0", "m1", "m2")] == [
+        {"t": "a"},
+        {"t": "a"},
+        {"t": "z"},
+    ]
+    assert active_versions(canary, "m1", frozenset("a")) == {"t": "a"}  # a canary that has not staged it yet
+    assert (
+        active_versions(quiet, "m0", frozenset("cz")) == {}
+    )  # not before all others: nothing, never another version
+    assert slot.runnable_versions() == {"a", "c"}
 
 
 def test_canaries_differ_from_version_to_version_and_not_from_member_to_member() -> None:
     members = [f"m{i}" for i in range(10)]
-    assert canaries("v", members, 0.2) == canaries("v", reversed(members), 0.2)
-    assert len(canaries("v", members, 0.2)) == 2 and len(canaries("v", members, 0.01)) == 1
-    assert len({canaries(f"v{i}", members, 0.2) for i in range(20)}) > 5
+    assert choose_canaries("v", members, 0.2) == choose_canaries("v", reversed(members), 0.2)
+    assert len(choose_canaries("v", members, 0.2)) == 2 and len(choose_canaries("v", members, 0.01)) == 1
+    assert len({choose_canaries(f"v{i}", members, 0.2) for i in range(20)}) > 5
 
 
 @pytest.mark.parametrize(
     "payload",
     [
         b"", b"\xc1", b"\x93\x01\x02\x03", encode(Order("t", "2", 1, "publish")),
-        encode(Order("t", "1", 1, "publish", bytes(SOURCE_MAX + 1))),
+        encode(Order("t", "1", 1, "publish", bytes(MAX_PUBLISHED_BYTES + 1))),
     ],
 )  # fmt: skip
 def test_what_is_no_record_is_told_and_changes_nothing(payload: bytes) -> None:
     with pytest.raises(ValueError):
         decode(ORDER, "t/1", payload)
     core = Activation("m", 1, 9, Settings(1), random.Random(1))
-    notes = [a for a in core.handle(0.0, Recorded(ORDER, "t/1", (payload,))) if isinstance(a, Note)]
-    assert [note.name for note in notes] == ["transforms.malformed"] and not core.book.orders
+    notes = [a for a in core.handle(0.0, RecordsChanged(ORDER, "t/1", (payload,))) if isinstance(a, LogEvent)]
+    assert [note.name for note in notes] == ["transforms.malformed"] and not core.ledger_state.orders
 
 
 def test_one_gateway_alone_decides_for_itself_and_only_where_it_is_the_whole_fleet() -> None:
     for size, expected in ((1, True), (2, False)):
         core = Activation("m", 1, 9, Settings(size, canary_s=0.0), random.Random(1))
-        ledger: dict[tuple[str, str], Body] = {(ORDER, "t/1"): Order("t", "1", 1, "publish")}
+        ledger: dict[tuple[str, str], ActivationRecord] = {(ORDER, "t/1"): Order("t", "1", 1, "publish")}
         for n in range(40):
             for (kind, key), body in list(ledger.items()):
-                for action in core.handle(n * 0.1, Recorded(kind, key, (encode(body),))):
+                for action in core.handle(n * 0.1, RecordsChanged(kind, key, (encode(body),))):
                     if isinstance(action, Stage):
                         core.handle(n * 0.1, Staged(action.id))
-                    elif isinstance(action, Put):
+                    elif isinstance(action, WriteRecord):
                         ledger[action.kind, action.key] = action.body
             core.handle(n * 0.1, Tick())
         assert (core.active == {"t": "1"}) is expected
@@ -186,9 +200,9 @@
     last = rest(cluster)[-1]
     assert last.slots["t"].active == one and last.slots["t"].why == f"rolled back: {two}"
     assert all(brain.core.active == {"t": one} for brain in cluster.brains.values())
-    orders = [sorted(brain.core.book.orders) for brain in cluster.brains.values()]
+    orders = [sorted(brain.core.ledger_state.orders) for brain in cluster.brains.values()]
     assert cluster.run(
-        20.0, lambda: all(list(b.core.book.orders) == [one] for b in cluster.brains.values())
+        20.0, lambda: all(list(b.core.ledger_state.orders) == [one] for b in cluster.brains.values())
     ), orders
 
 
@@ -209,7 +223,7 @@
         cluster.run(10.0)
         core = cluster.brains["m0"].core
         assert core.epoch.number == 0
-        assert core.waits[""].startswith("the first epoch takes all 5 members, and 4")
+        assert core.wait_reasons[""].startswith("the first epoch takes all 5 members, and 4")
         cluster.start(cluster.members["m4"])
         assert rest(cluster)[-1].slots["t"].active == version
 
@@ -227,7 +241,7 @@
     old = cluster.members["m2"].disk.number
     cluster.lose_disk(cluster.members["m2"])
     cluster.start(cluster.members["m2"])
-    assert cluster.run(20.0, lambda: dict(cluster.brains["m0"].core.epoch.named())["m2"] != old)
+    assert cluster.run(20.0, lambda: dict(cluster.brains["m0"].core.epoch.voter_store_ids())["m2"] != old)
     for name in ("m3", "m4"):
         cluster.stop(cluster.members[name])
     three = cluster.order(cluster.members["m0"], "t", "publish", Level.LOCAL)
@@ -269,7 +283,7 @@
     id = cluster.order(cluster.members["m0"], "t", "publish", Level.ALL)
     cluster.unable[id] = {"m4"}
     cluster.run(2.0)
-    assert cluster.brains["m0"].core.waits == {"t": "staged at 4 of 5: m4: no memory"}
+    assert cluster.brains["m0"].core.wait_reasons == {"t": "staged at 4 of 5: m4: no memory"}
     slot = rest(cluster)[-1].slots["t"]
     assert (slot.active, slot.behind) == (id, ("m4",)) and cluster.brains["m4"].core.active == {"t": old}
     refused = cluster.order(cluster.members["m0"], "t", "publish", Level.ALL)
@@ -304,8 +318,8 @@
     assert all(brain.core.active == {"t": theirs} for brain in cluster.brains.values())
 
 
-@pytest.mark.parametrize(("first", "block"), [(0, records.BLOCK), (5, 2)])
+@pytest.mark.parametrize(("first", "block"), [(0, records.NUMBERS_PER_KEY), (5, 2)])
 def test_random_histories(first: int, block: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(records, "BLOCK", block)  # with 2, keys are left behind all the time
+    monkeypatch.setattr(records, "NUMBERS_PER_KEY", block)  # with 2, keys are left behind all the time
     for seed in range(first, first + 5):
         assert play(seed).violations == [], f"seed {seed}"
--- a/tests/test_activation_parts.py
+++ b/tests/test_activation_parts.py
@@ -13,8 +13,8 @@
 from cloverkeel.errors import ConfigError
 from cloverkeel.fleet import needs
 from cloverkeel.gateway import Gateway
-from cloverkeel.transforms.activation.command import lines
-from cloverkeel.transforms.activation.engine import Engine, vetted
+from cloverkeel.transforms.activation.command import status_lines
+from cloverkeel.transforms.activation.engine import Engine, compile_checked
 from tests.helpers import trip
 from tests.sockets import configuration, on_loop
 
@@ -64,10 +64,10 @@
 
 def test_a_version_is_vetted_before_it_is_kept() -> None:
     case = b' case "c" { out "x-mark: %d" }'
-    assert vetted(SOURCE + case % 1).manifest.name == "mark"
+    assert compile_checked(SOURCE + case % 1).manifest.name == "mark"
     for source, says in ((SOURCE + case % 2, 'case "c"'), (b"transform", "1:"), (b"\xff", "not UTF-8")):
         with pytest.raises(ValueError, match=says):
-            vetted(source)
+            compile_checked(source)
 
 
 @on_loop
@@ -75,14 +75,14 @@
     gateway = Gateway(parse(configuration()))
     told: list[tuple[str, bool]] = []
     engine = Engine(gateway, lambda id, is_open: told.append((id, is_open)))
-    assert engine.install("1", "mark", vetted(SOURCE)) == ""
-    assert engine.install("2", "other", vetted(SOURCE)) == "its own name is mark"
+    assert engine.install("1", "mark", compile_checked(SOURCE)) == ""
+    assert engine.install("2", "other", compile_checked(SOURCE)) == "its own name is mark"
     engine.activate({"mark": "1"})
     assert gateway.transforms is not None
     (installed,) = gateway.transforms.installed
     trip(installed.breaker, 0)
-    installed._tell(State.OPEN)
-    installed._tell(State.CLOSED)
+    installed._notify_listeners(State.OPEN)
+    installed._notify_listeners(State.CLOSED)
     assert told == [("1", True), ("1", False)]
     engine.activate({})
     assert gateway.transforms is None  # nothing to pay for in the request path
@@ -107,7 +107,7 @@
         "member": "m1", "epoch": 4, "may_decide": True, "first": "m1", "waits": {"": "4 members are known"},
         "transforms": [entry], "members": members,
     }  # fmt: skip
-    assert lines(status) == [
+    assert status_lines(status) == [
         "epoch 4 as m1 sees it; 1 of 2 live members run it; m1 proposes",
         "  blocked: 4 members are known",
         "mark: canary; candidate v1 (abababababab); canaries m1; left behind m2; staged at 2 of 3",
--- a/tests/test_gateway_routes.py
+++ b/tests/test_gateway_routes.py
@@ -9,8 +9,8 @@
 
 from cloverkeel.config import parse
 from cloverkeel.fleet.routes.serving import RouteTable
-from cloverkeel.transforms.active import ActiveSet, Installed
-from cloverkeel.transforms.engine import compile
+from cloverkeel.transforms.active_set import ActiveSet, InstalledTransform
+from cloverkeel.transforms.compiler import compile
 from cloverkeel.transforms.source import parse as parse_source
 from tests.sockets import (
     answers,
@@ -27,9 +27,9 @@
 from tests.test_routes_index import route, view
 
 
-def transform(name: str, phase: str = "request") -> Installed:
+def transform(name: str, phase: str = "request") -> InstalledTransform:
     source = f'transform {name} owner o phase {phase} writes x-by add x-by = "{name}"'
-    return Installed(compile(parse_source(source.encode())))
+    return InstalledTransform(compile(parse_source(source.encode())))
 
 
 def routed(*hosts: Any) -> dict[str, Any]:
@@ -108,10 +108,10 @@
 
 def test_a_chain_is_made_once_for_each_set() -> None:
     active = ActiveSet(transform("a"), transform("b"))
-    made = active.chained(("b", "a"))
-    assert made is active.chained(("b", "a")) and active.chained(()) is not made
+    made = active.for_chain(("b", "a"))
+    assert made is active.for_chain(("b", "a")) and active.for_chain(()) is not made
     assert made.request(b"k", b"c", b"/k", [], "i") == [(b"x-by", b"b"), (b"x-by", b"a")]
-    assert active.chained(()).request(b"k", b"c", b"/k", [], "i") == []
+    assert active.for_chain(()).request(b"k", b"c", b"/k", [], "i") == []
 
 
 @on_loop
--- a/tests/test_routes_shell.py
+++ b/tests/test_routes_shell.py
@@ -312,7 +312,7 @@
 async def test_the_world_is_told_anew_as_the_list_or_what_is_published_changes() -> None:
     config = parse(configuration())
     wanted: dict[str, Order] = {}
-    book = SimpleNamespace(wanted=lambda: wanted)
+    book = SimpleNamespace(versions_to_stage=lambda: wanted)
     transforms: Any = SimpleNamespace(activator=None)
     gateway: Any = SimpleNamespace(
         names=config.names, listed_hosts={}, discovery=SimpleNamespace(index=1, epoch=None)
@@ -320,7 +320,7 @@
     worlds = GatewayEnvironment(gateway, {}, transforms)
     first = await worlds.poll_changed()
     assert first is not None and first.transforms is None and await worlds.poll_changed() is None
-    transforms.activator = SimpleNamespace(core=SimpleNamespace(book=book))
+    transforms.activator = SimpleNamespace(core=SimpleNamespace(ledger_state=book))
     assert await worlds.poll_changed() == dataclasses.replace(first, transforms={})
     source = b'transform t owner o phase request writes x-a set x-a = "1"'
     wanted |= {"1": Order("t", "1", 1, "publish", source), "2": Order("t", "2", 2, "publish", b"?")}
--- a/tests/test_transforms.py
+++ b/tests/test_transforms.py
@@ -13,7 +13,7 @@
 
 from cloverkeel.http1 import HEAD_LIMIT, Header
 from cloverkeel.transforms import guard
-from cloverkeel.transforms.engine import Compiled, compile, failed_cases
+from cloverkeel.transforms.compiler import Compiled, compile, failed_cases
 from cloverkeel.transforms.protocol import Failure, Head, Manifest
 from cloverkeel.transforms.source import SourceError, parse
 
@@ -164,7 +164,7 @@
     ]  # fmt: skip
     program = (
         "import resource, sys\n"
-        "from cloverkeel.transforms.engine import compile\n"
+        "from cloverkeel.transforms.compiler import compile\n"
         "from cloverkeel.transforms.protocol import Head\n"
         "from cloverkeel.transforms.source import parse\n"
         "peak = lambda: resource.getrusage(resource.RUSAGE_SELF).ru_maxrss\n"
@@ -269,7 +269,7 @@
     if isinstance(result, Head):
         assert guard.differs_only_in(compiled.manifest.writes, came.headers, result.headers)
         new = set(result.headers) - set(headers)
-        assert all(guard.VALUE.fullmatch(value) for _, value in new)
+        assert all(guard.HEADER_VALUE.fullmatch(value) for _, value in new)
 
 
 @given(st.one_of(st.binary(max_size=200), st.text(max_size=200).map(lambda t: (MANIFEST + t).encode())))
--- a/tests/test_transforms_active.py
+++ b/tests/test_transforms_active.py
@@ -16,9 +16,9 @@
 from cloverkeel.errors import ConfigError
 from cloverkeel.http1 import Header
 from cloverkeel.fleet import events, invariants
-from cloverkeel.transforms import guard, local
-from cloverkeel.transforms.active import ActiveSet, Installed, Refused
-from cloverkeel.transforms.engine import compile
+from cloverkeel.transforms import guard, loader
+from cloverkeel.transforms.active_set import ActiveSet, InstalledTransform, Refused
+from cloverkeel.transforms.compiler import compile
 from cloverkeel.transforms.protocol import Head
 from cloverkeel.transforms.source import parse as parse_source
 from faultlab.lab import configuration as lab_configuration
@@ -36,10 +36,10 @@
 
 def installed(
     body: str, more: str = "", share: float = 1.0, clock: Clock | None = None, name: str = "t"
-) -> Installed:
+) -> InstalledTransform:
     phase = "" if "phase" in more else "phase request"
     source = f"transform {name} owner o {phase} {more} reads a writes a, b {body}"
-    return Installed(compile(parse_source(source.encode())), share, clock or Clock())
+    return InstalledTransform(compile(parse_source(source.encode())), share, clock or Clock())
 
 
 def ask(
@@ -73,7 +73,7 @@
     clock = Clock()
     version = installed('when header("a") == "1" { fail "no" } set b = "x"', clock=clock)
     told: list[tuple[str, State]] = []
-    version.on_trip(lambda name, sha256, state: told.append((name, state)))
+    version.on_breaker_change(lambda name, sha256, state: told.append((name, state)))
     active = ActiveSet(version)
     for _ in range(MINIMUM + 4):
         assert ask(active) == CAME
@@ -167,7 +167,7 @@
     bad.write_text("transform t owner o")
     raw = lab_configuration("n", 1, "127.0.0.1:1", [])
     settings = parse(raw | {"transforms": {"files": [str(good)]}}).transforms
-    assert settings is not None and local.load(settings).request(b"", b"", b"", [], "i") == [(b"b", b"x")]
+    assert settings is not None and loader.load(settings).request(b"", b"", b"", [], "i") == [(b"b", b"x")]
     assert parse(raw).transforms is None
     wrongs: tuple[object, ...] = ([], {"files": "x"}, {"file": []}, {"plugins": [1]})
     for wrong in wrongs:
@@ -180,7 +180,7 @@
         named = parse(raw | {"transforms": {key: [name]}}).transforms
         assert named is not None
         with pytest.raises(ConfigError, match=why):
-            local.load(named)
+            loader.load(named)
     # An entry point as an installed distribution registers it.
     module = tmp_path / "shipped_mark.py"
     module.write_text(
@@ -198,9 +198,11 @@
         "[firledge.transforms]\nmark = shipped_mark:mark\nnone = shipped_mark:none\n"
     )
     monkeypatch.syspath_prepend(tmp_path)
-    assert ActiveSet(Installed(local.plugin("mark"))).request(b"", b"", b"", [], "i") == [(b"b", b"shipped")]
+    assert ActiveSet(InstalledTransform(loader.load_plugin("mark"))).request(b"", b"", b"", [], "i") == [
+        (b"b", b"shipped")
+    ]
     with pytest.raises(ConfigError, match="none cannot be loaded"):
-        local.plugin("none")
+        loader.load_plugin("none")
 
 
 def test_a_gateway_without_transforms_imports_nothing_of_them() -> None:
--- a/tests/test_transforms_comparing.py
+++ b/tests/test_transforms_comparing.py
@@ -13,16 +13,16 @@
 from caperdrift.policy.breaker import COOLDOWN_US, State
 from cloverkeel.config import parse
 from cloverkeel.gateway import Gateway
-from cloverkeel.transforms.activation.engine import COMPARED, Engine, vetted
-from cloverkeel.transforms.active import ActiveSet, Installed
-from cloverkeel.transforms.comparing import LEAST, WINDOW, Comparison, chance
+from cloverkeel.transforms.activation.engine import CANDIDATE_SHARE, Engine, compile_checked
+from cloverkeel.transforms.active_set import ActiveSet, InstalledTransform
+from cloverkeel.transforms.comparison import MIN_CALLS_EACH, WINDOW_CALLS, Comparison, fisher_p_value
 from tests.sockets import configuration, on_loop, peer, reply, request, running
 
 SOURCE = 'transform mark owner o phase %s applies class transfer writes x-mark set x-mark = "%d"'
 
 
-def version(number: int = 1, share: float = COMPARED, clock: Any = lambda: 0) -> Installed:
-    return Installed(vetted((SOURCE % ("request", number)).encode()), share, clock)
+def version(number: int = 1, share: float = CANDIDATE_SHARE, clock: Any = lambda: 0) -> InstalledTransform:
+    return InstalledTransform(compile_checked((SOURCE % ("request", number)).encode()), share, clock)
 
 
 @pytest.mark.parametrize(
@@ -30,7 +30,7 @@
     [((3, 4, 1, 4), 17 / 70), ((5, 5, 0, 5), 1 / 252), ((0, 5, 3, 5), 1.0), ((4, 4, 4, 4), 1.0)],
 )
 def test_the_chance_is_fishers(numbers: tuple[int, int, int, int], expected: float) -> None:
-    assert math.isclose(chance(*numbers), expected)
+    assert math.isclose(fisher_p_value(*numbers), expected)
 
 
 @pytest.mark.parametrize("base", [0.01, 0.2, 0.9])
@@ -41,23 +41,27 @@
         for n in range(300):
             all_fail = 100 < n < 160
             failed = rng.random() < (1.0 if all_fail else base)
-            verdicts += comparison.enter(str(n), rng.random() < COMPARED, failed)
+            verdicts += comparison.record(str(n), rng.random() < CANDIDATE_SHARE, failed)
     assert verdicts == 0
 
 
 def test_a_version_that_hosts_fail_is_found_soon_and_the_reason_has_the_numbers() -> None:
     rng, comparison = random.Random(5), Comparison()
-    found = next(n for n in range(WINDOW) if comparison.enter(str(n), lot := rng.random() < COMPARED, lot))
-    assert 2 * LEAST <= found < 60
+    found = next(
+        n
+        for n in range(WINDOW_CALLS)
+        if comparison.record(str(n), lot := rng.random() < CANDIDATE_SHARE, lot)
+    )
+    assert 2 * MIN_CALLS_EACH <= found < 60
     assert str(comparison).startswith("hosts failed ") and str(comparison).endswith(" without")
     assert ", 0 of " in str(comparison)
 
 
 def test_one_client_that_retries_one_call_is_one_call() -> None:
     comparison = Comparison()
-    for n in range(WINDOW):
-        assert not comparison.enter(str(n), n % 2 == 0, False)
-    assert not any(comparison.enter("0", True, True) for _ in range(100))
+    for n in range(WINDOW_CALLS):
+        assert not comparison.record(str(n), n % 2 == 0, False)
+    assert not any(comparison.record("0", True, True) for _ in range(100))
     assert str(comparison) == "hosts failed 1 of 100 calls with it, 0 of 100 without"
 
 
@@ -65,25 +69,25 @@
     now_us = [0]
     new = version(2, clock=lambda: now_us[0])
     told: list[State] = []
-    new.on_trip(lambda _name, _sha256, state: told.append(state))
+    new.on_breaker_change(lambda _name, _sha256, state: told.append(state))
     active = ActiveSet(version(1, 1.0), new)
-    assert active.compares and not ActiveSet(version(1, 1.0)).compares
+    assert active.needs_outcomes and not ActiveSet(version(1, 1.0)).needs_outcomes
 
     def calls(start: int, count: int) -> int:
         harmed = 0
         for n in range(start, start + count):
             headers = active.request(b"transfer", b"", b"/transfer", [], f"c{n}")
             harmed += (failed := headers == [(b"x-mark", b"2")])
-            active.answered(b"search", b"", b"/search", f"o{n}", True)  # not its calls
-            active.answered(b"transfer", b"", b"/transfer", f"c{n}", failed)
+            active.record_outcome(b"search", b"", b"/search", f"o{n}", True)  # not its calls
+            active.record_outcome(b"transfer", b"", b"/transfer", f"c{n}", failed)
         return harmed
 
     assert calls(0, 300) < 60 and told == [State.OPEN]
     assert new.status()["last_failure"].startswith("hosts failed") and new.counts["worse"] == 1
     now_us[0] += COOLDOWN_US
     assert calls(300, 50) <= 3 and told[-1] is State.OPEN and len(told) > 1
-    new.take(1.0)  # active on all: nothing to compare it with
-    assert not ActiveSet(new).compares
+    new.set_share(1.0)  # active on all: nothing to compare it with
+    assert not ActiveSet(new).needs_outcomes
 
 
 @on_loop
@@ -91,18 +95,18 @@
     gateway = Gateway(parse(configuration()))
     engine = Engine(gateway, lambda _id, _is_open: None)
     for id, phase in (("1", "request"), ("2", "request"), ("3", "response")):
-        engine.install(id, "mark", vetted((SOURCE % (phase, 1)).encode()))
+        engine.install(id, "mark", compile_checked((SOURCE % (phase, 1)).encode()))
 
     def shares() -> list[float]:
         assert gateway.transforms is not None
         return [each.share for each in gateway.transforms.installed]
 
     engine.activate({"mark": "1"}, {"mark": ""})
-    assert shares() == [COMPARED]
+    assert shares() == [CANDIDATE_SHARE]
     engine.activate({"mark": "1"})
     assert shares() == [1.0]
     engine.activate({"mark": "2"}, {"mark": "1"})
-    assert shares() == [COMPARED, 1.0]
+    assert shares() == [CANDIDATE_SHARE, 1.0]
     engine.activate({"mark": "3"}, {"mark": "1"})
     assert shares() == [1.0]  # hosts never see what it does
     gateway.close()
