--- a/cloverkeel/fleet/ledger/shell.py
+++ b/cloverkeel/fleet/ledger/shell.py
@@ -99,12 +99,12 @@
 
     async def write(
         self, kind: str, key: str, payload: bytes, context: Context,
-        wait: Level = Level.LOCAL, timeout_s: float = 5.0, tell: str = "",
+        wait: Level = Level.LOCAL, timeout_s: float = 5.0, notify: str = "",
     ) -> WriteResult:  # fmt: skip
         """Write under the context that the key was read in. `Acknowledged`: so many members hold it on disk;
         `NotConfirmed`: kept, and its level was not reached in time. Raises WriteRefused: not kept."""
         return await self._submit(
-            Write(self._next_write_id(), kind, key, payload, context, wait, timeout_s, tell)
+            Write(self._next_write_id(), kind, key, payload, context, wait, timeout_s, notify)
         )
 
     async def delete(
--- a/cloverkeel/transforms/activation/shell.py
+++ b/cloverkeel/transforms/activation/shell.py
@@ -153,7 +153,7 @@
             if isinstance(action, Put):
                 # At a quorum it is told to all at once, and again to those that are silent.
                 wait = Level.LOCAL if action.to else Level.QUORUM
-                await self.ledger.write(kind, key, encode(action.body), context, wait, tell=action.to)
+                await self.ledger.write(kind, key, encode(action.body), context, wait, notify=action.to)
             else:
                 await self.ledger.delete(kind, key, context)
         except WriteRefused as error:
