--- a/cloverkeel/fleet/ledger/__init__.py
+++ b/cloverkeel/fleet/ledger/__init__.py
@@ -1,1 +1,1 @@
-"""The shared ledger: small versioned records that every gateway holds (docs/ledger.md)."""
+"""The ledger: a replicated store of small versioned records, held by every gateway (docs/ledger.md)."""
--- a/cloverkeel/fleet/ledger/fetches.py
+++ b/cloverkeel/fleet/ledger/fetches.py
@@ -1,7 +1,8 @@
-"""Payloads on their way: pieces asked of one member at a time, the whole checked against its hash.
+"""Fetches payloads from other members, piece by piece, and checks each payload against its SHA-256.
 
-A payload is fetched whole from one member, so that one which does not match names its liar. Members that told
-of the head are asked first, then its writer, then the others in random order; each has `piece_s` for a piece.
+All pieces of a payload are fetched from one member, so that a hash mismatch identifies the member at fault.
+Members that sent the head are asked first, then its writer, then the other live members in random order. Each
+piece has to arrive within `piece_timeout_s`.
 """
 
 from __future__ import annotations
@@ -19,38 +20,40 @@
 
 @dataclasses.dataclass
 class Transfer:
-    """One payload that is wanted, and the heads that wait for it."""
+    """One payload that is being fetched, and the heads that wait for it."""
 
     sha256: bytes
     size: int
-    since_s: float
+    since_s: float  # when the payload was first requested
     heads: dict[Dot, Record]
-    sources: list[str]  # members to ask first
-    candidates: list[str] = dataclasses.field(default_factory=list)
-    asked_member: str | None = None  # the member whose piece is awaited
-    piece_length: int = 0  # of that piece, in bytes
-    due_s: float = 0.0  # its answer; with nobody asked, the next round
-    received: bytearray = dataclasses.field(default_factory=bytearray)
+    sources: list[str]  # members that sent one of the heads: asked first
+    candidates: list[str] = dataclasses.field(default_factory=list)  # still to be asked in this round
+    asked_member: str | None = None  # whose piece is outstanding; None: no request is
+    piece_length: int = 0  # bytes requested in that piece
+    due_s: float = 0.0  # deadline of the outstanding piece, or when to ask the next member
+    received: bytearray = dataclasses.field(default_factory=bytearray)  # from the member asked, so far
 
 
 @dataclasses.dataclass
 class PayloadFetches:
+    """All payload transfers of a member, within the limits on pending heads and on pieces in flight."""
+
     settings: Settings
     rng: random.Random
-    transfers: dict[bytes, Transfer] = dataclasses.field(default_factory=dict)
-    pending: dict[Dot, bytes] = dataclasses.field(default_factory=dict)  # to the payload it waits for
+    transfers: dict[bytes, Transfer] = dataclasses.field(default_factory=dict)  # by SHA-256
+    pending: dict[Dot, bytes] = dataclasses.field(default_factory=dict)  # head to SHA-256 of its payload
     pending_by_writer: collections.Counter[str] = dataclasses.field(default_factory=collections.Counter)
-    distrusted: dict[str, float] = dataclasses.field(default_factory=dict)  # member to until when
-    in_flight: int = 0  # pieces
+    distrusted: dict[str, float] = dataclasses.field(default_factory=dict)  # member, and until when
+    in_flight: int = 0  # pieces requested and not received
     in_flight_bytes: int = 0
-    mismatched: int = 0
-    given_up: int = 0
+    mismatched: int = 0  # payloads that did not match their SHA-256
+    given_up: int = 0  # heads dropped because their payload did not arrive within `give_up_s`
 
-    def add(self, now_s: float, record: Record, teller: str) -> bool:
-        """Want the payload of a head; False where too many wait already."""
+    def add(self, now_s: float, record: Record, sender: str) -> bool:
+        """Starts fetching the payload of a head; False if the head cannot be accepted now."""
         limits = self.settings.limits
         if record.dot in self.pending:
-            self._add_source(self.transfers[record.sha256], teller)
+            self._add_source(self.transfers[record.sha256], sender)
             return True
         if (
             len(self.pending) >= limits.pending
@@ -62,21 +65,21 @@
             transfer = Transfer(record.sha256, record.size, now_s, {}, [])
             self.transfers[record.sha256] = transfer
         elif transfer.size != record.size:
-            return False  # one of the two heads is wrong: this one is offered again once the other is through
-        self._add_source(transfer, teller)
+            return False  # one of the two heads is wrong: this one is offered again once the other is done
+        self._add_source(transfer, sender)
         transfer.heads[record.dot] = record
         self.pending[record.dot] = record.sha256
         self.pending_by_writer[record.dot.member] += 1
         return True
 
     def remove_heads(self, obsolete: Callable[[Record], bool]) -> None:
-        """Let go the heads that are superseded by now."""
+        """Drops the heads for which `obsolete` holds, and transfers that no head needs any more."""
         for transfer in list(self.transfers.values()):
             for record in [r for r in transfer.heads.values() if obsolete(r)]:
                 self._remove_head(transfer, record)
 
     def next_fetches(self, now_s: float, live: Sequence[str]) -> list[tuple[str, Fetch]]:
-        """What to send: the next piece of each payload that waits for none, within the bound in flight."""
+        """The requests to send now: the next piece of each transfer with none outstanding, within limits."""
         sends: list[tuple[str, Fetch]] = []
         if not self.transfers or self._at_limit():
             return sends
@@ -95,10 +98,14 @@
     def on_piece(
         self, now_s: float, member: str, piece: Piece
     ) -> tuple[list[tuple[str, Fetch]], list[Record], bytes]:
-        """A piece has come: what to send now, and the heads whose payload (the last) is whole and sound."""
+        """Handles a piece of a payload.
+
+        Returns the requests to send and, once a payload is complete and matches its hash, the heads that
+        waited for it and the payload itself.
+        """
         transfer = self.transfers.get(piece.sha256)
         if transfer is None or transfer.asked_member != member or piece.offset != len(transfer.received):
-            return [], [], b""  # late, doubled, or never asked for
+            return [], [], b""  # late, duplicated, or never requested
         if piece.data is None or piece.size != transfer.size or len(piece.data) != transfer.piece_length:
             self._restart(transfer, now_s)
             return [], [], b""
@@ -112,12 +119,13 @@
             self.mismatched += 1
             self.distrusted[member] = now_s + self.settings.distrust_s
             return [], [], b""
-        whole = list(transfer.heads.values())
-        for record in whole:
+        completed = list(transfer.heads.values())
+        for record in completed:
             self._remove_head(transfer, record)
-        return [], whole, payload
+        return [], completed, payload
 
     def tick(self, now_s: float) -> None:
+        """Ends distrust, and transfers and piece requests whose time is over."""
         self.distrusted = {m: until for m, until in self.distrusted.items() if until > now_s}
         for transfer in list(self.transfers.values()):
             if now_s - transfer.since_s >= self.settings.give_up_s:
@@ -127,11 +135,12 @@
             elif transfer.asked_member is not None and now_s >= transfer.due_s:
                 self._restart(transfer, now_s)
 
-    def _add_source(self, transfer: Transfer, teller: str) -> None:
-        if teller not in transfer.sources and len(transfer.sources) < self.settings.fanout:
-            transfer.sources.append(teller)
+    def _add_source(self, transfer: Transfer, sender: str) -> None:
+        if sender not in transfer.sources and len(transfer.sources) < self.settings.fanout:
+            transfer.sources.append(sender)
 
     def _next_member(self, now_s: float, transfer: Transfer, members: Sequence[str]) -> str | None:
+        """The next member to ask, or None if all of this round are distrusted."""
         if not transfer.candidates:
             first = [*transfer.sources, *sorted({dot.member for dot in transfer.heads})]
             others = [member for member in members if member not in first]
@@ -144,6 +153,7 @@
         return None
 
     def _request_piece(self, now_s: float, transfer: Transfer, member: str) -> Fetch:
+        """The request for the next piece of the payload, counted as in flight."""
         transfer.asked_member, transfer.due_s = member, now_s + self.settings.piece_timeout_s
         transfer.piece_length = min(PIECE_BYTES, transfer.size - len(transfer.received))
         self.in_flight += 1
@@ -151,7 +161,7 @@
         return Fetch(transfer.sha256, len(transfer.received), transfer.piece_length)
 
     def _end_request(self, transfer: Transfer) -> None:
-        """Its piece is here, or is not waited for any more."""
+        """Ends the outstanding piece request, if any: the piece has arrived or is no longer awaited."""
         if transfer.asked_member is not None:
             self.in_flight -= 1
             self.in_flight_bytes -= transfer.piece_length
@@ -162,7 +172,7 @@
         return self.in_flight >= limits.pieces or self.in_flight_bytes + PIECE_BYTES > limits.piece_bytes
 
     def _restart(self, transfer: Transfer, now_s: float) -> None:
-        """Nobody is asked for this payload any more, and what came is not kept: the next begins anew."""
+        """Stops fetching from the current member and discards what it sent: the next starts at offset 0."""
         self._end_request(transfer)
         transfer.due_s = now_s if transfer.candidates else now_s + self.settings.piece_timeout_s
         transfer.received = bytearray()
--- a/cloverkeel/fleet/ledger/ledger.py
+++ b/cloverkeel/fleet/ledger/ledger.py
@@ -1,7 +1,7 @@
-"""The core of the shared ledger: events in, actions out, no clock and no I/O. docs/ledger.md is its design.
+"""The protocol core of the ledger: events in, actions out, no clock and no I/O. docs/ledger.md is its design.
 
-Every change of state, own or heard, is staged, planned in a batch, persisted and only then applied, one batch
-at a time: what this member says it holds is on its disk.
+Every change of state, by an own write or from another member, is staged, planned as part of a batch, written
+to disk and only then applied, one batch at a time: what this member reports to hold is on its disk.
 """
 
 from __future__ import annotations
@@ -53,12 +53,15 @@
 from cloverkeel.fleet.ledger.pending_acks import PendingAck, PendingAcks
 from cloverkeel.fleet.ledger.writes import prepare
 
-BATCH_OPS = 64  # operations of one batch
+BATCH_OPS = 64  # most operations in one batch
 
 
 class Ledger:
-    """One member's ledger. `incarnation`: drawn anew at each start, never used by another life; `puts` and
-    `context`: as `store` loaded them."""
+    """One member's ledger.
+
+    `incarnation`: random for each start, so that no two process runs share one; `puts` and `context`: as
+    loaded from the store.
+    """
 
     def __init__(
         self,
@@ -74,38 +77,40 @@
         self.replica.load(puts, context or Context())
         self.intake = Intake((member, incarnation), settings, self.replica, rng)
         self.pending_acks = PendingAcks(member, settings.size)
-        self.counter = 0
-        self.live: tuple[str, ...] = ()
+        self.counter = 0  # of this member's newest write
+        self.live: tuple[str, ...] = ()  # other members, as in ViewChanged
         self.gone: tuple[str, ...] = ()
         self.settling = Settling(settings.reap_after_s)
-        self.peer_contexts: dict[str, Context] = {}
-        # Own writes that are staged or in the batch, and until when; None: told that the disk did not answer.
+        self.peer_contexts: dict[str, Context] = {}  # the newest received from each member of the view
+        # Own writes that are staged or being written to disk, and their deadlines. A write becomes None once
+        # it has missed its deadline and has been reported as not confirmed.
         self.unpersisted: dict[Dot, tuple[Write | Delete | None, float]] = {}
-        self.staged: list[Op] = []
-        self.batch = 0
-        self.persisting: tuple[list[Op], Delta] | None = None  # the batch at the disk
-        self.next_forward_s = 0.0  # when what has come is passed on next
+        self.staged: list[Op] = []  # for the next batches
+        self.batch = 0  # number of the newest batch
+        self.persisting: tuple[list[Op], Delta] | None = None  # the batch that is being written to disk
+        self.next_forward_s = 0.0  # when new heads are forwarded next
         self.next_compare_s = 0.0  # when the next comparison is due
-        self.compare_turn = 0  # of the live members, to compare with while unsettled
-        self.to_forward: list[tuple[Record, str]] = []  # taken in, and who told of each: for the next tick
+        self.compare_turn = 0  # picks the members to compare with in turn while unsettled
+        self.to_forward: list[tuple[Record, str]] = []  # new heads to forward, and who sent each
         self.persist_failures = 0
 
-    # What a user of the ledger reads.
+    # Reading.
 
     def read(self, kind: str, key: str) -> tuple[tuple[tuple[Record, bytes | None], ...], Context]:
-        """The siblings of a key with their payloads (tombstones: None), and the context to write under."""
-        found = self.replica.siblings((kind, key))
+        """The siblings of a key with payloads (tombstones: None), and the context to pass with a write."""
+        siblings = self.replica.siblings((kind, key))
         payloads = self.replica.payloads
-        records = tuple((r, None if r.deleted else payloads[r.sha256]) for r in found)
+        records = tuple((r, None if r.deleted else payloads[r.sha256]) for r in siblings)
         return records, self.replica.key_context((kind, key))
 
     def keys(self, kind: str) -> list[str]:
-        return sorted(key for its, key in self.replica.by_key if its == kind)
+        """The keys of a kind that have records, tombstones included, sorted."""
+        return sorted(key for record_kind, key in self.replica.by_key if record_kind == kind)
 
     # Events.
 
     def handle(self, now_s: float, event: Event) -> list[Action]:
-        """What `event` leads to. Raises nothing for anything that others may send."""
+        """The actions that follow from `event`. No message from another member makes it raise."""
         out: list[Action] = []
         match event:
             case Write() | Delete():
@@ -133,13 +138,14 @@
         return out
 
     def _on_write(self, now_s: float, event: Write | Delete, out: list[Action]) -> None:
+        """Stages an own write, or refuses it."""
         limits = self.settings.limits
         dot = Dot(self.own_name, self.incarnation, self.counter + 1)
         put: Put | str = prepare(self.replica, event, dot)
         if len(self.unpersisted) >= limits.staged:
-            put = f"over {limits.staged} writes that wait for the disk"
+            put = f"over {limits.staged} writes wait for the disk"
         elif len(self.pending_acks.by_dot) >= limits.waiting and event.wait is not Level.LOCAL:
-            put = f"over {limits.waiting} writes that wait for a level"
+            put = f"over {limits.waiting} writes wait for confirmations from other members"
         if isinstance(put, str):
             out.append(Refused(event.id, put))
             return
@@ -169,11 +175,11 @@
             case Piece():
                 fetches = self.intake.fetches
                 before = fetches.mismatched
-                sends, whole, payload = fetches.on_piece(now_s, member, message)
+                sends, complete, payload = fetches.on_piece(now_s, member, message)
                 if fetches.mismatched > before:
                     out.append(LogEvent("ledger.payload_mismatched", (("member", member),)))
                 out += [Send(to, fetch) for to, fetch in sends]
-                self.staged += [self.intake.stage(Put(record, payload)) for record in whole]
+                self.staged += [self.intake.stage(Put(record, payload)) for record in complete]
             case Digest():
                 self._record_peer(member, anti_entropy.sender_context(replica, message), message.settled)
                 outcome = anti_entropy.on_digest(replica, settled, idle, message)
@@ -190,6 +196,7 @@
     def _apply_comparison(
         self, now_s: float, member: str, outcome: anti_entropy.ComparisonOutcome, out: list[Action]
     ) -> None:
+        """Stages the join, if it changes anything, and sends the messages."""
         join = outcome.join
         if join is not None and (join.drops or not self.replica.context.includes(join.context)):
             self.staged.append(join)
@@ -200,6 +207,7 @@
             self.next_compare_s = min(self.next_compare_s, now_s + self.settings.recompare_s)
 
     def _on_persisted(self, now_s: float, batch: int, out: list[Action]) -> None:
+        """The batch is on disk: applies it, and reports it to writers, other members and readers."""
         if self.persisting is None or batch != self.batch:
             return
         ops, delta = self.persisting
@@ -215,7 +223,7 @@
                 continue
             dot = op.record.dot
             write, until_s = self.unpersisted.pop(dot, (None, 0.0))
-            teller, waiting = self.intake.on_persisted(dot)
+            sender, waiting = self.intake.on_persisted(dot)
             if dot in delta.refused:
                 if write is not None:
                     out.append(Refused(write.id, delta.refused[dot]))
@@ -224,25 +232,25 @@
                 continue
             if write is not None:
                 self._on_own_write_persisted(now_s, op.record, write, until_s, out)
-            elif teller:
-                self.to_forward.append((op.record, teller))
+            elif sender:
+                self.to_forward.append((op.record, sender))
             for member in waiting:
                 confirmed.setdefault(member, []).append(dot)
         for member, dots in confirmed.items():
             out.append(Send(member, Held(tuple(dots))))
         for kind, key in sorted(touched):
-            exposed, context = self.read(kind, key)
-            out.append(KeyChanged(kind, key, exposed, context))
+            records, context = self.read(kind, key)
+            out.append(KeyChanged(kind, key, records, context))
         self._acknowledge_reached(out)
 
     def _on_own_write_persisted(
         self, now_s: float, record: Record, write: Write | Delete, until_s: float, out: list[Action]
     ) -> None:
-        """An own write is on disk: acknowledged, or told to all until its level is reached."""
-        wait = PendingAck(
+        """Sends an own write that is on disk to others: to all if its level needs their confirmation."""
+        pending = PendingAck(
             write.id, record, write.wait, until_s, now_s + self.settings.resend_s, {self.own_name}
         )
-        self.pending_acks.by_dot[record.dot] = wait
+        self.pending_acks.by_dot[record.dot] = pending
         if write.wait is not Level.LOCAL:
             self._send_heads(out, self.live, [record], fresh=True, confirm=True)
             return
@@ -251,6 +259,7 @@
             self._send_heads(out, [write.notify], [record], fresh=True)
 
     def _on_persist_failed(self, now_s: float, batch: int, reason: str, out: list[Action]) -> None:
+        """The batch is not on disk: refuses its own writes, and retries what came from other members."""
         if self.persisting is None or batch != self.batch:
             return
         ops, _ = self.persisting
@@ -258,14 +267,14 @@
         self.persist_failures += 1
         for op in ops:
             if not isinstance(op, Put):
-                continue  # the next comparison finds it again
+                continue  # a join: the next comparison computes it again
             if op.record.dot not in self.unpersisted:
                 self.intake.on_persist_failed(now_s, op)
                 continue
             write, _ = self.unpersisted.pop(op.record.dot)
             self.intake.on_persisted(op.record.dot)
             if write is not None:
-                out.append(Refused(write.id, f"the disk did not take it: {reason}"))
+                out.append(Refused(write.id, f"the disk did not take the write: {reason}"))
 
     def _on_tick(self, now_s: float, out: list[Action]) -> None:
         self.staged += self.intake.tick(now_s)
@@ -275,39 +284,47 @@
         for dot, (write, until_s) in self.unpersisted.items():
             if write is not None and now_s >= until_s:
                 self.unpersisted[dot] = None, until_s
-                out.append(NotConfirmed(write.id, dot, "the disk has not answered: not known whether kept"))
-        for wait in self.pending_acks.pop_expired(now_s):
+                out.append(
+                    NotConfirmed(
+                        write.id,
+                        dot,
+                        "the disk has not answered in time: it is not known whether the write is kept",
+                    )
+                )
+        for pending in self.pending_acks.pop_expired(now_s):
             out.append(
                 NotConfirmed(
-                    wait.id, wait.record.dot, self.pending_acks.timeout_reason(wait, self.live, self.gone)
+                    pending.id,
+                    pending.record.dot,
+                    self.pending_acks.timeout_reason(pending, self.live, self.gone),
                 )
             )
-        for wait in self.pending_acks.by_dot.values():
-            if now_s >= wait.next_resend_s:
-                wait.next_resend_s = now_s + self.settings.resend_s
-                behind = [m for m in self.live if m not in wait.holders]
-                self._send_heads(out, behind, [wait.record], fresh=True, confirm=True)
+        for pending in self.pending_acks.by_dot.values():
+            if now_s >= pending.next_resend_s:
+                pending.next_resend_s = now_s + self.settings.resend_s
+                behind = [m for m in self.live if m not in pending.holders]
+                self._send_heads(out, behind, [pending.record], fresh=True, confirm=True)
         if self.settling.may_settle_alone(now_s, self.live):
             self._mark_settled(out)
         if now_s >= self.next_compare_s and self.live and len(self.intake.fetches.pending) < HEADS_MAX:
             self._start_comparison(now_s, out)
 
     def _start_comparison(self, now_s: float, out: list[Action]) -> None:
-        """Begin a comparison: with a random live member, or while unsettled with each in turn."""
+        """Compares with a random live member, or while unsettled with each in turn; collects tombstones."""
         settled = self.settling.settled
         self.next_compare_s = now_s + (self.settings.digest_s if settled else self.settings.recompare_s)
         self.compare_turn += 1
         member = self.rng.choice(self.live) if settled else self.live[self.compare_turn % len(self.live)]
         out.append(Send(member, anti_entropy.digest_message(self.replica, settled)))
         if settled and self.persisting is None and not self.staged:
-            gone = collectable_tombstones(self.replica, {*self.live, *self.gone}, self.peer_contexts)
-            if gone:
-                self.staged.append(Join(Context(), tuple(record.dot for record in gone)))
+            collectable = collectable_tombstones(self.replica, {*self.live, *self.gone}, self.peer_contexts)
+            if collectable:
+                self.staged.append(Join(Context(), tuple(record.dot for record in collectable)))
 
-    # Parts of these.
+    # Helpers of the event handlers.
 
     def _flush(self, now_s: float, out: list[Action]) -> None:
-        """The next batch to the disk where none is there, and the pieces that may be asked for."""
+        """Starts the next batch if none is being written to disk, and requests payload pieces."""
         while self.staged and self.persisting is None:
             ops, self.staged = self.staged[:BATCH_OPS], self.staged[BATCH_OPS:]
             delta = self.replica.plan(ops)
@@ -321,10 +338,12 @@
         out += [Send(to, fetch) for to, fetch in self.intake.fetches.next_fetches(now_s, self.live)]
 
     def _acknowledge_reached(self, out: list[Action]) -> None:
-        for wait, held in self.pending_acks.pop_reached(self.live, self.gone):
-            out.append(Acknowledged(wait.id, wait.record.dot, wait.level, held))
+        """Acknowledges the writes that have reached their level."""
+        for pending, held in self.pending_acks.pop_reached(self.live, self.gone):
+            out.append(Acknowledged(pending.id, pending.record.dot, pending.level, held))
 
     def _record_peer(self, member: str, context: Context | None, settled: bool) -> None:
+        """Records what a member of the view reported of itself."""
         if member in self.live or member in self.gone:
             if context is not None:
                 self.peer_contexts[member] = context
@@ -335,15 +354,15 @@
             self.settling.settled = True
             out.append(LogEvent("ledger.settled", (("records", len(self.replica.records)),)))
 
-    def _random_members(self, most: int) -> list[str]:
-        return self.rng.sample(self.live, min(most, len(self.live)))
+    def _random_members(self, count: int) -> list[str]:
+        return self.rng.sample(self.live, min(count, len(self.live)))
 
     def _forward(self, out: list[Action]) -> None:
-        """What has come since the last time and is still held, in one message to each of a few members."""
-        held = [(record, teller) for record, teller in self.to_forward if record.dot in self.replica.records]
+        """Sends new heads that are still held to `fanout` random members, but none back to its sender."""
+        held = [(record, sender) for record, sender in self.to_forward if record.dot in self.replica.records]
         self.to_forward = []
         for member in self._random_members(self.settings.fanout) if held else ():
-            self._send_heads(out, [member], [r for r, teller in held if teller != member], fresh=True)
+            self._send_heads(out, [member], [r for r, sender in held if sender != member], fresh=True)
 
     def _send_heads(
         self, out: list[Action], members: Iterable[str], records: list[Record],
--- a/cloverkeel/fleet/ledger/limits.py
+++ b/cloverkeel/fleet/ledger/limits.py
@@ -1,7 +1,7 @@
-"""Bounds of a ledger: how much it holds, of whom, and how it says that something is too much.
+"""Limits of a ledger: how much it holds, in total and of each writer.
 
-Nothing is evicted to make room. A writer is a member's name, whatever its incarnation, so that a member which
-floods reaches its own share and leaves the others' alone.
+Nothing is evicted to make room. A writer is a member's name, whatever its incarnation, so that a member that
+floods the ledger uses up its own share and not that of the others.
 """
 
 from __future__ import annotations
@@ -14,21 +14,23 @@
 
 
 class Limits(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    records: int = 20_000  # live ones
-    writer_records: int = 5_000
-    bytes: int = 64 * 2**20  # payloads of live records, those that share one counted apart
-    writer_bytes: int = 16 * 2**20
+    """Limits on what a ledger stores, and on its work in progress."""
+
+    records: int = 20_000  # live records
+    writer_records: int = 5_000  # live records of one writer
+    bytes: int = 64 * 2**20  # payloads of live records; a payload shared by several counts for each
+    writer_bytes: int = 16 * 2**20  # of one writer
     tombstones: int = 20_000
-    pending: int = 4_096  # heads that wait for their payloads
-    writer_pending: int = 1_024
-    pieces: int = 64  # pieces of payloads on their way to this member at once
-    piece_bytes: int = 256 * 1024  # and the bytes asked for in them
-    staged: int = 256  # own writes not yet durable
-    waiting: int = 1_024  # own writes that wait for a level
+    pending: int = 4_096  # heads that wait for their payloads; also puts that wait for the disk
+    writer_pending: int = 1_024  # heads of one writer that wait for their payloads
+    pieces: int = 64  # payload pieces in flight to this member
+    piece_bytes: int = 256 * 1024  # bytes requested in them
+    staged: int = 256  # own writes not yet on disk
+    waiting: int = 1_024  # own writes on disk that have not reached their level
 
 
 class Usage:
-    """What is held: or, for a batch, how much it changes that by."""
+    """Counts of what is stored; for a batch, the change of these counts."""
 
     def __init__(self) -> None:
         self.records = 0
@@ -38,7 +40,7 @@
         self.writer_bytes: collections.Counter[str] = collections.Counter()
 
     def count(self, record: Record, sign: int) -> None:
-        """Take a record in (`sign` 1) or out (-1)."""
+        """Adds a record (`sign` 1) or subtracts it (-1)."""
         if record.deleted:
             self.tombstones += sign
             return
@@ -49,7 +51,7 @@
 
 
 def refusal(limits: Limits, held: Usage, change: Usage, record: Record) -> str | None:
-    """Why `record`, counted in `change` already, does not fit beside what is held; None: it does."""
+    """Why `record` does not fit, or None. `held`: what is stored; `change` already counts the record."""
     writer = record.dot.member
     if record.deleted:
         if held.tombstones + change.tombstones > limits.tombstones:
--- a/cloverkeel/fleet/ledger/messages.py
+++ b/cloverkeel/fleet/ledger/messages.py
@@ -1,4 +1,4 @@
-"""What members say to each other, as msgpack. Everything that comes in is checked before the core sees it."""
+"""Messages between members, encoded as msgpack. Every message is validated before the core handles it."""
 
 from __future__ import annotations
 
@@ -8,16 +8,19 @@
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.ledger.records import PAYLOAD_MAX, Record, invalid_reason
 
-HEADS_MAX = 256  # heads in a message, and dots in a `Want`
-LEAVES_MAX = 1_000  # dots in a `Leaves`
-PIECE_BYTES = 32 * 1024  # bytes of a payload in one message
-INLINE_BYTES = 1024  # bytes of a payload that goes with its head
-CONTEXT_WRITERS_MAX = 65_536  # writers in a member's context
+HEADS_MAX = 256  # heads in a `Heads`, and dots in a `Want` or `Held`
+LEAVES_MAX = 1_000  # dots that a `Leaves` aims to stay within
+PIECE_BYTES = 32 * 1024  # most bytes of a payload in a `Piece`
+INLINE_BYTES = 1024  # largest payload that is sent along with its head
+CONTEXT_WRITERS_MAX = 65_536  # writers (actors) in a member's context
 
 
 class Heads(msgspec.Struct, frozen=True, array_like=True, tag="heads"):
-    """Records the sender holds. `fresh`: new to the sender, to be passed on; `confirm`: the sender waits for
-    a `Held` of each. `payloads`: those of up to `INLINE` bytes, in any order, to spare a `Fetch`."""
+    """Records (heads) that the sender holds.
+
+    `fresh`: new to the sender and to be forwarded; `confirm`: the sender waits for a `Held` of each;
+    `payloads`: those of up to `INLINE_BYTES`, in any order, which saves a `Fetch`.
+    """
 
     records: tuple[Record, ...]
     fresh: bool = False
@@ -26,20 +29,22 @@
 
 
 class Want(msgspec.Struct, frozen=True, array_like=True, tag="want"):
-    """Answer with the heads of these."""
+    """Asks for the heads of these dots."""
 
     dots: tuple[Dot, ...]
 
 
 class Held(msgspec.Struct, frozen=True, array_like=True, tag="held"):
-    """These are taken in and on the sender's disk (or superseded by what is)."""
+    """The sender has these dots on disk, or records that supersede them."""
 
     dots: tuple[Dot, ...]
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True, tag="digest"):
-    """The sender's root hash and context; or in place of a context, which is empty then, its hash: `summary`.
-    `settled`: what it holds may be taken from it."""
+    """The sender's root hash and its context, or an empty context and the hash of the real one.
+
+    `settled`: others may take over the sender's records; `reply`: an answer to a `Digest`.
+    """
 
     root: bytes
     context: Context
@@ -49,15 +54,18 @@
 
 
 class Buckets(msgspec.Struct, frozen=True, array_like=True, tag="buckets"):
-    """The sender's bucket hashes: it has another root."""
+    """The sender's root and bucket hashes, sent because its root hash differs."""
 
     root: bytes
     hashes: bytes
 
 
 class Leaves(msgspec.Struct, frozen=True, array_like=True, tag="leaves"):
-    """The sender's dots in buckets that differ, and its context. `base`: the receiver's root when it was
-    compared; `whole`: these are all the buckets that differ; `reply`: to a `Leaves`, not to be answered."""
+    """The sender's dots in buckets that differ, and its context.
+
+    `receiver_root`: the receiver's root hash that was compared; `complete`: these are all the buckets that
+    differ; `reply`: an answer to a `Leaves`, which is not answered again.
+    """
 
     root: bytes
     receiver_root: bytes
@@ -69,13 +77,15 @@
 
 
 class Fetch(msgspec.Struct, frozen=True, array_like=True, tag="fetch"):
+    """Asks for `length` bytes of a payload from `offset` on."""
+
     sha256: bytes
     offset: int
     length: int
 
 
 class Piece(msgspec.Struct, frozen=True, array_like=True, tag="piece"):
-    """A piece of a payload of `size` bytes; `data` None: the sender does not hold it."""
+    """A piece of a payload of `size` bytes; `data` None: the sender does not hold the payload."""
 
     sha256: bytes
     offset: int
@@ -90,7 +100,7 @@
 
 
 def decode(body: bytes) -> Message:
-    """The message in `body`; raises ValueError with one line of why it is none."""
+    """Decodes and validates a message. Raises ValueError with a reason of one line."""
     try:
         message = _decoder.decode(body)
     except msgspec.MsgspecError as error:
@@ -102,6 +112,7 @@
 
 
 def _invalid_reason(message: Message) -> str | None:
+    """Why a decoded message is invalid, or None."""
     if isinstance(message, Heads):
         if len(message.records) > HEADS_MAX:
             return f"over {HEADS_MAX} heads"
@@ -111,13 +122,13 @@
     if isinstance(message, Want | Held):
         return f"over {HEADS_MAX} dots" if len(message.dots) > HEADS_MAX else None
     if isinstance(message, Leaves):
-        if sum(map(len, message.buckets.values())) > 8 * LEAVES_MAX:  # one bucket may be over the aim
+        if sum(map(len, message.buckets.values())) > 8 * LEAVES_MAX:  # one bucket alone may exceed LEAVES_MAX
             return "too many dots"
         if not all(0 <= bucket < BUCKET_COUNT for bucket in message.buckets):
-            return f"a bucket is 0 to {BUCKET_COUNT - 1}"
+            return f"a bucket number is not in 0 to {BUCKET_COUNT - 1}"
     if isinstance(message, Digest | Leaves):
         return (
-            "a context too large"
+            "a context with too many writers"
             if len(message.context.runs) > CONTEXT_WRITERS_MAX
             else message.context.invalid_reason()
         )
@@ -125,6 +136,6 @@
         return (
             None
             if 0 <= message.offset <= PAYLOAD_MAX and 0 <= message.length <= PIECE_BYTES
-            else "no such piece"
+            else "no such piece: offset or length out of range"
         )
     return None
--- a/cloverkeel/fleet/ledger/part.py
+++ b/cloverkeel/fleet/ledger/part.py
@@ -1,5 +1,7 @@
-"""The ledger beside one gateway, for whatever parts keep records in it: begun once the state store is this
-process's, and shared."""
+"""Starts one ledger in a gateway, shared by all parts that keep records in it.
+
+It starts once this process owns the state store.
+"""
 
 from __future__ import annotations
 
@@ -15,13 +17,16 @@
     from cloverkeel.fleet.membership.service import Membership
     from cloverkeel.fleet.state import Keeper
 
-STORE_POLL_S = 0.1  # between two looks whether the state store is this process's
-START_RETRY_S = 5.0  # after a state file that the ledger could not use
+STORE_POLL_S = 0.1  # between two checks whether this process owns the state store
+START_RETRY_S = 5.0  # between two attempts to open a state file that the ledger could not use
 
 
 class LedgerPart:
-    """`start` after membership has; `close` after the parts that use it and before the state store is let go.
-    Any number of users wait for `ready`."""
+    """The gateway's ledger, from before it can start.
+
+    Call `start` after membership has started, and `close` after the parts that use the ledger and before the
+    state store is released. Any number of users may wait for `ready`.
+    """
 
     def __init__(self, keeper: Keeper, settings: Settings) -> None:
         self.keeper, self.settings = keeper, settings
@@ -30,8 +35,11 @@
         self.start_task: asyncio.Task[None] | None = None
 
     def start(self, membership: Membership) -> None:
-        """Begins in the background once the state store is this process's (in an upgrade the one before holds
-        it), and again RETRY_S after each file that cannot be used."""
+        """Starts the ledger in the background, once this process owns the state store.
+
+        In an upgrade the predecessor owns it until it ends. Where the file cannot be used, the start is
+        retried every START_RETRY_S.
+        """
         self.start_task = asyncio.get_running_loop().create_task(self._start_ledger(membership))
 
     async def _start_ledger(self, membership: Membership) -> None:
@@ -49,17 +57,18 @@
         self.started.set()
 
     async def ready(self) -> LedgerService:
-        """The ledger, once it has started: that may be late, or never."""
+        """Waits for the ledger to start, which may take long or never happen, and returns it."""
         await self.started.wait()
         assert self.ledger is not None
         return self.ledger
 
     def counters(self) -> dict[str, int]:
-        """For telemetry."""
-        found = self.ledger.counters() if self.ledger is not None else {}
-        return {f"ledger_{name}_total": number for name, number in found.items()}
+        """The ledger's counters under their metric names; empty before it has started."""
+        counters = self.ledger.counters() if self.ledger is not None else {}
+        return {f"ledger_{name}_total": value for name, value in counters.items()}
 
     async def close(self) -> None:
+        """Stops the ledger, or the attempt to start it."""
         if self.start_task is not None:
             self.start_task.cancel()
         if self.ledger is not None:
--- a/cloverkeel/fleet/ledger/reader.py
+++ b/cloverkeel/fleet/ledger/reader.py
@@ -1,4 +1,4 @@
-"""The ledger of a file that another process holds, as it stands there: nothing is written or moved."""
+"""Reads the ledger from a state file that another process owns, without changing anything."""
 
 from __future__ import annotations
 
@@ -13,24 +13,30 @@
 
 
 class Reader:
-    """For one thread at a time. Raises StoreError where there is no file or SQLite cannot open it."""
+    """Reads records from a state file, again after each change of the file.
+
+    Used by one thread at a time. The constructor raises StoreError where there is no file or SQLite cannot
+    open it.
+    """
 
     def __init__(self, directory: str) -> None:
         self.path = os.path.join(directory, FILE)
-        self.version = -1  # of the file, as `puts` last read it
+        self.version = -1  # PRAGMA data_version at the last call of `puts`
         try:
             self.connection = reader(self.path)
         except sqlite3.Error as error:
             raise StoreError(f"{self.path}: {error}") from None
 
     def puts(self, kinds: frozenset[str]) -> list[Put] | None:
-        """The sound live records of these kinds; None: the file has not changed since the last call. A file
-        without a ledger of this schema has none. Raises StoreError."""
+        """The undamaged live records of these kinds, or None if the file has not changed since the last call.
+
+        A file without a ledger of this schema has none. Raises StoreError.
+        """
         try:
             version = int(self.connection.execute("PRAGMA data_version").fetchone()[0])
             if version == self.version:
                 return None
-            self.connection.execute("BEGIN")  # one state of the file for all that is read
+            self.connection.execute("BEGIN")  # a consistent snapshot for all reads
             try:
                 found = self._puts(kinds)
             finally:
@@ -49,8 +55,8 @@
             return []
         rows = self.connection.execute("SELECT member, incarnation, counter, head, sha256 FROM ledger_record")
         found = []
-        for *named, head, sha256 in rows.fetchall():
-            record = decode_row(named, head, sha256)
+        for *dot_columns, head, sha256 in rows.fetchall():
+            record = decode_row(dot_columns, head, sha256)
             if record is None or record.deleted or record.kind not in kinds:
                 continue
             select = "SELECT payload FROM ledger_payload WHERE sha256 = ?"
@@ -64,10 +70,12 @@
 
 
 def read_payloads(directory: str, kind: str) -> list[tuple[str, bytes]]:
-    """Key and payload of each sound record of a kind, as the file has them now. A file that cannot be read
-    gives none: its owner is the one to judge it."""
+    """Key and payload of each undamaged record of a kind in the state file of `directory`.
+
+    A file that cannot be read gives none: reporting that is left to the process that owns it.
+    """
     try:
-        with contextlib.closing(Reader(directory)) as reading:
-            return [(put.record.key, put.payload) for put in reading.puts(frozenset({kind})) or ()]
+        with contextlib.closing(Reader(directory)) as file_reader:
+            return [(put.record.key, put.payload) for put in file_reader.puts(frozenset({kind})) or ()]
     except StoreError:
         return []
--- a/cloverkeel/fleet/ledger/store.py
+++ b/cloverkeel/fleet/ledger/store.py
@@ -1,9 +1,9 @@
-"""The ledger on disk: tables of its own in the state store's SQLite file, written by a thread of its own.
+"""The ledger on disk: its own tables in the state store's SQLite file, written by its own thread.
 
-The file is the state store's: its checks come first, its lock is held, and its pragmas (WAL and
-`synchronous=FULL`) make each transaction atomic and durable. A file that has no ledger yet gets its tables.
-Every row carries a checksum; what fails it is taken out, and its dot out of the context, so that it is
-fetched anew.
+The file belongs to the state store, which checks it first, holds its lock, and sets the pragmas (WAL and
+`synchronous=FULL`) that make each transaction atomic and durable. In a file without a ledger the tables are
+created. Every row carries a checksum. A row that does not match is deleted and its dot removed from the
+context, so that the record is fetched again from other members.
 """
 
 from __future__ import annotations
@@ -41,13 +41,16 @@
 
 
 class StoreError(Exception):
-    """The ledger's part of the file cannot be used; the message says why, in one line."""
+    """The ledger's tables cannot be used; the message is one line of why."""
 
 
 @dataclasses.dataclass
 class Loaded:
-    """What was on disk and is sound, and one finding for each row that was not. `disk`: the name of this
-    file, drawn when it was begun and anew where there are findings: while it stays, nothing is forgotten."""
+    """The undamaged content of the file, and one finding for each row that was damaged.
+
+    `store_id`: identifies this file. It is drawn at random when the tables are created, and again when there
+    are findings: as long as it stays the same, no record has been lost from the file.
+    """
 
     puts: list[Put]
     context: Context
@@ -56,13 +59,13 @@
 
 
 class Store:
-    """The ledger of one state directory, whose lock this process holds and whose file it has begun."""
+    """The ledger's tables in the file of a state directory, whose lock this process must hold."""
 
     def __init__(self, directory: str) -> None:
         """Raises StoreError where there is no such file, it has another schema, or SQLite refuses it."""
         path = os.path.join(directory, FILE)
         if not os.path.isfile(path):
-            raise StoreError(f"{path} is not there: the state store begins it")
+            raise StoreError(f"{path} is not there: the state store creates it")
         try:
             self.connection = connect(path)
         except sqlite3.Error as error:
@@ -77,20 +80,23 @@
             raise
 
     def _create_tables(self) -> None:
+        """Creates the tables if they are missing, and checks their schema."""
         if self.connection.execute("SELECT 1 FROM sqlite_master WHERE name = 'meta'").fetchone() is None:
             raise StoreError("the file is not begun by the state store")
         with transaction(self.connection):
             for table in TABLES:
                 self.connection.execute(table)
-            found = self._meta("schema")
-            if found is None:
+            schema = self._meta("schema")
+            if schema is None:
                 self._put_meta("schema", SCHEMA)
-            elif found != SCHEMA:
-                raise StoreError(f"ledger schema {found!r:.20}, not {SCHEMA!r}")
+            elif schema != SCHEMA:
+                raise StoreError(f"ledger schema {schema!r:.20}, expected {SCHEMA!r}")
 
     def load(self) -> Loaded:
-        """All sound records with their payloads, and the context; what is not sound is removed from the file.
-        Raises StoreError."""
+        """Reads all undamaged records with their payloads, and the context, and deletes damaged rows.
+
+        Raises StoreError.
+        """
         try:
             return self._load()
         except sqlite3.Error as error:
@@ -99,28 +105,32 @@
     def _load(self) -> Loaded:
         loaded = Loaded([], Context(), [])
         payloads = dict(self.connection.execute("SELECT sha256, payload FROM ledger_payload").fetchall())
-        bad: list[tuple[object, ...]] = []
-        lost: list[Dot] = []
-        sound_heads = True
+        damaged: list[tuple[object, ...]] = []  # rows to delete
+        lost: list[Dot] = []  # dots of heads whose payload is damaged or missing
+        heads_intact = True
         rows = self.connection.execute("SELECT member, incarnation, counter, head, sha256 FROM ledger_record")
-        for *named, head, checksum in rows.fetchall():
-            record = decode_row(named, head, checksum)
+        for *dot_columns, head, checksum in rows.fetchall():
+            record = decode_row(dot_columns, head, checksum)
             if record is None:
-                sound_heads = False
-                loaded.findings.append(f"record {':'.join(map(str, named))}: checksum does not match")
-                bad.append(tuple(named))
+                heads_intact = False
+                loaded.findings.append(
+                    f"record {':'.join(map(str, dot_columns))}: checksum does not match, dropped"
+                )
+                damaged.append(tuple(dot_columns))
                 continue
             payload = b"" if record.deleted else payloads.get(record.sha256)
             if not record.deleted and (payload is None or payload_hash(payload) != record.sha256):
-                loaded.findings.append(f"payload of {record.kind}/{record.key}: does not match its SHA-256")
-                bad.append(tuple(named))
+                loaded.findings.append(
+                    f"payload of {record.kind}/{record.key}: does not match its SHA-256, dropped"
+                )
+                damaged.append(tuple(dot_columns))
                 lost.append(record.dot)
                 continue
             loaded.puts.append(Put(record, payload or b""))
         loaded.puts.sort(key=lambda put: put.record.dot)
         context = self._load_context()
-        if (context is None and loaded.puts) or not sound_heads:
-            loaded.findings.append("the context is made anew from the sound records")
+        if (context is None and loaded.puts) or not heads_intact:
+            loaded.findings.append("the context is made again from the sound records")
         elif context is not None:
             loaded.context = context
             for dot in lost:
@@ -128,18 +138,18 @@
         for put in loaded.puts:
             loaded.context = loaded.context.merge(put.record.context)
         loaded.context = loaded.context.add(put.record.dot for put in loaded.puts)
-        disk = self._meta("disk")
-        loaded.store_id = int.from_bytes(disk or b"", "big")
+        stored_id = self._meta("disk")
+        loaded.store_id = int.from_bytes(stored_id or b"", "big")
         if loaded.findings or not loaded.store_id:
             loaded.store_id = secrets.randbits(62) + 1
             with transaction(self.connection):
-                self._delete(bad)
+                self._delete(damaged)
                 self._put_meta("disk", loaded.store_id.to_bytes(8, "big"))
                 self._put_meta("context", _encode(loaded.context))
         return loaded
 
     def write(self, rows: Persist) -> None:
-        """One transaction. Raises sqlite3.Error or OSError, and then nothing of it is there."""
+        """Writes a batch in one transaction. If it raises sqlite3.Error or OSError, nothing is written."""
         with transaction(self.connection):
             for put in rows.puts:
                 record = put.record
@@ -160,7 +170,7 @@
         self.connection.close()
 
     def _delete(self, dots: list[tuple[object, ...]]) -> None:
-        """Remove records, and the payloads that none names any more."""
+        """Deletes records by dot, and the payloads that no record refers to any more."""
         where = "WHERE member = ? AND incarnation = ? AND counter = ?"
         for dot in dots:
             row = self.connection.execute(f"SELECT payload FROM ledger_record {where}", dot).fetchone()
@@ -173,6 +183,7 @@
                 )
 
     def _load_context(self) -> Context | None:
+        """The stored context, or None if it is missing or damaged."""
         value = self._meta("context")
         if value is None:
             return None
@@ -183,6 +194,7 @@
         return None if context.invalid_reason() else context
 
     def _meta(self, key: str) -> bytes | None:
+        """A value of the meta table, or None if it is missing or damaged."""
         row = self.connection.execute(
             "SELECT value, sha256 FROM ledger_meta WHERE key = ?", (key,)
         ).fetchone()
@@ -197,19 +209,20 @@
 
 
 class Writer:
-    """The thread that writes batches, one at a time; `done` is called on it with what became of each."""
+    """A thread that writes batches, one at a time; it calls `on_done` with the outcome of each."""
 
-    def __init__(self, store: Store, done: Callable[[Persisted | PersistFailed], None]) -> None:
-        self.store, self.on_done = store, done
+    def __init__(self, store: Store, on_done: Callable[[Persisted | PersistFailed], None]) -> None:
+        self.store, self.on_done = store, on_done
         self.batches: queue.SimpleQueue[Persist | None] = queue.SimpleQueue()
         self.thread = threading.Thread(target=self._run, name="ledger-writer", daemon=True)
         self.thread.start()
 
     def write(self, rows: Persist) -> None:
+        """Queues a batch."""
         self.batches.put(rows)
 
     def close(self, wait_s: float) -> None:
-        """Write what was handed over, then end within `wait_s`."""
+        """Lets the thread write what is queued and end; waits up to `wait_s` for that."""
         self.batches.put(None)
         self.thread.join(wait_s)
 
@@ -226,11 +239,12 @@
 
 
 def checksum(value: bytes) -> str:
+    """The checksum of a row's value: its SHA-256 in hex."""
     return hashlib.sha256(value).hexdigest()
 
 
-def decode_row(named: list[object], head: object, sha256: object) -> Record | None:
-    """The record of a row, or None where the row is not sound."""
+def decode_row(dot_columns: list[object], head: object, sha256: object) -> Record | None:
+    """The record of a row, or None if the row is damaged. `dot_columns`: member, incarnation, counter."""
     if not isinstance(head, bytes) or checksum(head) != sha256:
         return None
     try:
@@ -238,6 +252,6 @@
     except msgspec.MsgspecError:
         return None
     dot = record.dot
-    if invalid_reason(record) is not None or named != [dot.member, dot.incarnation, dot.counter]:
+    if invalid_reason(record) is not None or dot_columns != [dot.member, dot.incarnation, dot.counter]:
         return None
     return record
--- a/cloverkeel/fleet/ledger/tombstones.py
+++ b/cloverkeel/fleet/ledger/tombstones.py
@@ -1,4 +1,4 @@
-"""When a tombstone may go: not before everyone who could still hold what it deleted has seen it."""
+"""Collection of tombstones that every member which could hold the deleted records has stored."""
 
 from __future__ import annotations
 
@@ -10,19 +10,22 @@
 
 
 def collectable_tombstones(
-    replica: Replica, view: Iterable[str], heard: Mapping[str, Context]
+    replica: Replica, view: Iterable[str], peer_contexts: Mapping[str, Context]
 ) -> list[Record]:
-    """The tombstones of keys without a live record that every member of `view` (those dead for less than
-    `reap_after_s` included, this member not) has taken in by the newest context heard from it. What they
-    deleted stays refused by the contexts; a sibling's tombstone says that a delete and an edit were
-    concurrent, and stays."""
+    """The tombstones that may be dropped: their key has no live record, and every member has stored them.
+
+    `view`: the other members, including those dead for less than `reap_after_s`; `peer_contexts`: the newest
+    context received from each. The records that a dropped tombstone deleted are still refused, since the
+    contexts cover their dots. A tombstone beside a live sibling shows that a delete and an edit were
+    concurrent, and stays.
+    """
     if not replica.tombstones:
         return []
     contexts: list[Context] = []
     for member in view:
-        if member not in heard:
+        if member not in peer_contexts:
             return []
-        contexts.append(heard[member])
+        contexts.append(peer_contexts[member])
     return [
         record
         for record in replica.tombstones.values()
--- a/cloverkeel/fleet/ledger/writes.py
+++ b/cloverkeel/fleet/ledger/writes.py
@@ -1,4 +1,4 @@
-"""A local write: the record it becomes, or why it is refused."""
+"""Turns a local write into a record, or refuses it."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 
 def prepare(replica: Replica, event: Write | Delete, dot: Dot) -> Put | str:
-    """The record of `event` as `dot`, or one line of why not.
+    """The record of the write `event`, with dot `dot`; or one line of why it is refused.
 
-    Its context is what the one that the writer read under covers of this key, with the contexts of the
-    siblings that it covers. One that covers what this member has not taken in is refused: it would bury a
-    record that is still to come.
+    The record's context is the part of the writer's context that belongs to this key, merged with the
+    contexts of the siblings that it covers. A write whose context covers dots that this member has not stored
+    is refused: it would supersede records that are still to arrive.
     """
     name = event.kind, event.key
     why = invalid_name_reason(*name)
@@ -27,11 +27,13 @@
         return why
     payload = event.payload if isinstance(event, Write) else b""
     if len(payload) > PAYLOAD_MAX:
-        return f"a payload has up to {PAYLOAD_MAX} bytes, this one {len(payload)}"
+        return f"a payload has up to {PAYLOAD_MAX} bytes, this one has {len(payload)}"
     held = replica.siblings(name)
     seen = [record for record in held if event.context.covers(record.dot)]
     if not replica.context.includes(event.context):
-        return "its context is ahead of this member: it was read elsewhere and has not come here yet"
+        return (
+            "its context is ahead of this member: it was read elsewhere and has not been replicated here yet"
+        )
     if isinstance(event, Delete) and all(record.deleted for record in seen):
         return "nothing to delete under this context"
     context = event.context.intersection(replica.key_context(name))
--- a/tests/test_ledger_core.py
+++ b/tests/test_ledger_core.py
@@ -1,4 +1,4 @@
-"""The ledger's core, event by event; and whole clusters of it through random histories."""
+"""The ledger's protocol core: single events, and clusters of cores in random histories."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def run(core: Ledger, event: Event, now_s: float = 0.0) -> list[Action]:
-    """Handle an event with a disk that takes everything at once."""
+    """Handles an event; each batch is on disk at once."""
     actions = core.handle(now_s, event)
     for action in actions:
         if isinstance(action, Persist):
@@ -51,7 +51,7 @@
     return actions
 
 
-def of(kind: type[T], actions: list[Action]) -> list[T]:
+def of_type(kind: type[T], actions: list[Action]) -> list[T]:
     return [action for action in actions if isinstance(action, kind)]
 
 
@@ -69,7 +69,7 @@
     write(core, b"one")
     old = core.read(*KEY)[1]
     write(core, b"two", old)
-    write(core, b"three", old)  # the same reader's context, once more
+    write(core, b"three", old)  # the same context again: concurrent with the write before
     assert sorted(filter(None, payloads(core))) == [b"three", b"two"]
     write(core, b"both")
     assert payloads(core) == [b"both"]
@@ -81,14 +81,14 @@
     core = ledger(size=5)
     run(core, ViewChanged(("b", "c")))
     actions = core.handle(0.0, Write("w", *KEY, b"x", Context(), Level.QUORUM, 2.0))
-    assert not of(Send, actions)
-    actions = core.handle(0.0, Persisted(of(Persist, actions)[0].batch))
-    heads = [s for s in of(Send, actions) if isinstance(s.message, Heads) and s.message.confirm]
-    assert {s.member for s in heads} == {"b", "c"} and not of(Acknowledged, actions)
+    assert not of_type(Send, actions)
+    actions = core.handle(0.0, Persisted(of_type(Persist, actions)[0].batch))
+    heads = [s for s in of_type(Send, actions) if isinstance(s.message, Heads) and s.message.confirm]
+    assert {s.member for s in heads} == {"b", "c"} and not of_type(Acknowledged, actions)
     dot = core.read(*KEY)[0][0][0].dot
-    assert not of(Acknowledged, run(core, MessageReceived("b", Held((dot,)))))
-    assert not of(Acknowledged, run(core, MessageReceived("stranger", Held((dot,)))))
-    assert of(Acknowledged, run(core, MessageReceived("c", Held((dot,))))) == [
+    assert not of_type(Acknowledged, run(core, MessageReceived("b", Held((dot,)))))
+    assert not of_type(Acknowledged, run(core, MessageReceived("stranger", Held((dot,)))))
+    assert of_type(Acknowledged, run(core, MessageReceived("c", Held((dot,))))) == [
         Acknowledged("w", dot, Level.QUORUM, 3)
     ]
 
@@ -104,7 +104,9 @@
         cluster.write(cluster.members["m0"], ("kind", "0"), old=False, delete=True, level=Level.LOCAL)
         cluster.run(120.0)
         cores = [member.core for member in cluster.up() if member.core is not None]
-        assert not any(core.replica.tombstones for core in cores)  # each heard of all that they have it
+        assert not any(
+            core.replica.tombstones for core in cores
+        )  # each has received a context with the tombstone from all others
         before = cluster.sent_bytes
         cluster.run(30.0)
         costs.append((cluster.sent_bytes - before) / size)
@@ -118,14 +120,16 @@
     run(two, ViewChanged(("a",)))
     write(one, b"x")
     run(two, MessageReceived("a", Heads((one.read(*KEY)[0][0][0],), payloads=(b"x",))))
-    two.replica.context = two.replica.context.add((Dot("c", 5, 1),))  # superseded before it came here
+    two.replica.context = two.replica.context.add(
+        (Dot("c", 5, 1),)
+    )  # a write that was superseded before it arrived
     one.settling.settled = two.settling.settled = True
-    said = [send.message for send in of(Send, one.handle(5.0, Tick()))]
-    (asked,) = [message for message in said if isinstance(message, Digest)]
-    assert asked.context_hash and not asked.context.runs
-    (told,) = of(Send, run(two, MessageReceived("a", asked)))
-    (reply,) = of(Send, run(one, MessageReceived("b", told.message)))
-    assert of(Send, run(two, MessageReceived("a", reply.message))) == []
+    sent = [send.message for send in of_type(Send, one.handle(5.0, Tick()))]
+    (digest_sent,) = [message for message in sent if isinstance(message, Digest)]
+    assert digest_sent.context_hash and not digest_sent.context.runs
+    (answer,) = of_type(Send, run(two, MessageReceived("a", digest_sent)))
+    (reply,) = of_type(Send, run(one, MessageReceived("b", answer.message)))
+    assert of_type(Send, run(two, MessageReceived("a", reply.message))) == []
     assert one.replica.context == two.replica.context and one.peer_contexts["b"] == one.replica.context
 
 
@@ -133,9 +137,9 @@
     core = ledger()
     run(core, ViewChanged(("b",), ("c",)))
     write(core, b"x", wait=Level.ALL, timeout_s=2.0)
-    assert not of(NotConfirmed, run(core, Tick(), 1.9))
-    (said,) = of(NotConfirmed, run(core, Tick(), 2.0))
-    assert "all not reached" in said.reason and "b, c" in said.reason
+    assert not of_type(NotConfirmed, run(core, Tick(), 1.9))
+    (result,) = of_type(NotConfirmed, run(core, Tick(), 2.0))
+    assert "all not reached" in result.reason and "b, c" in result.reason
     assert payloads(core) == [b"x"]
 
 
@@ -145,11 +149,11 @@
     head = other.read(*KEY)[0][0][0]
     run(core, ViewChanged(("b",)))
     run(core, MessageReceived("b", Heads((head,))))
-    persist = of(Persist, core.handle(0.0, MessageReceived("b", Piece(head.sha256, 0, 6, b"theirs"))))[0]
+    persist = of_type(Persist, core.handle(0.0, MessageReceived("b", Piece(head.sha256, 0, 6, b"theirs"))))[0]
     core.handle(0.0, Write("w", "kind", "mine", b"x", Context()))
-    again = of(Persist, core.handle(0.0, PersistFailed(persist.batch, "no space")))
+    again = of_type(Persist, core.handle(0.0, PersistFailed(persist.batch, "no space")))
     actions = core.handle(0.0, PersistFailed(again[0].batch, "no space"))
-    assert of(Refused, actions) == [Refused("w", "the disk did not take it: no space")]
+    assert of_type(Refused, actions) == [Refused("w", "the disk did not take the write: no space")]
     assert payloads(core) == [] and core.read("kind", "mine")[0] == ()
     run(core, Tick(), 1.0)
     assert payloads(core) == [b"theirs"]
@@ -157,10 +161,10 @@
 
 def test_a_disk_that_does_not_answer_is_told_in_the_writes_time() -> None:
     core = ledger()
-    (persist,) = of(Persist, core.handle(0.0, Write("w", *KEY, b"x", Context(), timeout_s=2.0)))
-    (said,) = of(NotConfirmed, core.handle(2.0, Tick()))
-    assert "not known whether kept" in said.reason
-    assert not of(Acknowledged, core.handle(3.0, Persisted(persist.batch))) and payloads(core) == [b"x"]
+    (persist,) = of_type(Persist, core.handle(0.0, Write("w", *KEY, b"x", Context(), timeout_s=2.0)))
+    (result,) = of_type(NotConfirmed, core.handle(2.0, Tick()))
+    assert "it is not known whether the write is kept" in result.reason
+    assert not of_type(Acknowledged, core.handle(3.0, Persisted(persist.batch))) and payloads(core) == [b"x"]
 
 
 def test_a_payload_that_does_not_match_is_never_shown_and_another_member_is_asked() -> None:
@@ -168,12 +172,14 @@
     run(core, ViewChanged(("liar", "c")))
     payload = bytes(40_000)
     head = Record(*KEY, payload_hash(payload), len(payload), Dot("c", 1, 1), Context())
-    (first,) = of(Send, run(core, MessageReceived("liar", Heads((head,)))))
+    (first,) = of_type(Send, run(core, MessageReceived("liar", Heads((head,)))))
     assert first == Send("liar", Fetch(head.sha256, 0, 32_768))
-    (second,) = of(Send, run(core, MessageReceived("liar", Piece(head.sha256, 0, 40_000, payload[:32_768]))))
+    (second,) = of_type(
+        Send, run(core, MessageReceived("liar", Piece(head.sha256, 0, 40_000, payload[:32_768])))
+    )
     actions = run(core, MessageReceived("liar", Piece(head.sha256, 32_768, 40_000, b"!" * 7_232)))
     assert core.intake.fetches.mismatched == 1 and payloads(core) == []
-    assert of(Send, actions) == [Send("c", Fetch(head.sha256, 0, 32_768))]
+    assert of_type(Send, actions) == [Send("c", Fetch(head.sha256, 0, 32_768))]
     run(core, MessageReceived("c", Piece(head.sha256, 0, 40_000, payload[:32_768])))
     run(core, MessageReceived("liar", Piece(head.sha256, 32_768, 40_000, b"!" * 7_232)))  # not the one asked
     run(core, MessageReceived("c", Piece(head.sha256, 32_768, 40_000, payload[32_768:])))
@@ -184,14 +190,14 @@
     core, other = ledger(), ledger("b")
     run(core, ViewChanged(("b",)))
     run(other, ViewChanged(("a",)))
-    (told,) = of(Send, write(other, b"small", wait=Level.ALL))
-    assert isinstance(told.message, Heads) and told.message.payloads == (b"small",)
-    false = Heads(told.message.records, payloads=(b"!mall",))
-    sha256 = told.message.records[0].sha256
-    assert of(Send, run(core, MessageReceived("b", false))) == [
+    (sent,) = of_type(Send, write(other, b"small", wait=Level.ALL))
+    assert isinstance(sent.message, Heads) and sent.message.payloads == (b"small",)
+    false = Heads(sent.message.records, payloads=(b"!mall",))
+    sha256 = sent.message.records[0].sha256
+    assert of_type(Send, run(core, MessageReceived("b", false))) == [
         Send("b", Fetch(sha256, 0, 5))
     ] and not payloads(core)
-    run(core, MessageReceived("b", told.message))  # while it is fetched
+    run(core, MessageReceived("b", sent.message))  # while it is fetched
     assert payloads(core) == [b"small"] and not core.intake.fetches.transfers
 
 
@@ -200,26 +206,30 @@
     run(core, ViewChanged(("b", "c")))
     records = [Record("kind", f"key{n}", payload_hash(b""), 0, Dot("b", 1, n), Context()) for n in (1, 2)]
     for record in records:
-        assert not of(Send, run(core, MessageReceived("b", Heads((record,), fresh=True, payloads=(b"",)))))
-    (passed,) = [send for send in of(Send, run(core, Tick())) if isinstance(send.message, Heads)]
-    assert passed == Send("c", Heads(tuple(records), fresh=True, payloads=(b"",)))
-    assert not [send for send in of(Send, run(core, Tick(), 0.1)) if isinstance(send.message, Heads)]
+        assert not of_type(
+            Send, run(core, MessageReceived("b", Heads((record,), fresh=True, payloads=(b"",))))
+        )
+    (forwarded,) = [send for send in of_type(Send, run(core, Tick())) if isinstance(send.message, Heads)]
+    assert forwarded == Send("c", Heads(tuple(records), fresh=True, payloads=(b"",)))
+    assert not [send for send in of_type(Send, run(core, Tick(), 0.1)) if isinstance(send.message, Heads)]
 
 
 def test_a_local_write_is_told_at_once_to_the_member_that_waits_for_it() -> None:
     core = ledger()
     run(core, ViewChanged(("b", "c", "d")))
-    (told,) = of(Send, write(core, b"x", notify="c"))
-    assert told.member == "c" and isinstance(told.message, Heads) and not told.message.confirm
-    passed = [send.member for send in of(Send, run(core, Tick())) if isinstance(send.message, Heads)]
-    assert sorted(passed) == ["b", "c", "d"]
+    (sent,) = of_type(Send, write(core, b"x", notify="c"))
+    assert sent.member == "c" and isinstance(sent.message, Heads) and not sent.message.confirm
+    forwarded_to = [
+        send.member for send in of_type(Send, run(core, Tick())) if isinstance(send.message, Heads)
+    ]
+    assert sorted(forwarded_to) == ["b", "c", "d"]
 
 
 def test_a_member_that_floods_fills_its_own_share_only() -> None:
     core = ledger(limits=Limits(records=10, writer_records=3))
     run(core, ViewChanged(("b", "c")))
-    for writer, many in (("b", 8), ("c", 2)):
-        for n in range(many):
+    for writer, count in (("b", 8), ("c", 2)):
+        for n in range(count):
             record = Record("kind", f"{writer}{n}", payload_hash(b""), 0, Dot(writer, 1, n + 1), Context())
             run(core, MessageReceived(writer, Heads((record,))))
             run(core, MessageReceived(writer, Piece(payload_hash(b""), 0, 0, b"")))
@@ -228,22 +238,22 @@
     assert len(core.intake.fetches.pending) == 0
     for n in range(4):
         actions = run(core, Write(str(n), "kind", f"a{n}", b"", Context()))
-    assert of(Refused, actions) == [Refused("3", "over the limit of 3 records of one writer (a)")]
-    run(core, Write("again", "kind", "a0", b"", core.read("kind", "a0")[1]))  # in place of its own
+    assert of_type(Refused, actions) == [Refused("3", "over the limit of 3 records of one writer (a)")]
+    run(core, Write("again", "kind", "a0", b"", core.read("kind", "a0")[1]))  # supersedes its own record
     assert len(core.replica.records) == 8
 
 
 @pytest.mark.parametrize(
     ("event", "why"),
     [
-        (Write("w", "kind", "", b"", Context()), "a key is"),
+        (Write("w", "kind", "", b"", Context()), "a key must have"),
         (Write("w", *KEY, bytes(256 * 1024 + 1), Context()), "a payload has up to"),
         (Write("w", *KEY, b"", Context({("b", 1): (1, 9)})), "ahead of this member"),
         (Delete("w", *KEY, Context()), "nothing to delete"),
     ],
 )
 def test_a_write_that_cannot_be_is_refused_with_its_reason(event: Event, why: str) -> None:
-    (refused,) = of(Refused, run(ledger(), event))
+    (refused,) = of_type(Refused, run(ledger(), event))
     assert why in refused.reason
 
 
@@ -254,31 +264,31 @@
     write(core, b"x")
     old = core.read(*KEY)[0][0][0]
     run(core, Delete("d", *KEY, core.read(*KEY)[1]))
-    said = Digest(core.replica.bucket_hashes.root(), core.replica.context, settled=True)
-    run(core, MessageReceived("b", said))
+    digest = Digest(core.replica.bucket_hashes.root(), core.replica.context, settled=True)
+    run(core, MessageReceived("b", digest))
     run(core, Tick(), 1.0)
-    assert payloads(core) == [None]  # c, dead for less than reap_after_s, may not have it
-    run(core, MessageReceived("c", said))
+    assert payloads(core) == [None]  # c, dead for less than reap_after_s, may not have stored it
+    run(core, MessageReceived("c", digest))
     run(core, Tick(), 2.0)
     assert payloads(core) == []
     run(core, MessageReceived("b", Heads((old,), fresh=True)))
     assert payloads(core) == [] and not core.intake.fetches.transfers
 
 
-def rows(many: int) -> list[Put]:
-    """Records of ten writers, each of a payload of its own."""
-    made = []
-    for n in range(many):
+def rows(count: int) -> list[Put]:
+    """Records of ten writers, each with a payload of its own."""
+    puts = []
+    for n in range(count):
         payload = b"payload %d" % n
         dot = Dot(f"w{n % 10}", 1, n // 10 + 1)
-        made.append(
+        puts.append(
             Put(Record("kind", f"key{n}", payload_hash(payload), len(payload), dot, Context()), payload)
         )
-    return made
+    return puts
 
 
 def pair(first: list[Put], second: list[Put]) -> Cluster:
-    """Two members with these on disk, heard of each other and settled."""
+    """A cluster of two members with these records on disk."""
     cluster = Cluster(1, 2, TICK_S)
     for member, puts in zip(cluster.members.values(), (first, second), strict=True):
         cluster.stop(member)
--- a/tests/test_ledger_merge.py
+++ b/tests/test_ledger_merge.py
@@ -1,4 +1,4 @@
-"""The shared ledger's dots, contexts and siblings: laws, against plain sets of dots."""
+"""Laws of dots, contexts and siblings, checked against plain sets of dots."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
 
 
 def history(rng: random.Random, writes: int) -> list[Record]:
-    """Records of one key by writers that read some of it: each under the context of a random part."""
+    """Records of one key, each written with the context of a random subset of the earlier ones."""
     records: list[Record] = []
     for n in range(writes):
-        part = siblings(rng.sample(records, rng.randint(0, len(records))))
+        subset = siblings(rng.sample(records, rng.randint(0, len(records))))
         dot = Dot(rng.choice("abc"), 1, n + 1)
-        records.append(Record("k", "key", payload_hash(b"%d" % n), 1, dot, read_context(part)))
+        records.append(Record("k", "key", payload_hash(b"%d" % n), 1, dot, read_context(subset)))
     return records
 
 
@@ -54,7 +54,7 @@
     assert (
         siblings((*siblings((*a, *b)), *c)) == whole == siblings((*siblings((*c, *a)), *siblings((*b, *a))))
     )
-    for record in (*a, *b, *c):  # nothing goes but by a write that had seen it
+    for record in (*a, *b, *c):  # a record is dropped only if another one covers it
         assert record in whole or any(other.covers(record) for other in (*a, *b, *c))
 
 
--- a/tests/test_ledger_shell.py
+++ b/tests/test_ledger_shell.py
@@ -31,9 +31,9 @@
     state, _ = StateStore.open(str(directory), fd, StoreCounters(), time.time())
     state.prepare()
     state.close()
-    made = LedgerService(membership, str(directory), Settings(digest_s=0.5))
-    await made.start()
-    return made
+    started = LedgerService(membership, str(directory), Settings(digest_s=0.5))
+    await started.start()
+    return started
 
 
 @asynccontextmanager
@@ -45,27 +45,27 @@
         await until(lambda: all(s.core is not None and len(s.core.live) == 2 for s in services))
         yield services
     finally:
-        for made in services:
-            await made.close()
+        for started in services:
+            await started.close()
         for each in members:
             each.close()
 
 
-def payloads(made: LedgerService) -> list[bytes | None]:
-    return [payload for _, payload in made.read(*KEY)[0]]
+def payloads(ledger: LedgerService) -> list[bytes | None]:
+    return [payload for _, payload in ledger.read(*KEY)[0]]
 
 
 @on_loop
 async def test_a_write_reaches_every_disk_and_concurrent_ones_are_both_kept(tmp_path: Path) -> None:
     async with fleet(tmp_path) as services:
         first, second, third = services
-        shown: list[KeyChanged] = []
-        third.on_key_changed(shown.append)
+        changes: list[KeyChanged] = []
+        third.on_key_changed(changes.append)
         large = bytes(range(256)) * 1024
         answer = await first.write(*KEY, large, Context(), Level.ALL)
         assert isinstance(answer, Acknowledged) and answer.held == 3
         assert [payloads(s) for s in services] == [[large]] * 3
-        assert shown[-1].records[0][1] == large
+        assert changes[-1].records[0][1] == large
 
         context = second.read(*KEY)[1]
         await second.write(*KEY, b"one", context, Level.QUORUM)
--- a/tests/test_ledger_store.py
+++ b/tests/test_ledger_store.py
@@ -1,4 +1,4 @@
-"""The ledger's tables in a real state file: what is written, what damage costs, and who may open it."""
+"""The ledger's tables in a real state file: writing, damage, and other readers."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def directory(tmp_path: Path) -> str:
-    """A state directory as the state store of a version without a ledger leaves it."""
+    """A state directory with a state file that has no ledger tables yet."""
     fd = StateStore.take_lock(str(tmp_path))
     assert fd is not None
     state, _ = StateStore.open(str(tmp_path), fd, StoreCounters(), time.time())
@@ -43,7 +43,7 @@
 
 
 def reopened(directory: str, *damage: str) -> tuple[Store, list[int], Context, list[str]]:
-    """The file after some SQL: the store, the counters of the records that load, the context, findings."""
+    """Runs SQL on the file and opens it: the store, counters of the loaded records, context, findings."""
     connection = sqlite3.connect(os.path.join(directory, FILE))
     for sql in damage:
         connection.execute(sql)
@@ -75,28 +75,28 @@
         ("UPDATE ledger_payload SET payload = x'00' WHERE payload = x'79'", [1, 3], [1, 3], "SHA-256"),
         ("DELETE FROM ledger_payload WHERE payload = x'79'", [1, 3], [1, 3], "SHA-256"),
         ("UPDATE ledger_record SET head = x'00' WHERE counter = 1", [2, 3], [2, 3], "checksum"),
-        ("UPDATE ledger_meta SET value = x'80' WHERE key = 'context'", [1, 2, 3], [1, 2, 3], "made anew"),
+        ("UPDATE ledger_meta SET value = x'80' WHERE key = 'context'", [1, 2, 3], [1, 2, 3], "made again"),
     ],
 )
 def test_what_is_damaged_on_disk_is_dropped_and_may_be_fetched_anew(
     directory: str, damage: str, left: list[int], covered: list[int], finding: str
 ) -> None:
     store = Store(directory)
-    named = store.load().store_id
+    store_id = store.load().store_id
     store.write(batch([put(1, b"x"), put(2, b"y"), put(3, b"z")]))
-    assert store.load().store_id == named > 0
+    assert store.load().store_id == store_id > 0
     store.close()
     store, counters, context, findings = reopened(directory, damage)
     assert counters == left
     assert context == Context().add(Dot("a", 2**62 - 1, n) for n in covered)
     assert finding in findings[0]
-    assert store.load().store_id not in (0, named)  # what it forgot it may have promised by
+    assert store.load().store_id not in (0, store_id)  # promises may rest on the lost record
     store.write(batch([put(2, b"y")]))
     assert store.load().findings == []
 
 
 def test_a_file_that_is_not_the_state_stores_or_is_newer_is_refused(directory: str, tmp_path: Path) -> None:
-    with pytest.raises(StoreError, match="begins it"):
+    with pytest.raises(StoreError, match="creates it"):
         Store(str(tmp_path / "nowhere"))
     Store(directory).close()
     with pytest.raises(StoreError, match="schema"):
@@ -109,7 +109,7 @@
     told: queue.Queue[Persisted | PersistFailed] = queue.Queue()
     writer = Writer(store, told.put)
     pages = store.connection.execute("PRAGMA page_count").fetchone()[0]
-    store.connection.execute(f"PRAGMA max_page_count = {pages + 1}")  # as a full disk
+    store.connection.execute(f"PRAGMA max_page_count = {pages + 1}")  # acts as a full disk
     writer.write(batch([put(1, b"x"), put(2, bytes(256 * 1024))]))
     failed = told.get(timeout=10)
     assert isinstance(failed, PersistFailed) and "full" in failed.reason
@@ -123,13 +123,13 @@
 def test_a_reader_sees_what_the_owner_has_written_and_nothing_unsound(directory: str, tmp_path: Path) -> None:
     kinds = frozenset({"k"})
     reader = Reader(directory)
-    assert reader.puts(kinds) == []  # no ledger yet
+    assert reader.puts(kinds) == []  # no ledger tables yet
     store = Store(directory)
     store.write(batch([put(1, b"x"), put(2, b"y"), put(3, None)]))
     assert reader.puts(frozenset({"other"})) == []
     store.write(batch([put(4, b"z")], 1))
     assert reader.puts(kinds) == [put(2, b"y"), put(4, b"z")]
-    assert reader.puts(kinds) is None  # not read again
+    assert reader.puts(kinds) is None  # the file has not changed
     store.connection.execute("UPDATE ledger_payload SET payload = X'00' WHERE payload = X'79'")
     store.connection.execute("UPDATE ledger_record SET head = X'00' WHERE counter = 3")
     assert reader.puts(kinds) == [put(4, b"z")]
