--- a/tests/test_ledger_core.py
+++ b/tests/test_ledger_core.py
@@ -64,7 +64,7 @@
     return [payload for _, payload in core.read(*KEY)[0]]
 
 
-def test_concurrent_writes_are_both_kept_until_one_has_seen_both() -> None:
+def test_concurrent_writes_are_siblings_until_a_write_covers_both() -> None:
     core = ledger()
     write(core, b"one")
     old = core.read(*KEY)[1]
@@ -93,7 +93,7 @@
     ]
 
 
-def test_what_a_quiet_member_says_does_not_grow_with_the_fleet() -> None:
+def test_idle_traffic_of_a_member_does_not_grow_with_the_fleet() -> None:
     costs = []
     for size in (5, 25):
         cluster = Cluster(3, size, TICK_S)
@@ -114,7 +114,7 @@
     assert 0 < costs[1] < 1.1 * costs[0]
 
 
-def test_contexts_that_differ_under_equal_roots_are_told_both_ways() -> None:
+def test_contexts_that_differ_under_equal_roots_are_exchanged_both_ways() -> None:
     one, two = ledger("a"), ledger("b")
     run(one, ViewChanged(("b",)))
     run(two, ViewChanged(("a",)))
@@ -133,7 +133,7 @@
     assert one.replica.context == two.replica.context and one.peer_contexts["b"] == one.replica.context
 
 
-def test_a_level_not_reached_says_so_and_the_write_is_kept() -> None:
+def test_a_write_whose_level_is_not_reached_is_reported_and_kept() -> None:
     core = ledger()
     run(core, ViewChanged(("b",), ("c",)))
     write(core, b"x", wait=Level.ALL, timeout_s=2.0)
@@ -143,7 +143,7 @@
     assert payloads(core) == [b"x"]
 
 
-def test_a_disk_that_fails_refuses_the_write_whole_and_keeps_trying_what_came_from_others() -> None:
+def test_a_disk_error_refuses_own_writes_and_retries_received_records() -> None:
     core, other = ledger(), ledger("b")
     write(other, b"theirs")
     head = other.read(*KEY)[0][0][0]
@@ -159,7 +159,7 @@
     assert payloads(core) == [b"theirs"]
 
 
-def test_a_disk_that_does_not_answer_is_told_in_the_writes_time() -> None:
+def test_a_write_that_the_disk_does_not_answer_times_out() -> None:
     core = ledger()
     (persist,) = of_type(Persist, core.handle(0.0, Write("w", *KEY, b"x", Context(), timeout_s=2.0)))
     (result,) = of_type(NotConfirmed, core.handle(2.0, Tick()))
@@ -186,7 +186,7 @@
     assert payloads(core) == [payload]
 
 
-def test_a_small_payload_comes_with_its_head_and_a_false_one_is_fetched() -> None:
+def test_an_inline_payload_is_used_only_if_it_matches_its_hash() -> None:
     core, other = ledger(), ledger("b")
     run(core, ViewChanged(("b",)))
     run(other, ViewChanged(("a",)))
@@ -201,7 +201,7 @@
     assert payloads(core) == [b"small"] and not core.intake.fetches.transfers
 
 
-def test_what_came_since_the_last_tick_is_passed_on_in_one_message_but_to_who_told_of_it() -> None:
+def test_new_heads_are_forwarded_in_one_message_but_not_to_their_sender() -> None:
     core = ledger(fanout=2)
     run(core, ViewChanged(("b", "c")))
     records = [Record("kind", f"key{n}", payload_hash(b""), 0, Dot("b", 1, n), Context()) for n in (1, 2)]
@@ -214,7 +214,7 @@
     assert not [send for send in of_type(Send, run(core, Tick(), 0.1)) if isinstance(send.message, Heads)]
 
 
-def test_a_local_write_is_told_at_once_to_the_member_that_waits_for_it() -> None:
+def test_a_local_write_is_sent_at_once_to_the_member_to_notify() -> None:
     core = ledger()
     run(core, ViewChanged(("b", "c", "d")))
     (sent,) = of_type(Send, write(core, b"x", notify="c"))
@@ -252,12 +252,12 @@
         (Delete("w", *KEY, Context()), "nothing to delete"),
     ],
 )
-def test_a_write_that_cannot_be_is_refused_with_its_reason(event: Event, why: str) -> None:
+def test_an_invalid_write_is_refused_with_its_reason(event: Event, why: str) -> None:
     (refused,) = of_type(Refused, run(ledger(), event))
     assert why in refused.reason
 
 
-def test_a_deleted_record_does_not_return_once_its_tombstone_has_gone() -> None:
+def test_a_deleted_record_does_not_return_after_its_tombstone_is_collected() -> None:
     core = ledger(digest_s=1.0)
     run(core, ViewChanged(("b",), ("c",)))
     core.settling.settled = True
--- a/tests/test_ledger_merge.py
+++ b/tests/test_ledger_merge.py
@@ -74,7 +74,7 @@
         ),
     ],
 )
-def test_what_is_no_message_is_refused_in_one_line(body: bytes) -> None:
+def test_a_malformed_message_is_refused_with_a_reason_of_one_line(body: bytes) -> None:
     with pytest.raises(ValueError) as error:
         decode(body)
     assert "\n" not in str(error.value)
--- a/tests/test_ledger_shell.py
+++ b/tests/test_ledger_shell.py
@@ -78,7 +78,7 @@
 
 
 @on_loop
-async def test_a_level_not_reached_is_told_and_a_member_that_returns_gets_all(tmp_path: Path) -> None:
+async def test_an_unreached_level_is_reported_and_a_returning_member_catches_up(tmp_path: Path) -> None:
     async with fleet(tmp_path) as services:
         first, second, third = services
         await third.close()
@@ -97,7 +97,7 @@
 
 
 @on_loop
-async def test_what_is_no_message_is_refused_and_counted(tmp_path: Path) -> None:
+async def test_malformed_messages_are_refused_and_counted(tmp_path: Path) -> None:
     async with fleet(tmp_path) as (first, second, _):
         bad: list[Any] = [None, 7, [b"\xc1"], [b""] * 65, [[1]], {"a": 1}]
         for body in bad:
@@ -109,7 +109,7 @@
 
 
 @on_loop
-async def test_without_a_state_file_no_ledger_begins(tmp_path: Path) -> None:
+async def test_a_ledger_does_not_start_without_a_state_file(tmp_path: Path) -> None:
     alone = await member("m0")
     with pytest.raises(StoreError):
         await LedgerService(alone, str(tmp_path), Settings()).start()
--- a/tests/test_ledger_store.py
+++ b/tests/test_ledger_store.py
@@ -54,7 +54,7 @@
     return store, [p.record.dot.counter for p in loaded.puts], loaded.context, loaded.findings
 
 
-def test_a_file_of_schema_1_is_taken_up_and_stays_sound(directory: str) -> None:
+def test_a_state_file_gets_the_ledgers_tables_and_stays_valid(directory: str) -> None:
     store = Store(directory)
     assert store.load().puts == [] and store.load().findings == []
     puts = [put(1, b"x"), put(2, bytes(256 * 1024)), put(3, None), put(4, b"x")]
@@ -78,7 +78,7 @@
         ("UPDATE ledger_meta SET value = x'80' WHERE key = 'context'", [1, 2, 3], [1, 2, 3], "made again"),
     ],
 )
-def test_what_is_damaged_on_disk_is_dropped_and_may_be_fetched_anew(
+def test_damaged_rows_are_dropped_and_may_be_fetched_again(
     directory: str, damage: str, left: list[int], covered: list[int], finding: str
 ) -> None:
     store = Store(directory)
@@ -95,7 +95,7 @@
     assert store.load().findings == []
 
 
-def test_a_file_that_is_not_the_state_stores_or_is_newer_is_refused(directory: str, tmp_path: Path) -> None:
+def test_a_missing_file_or_an_unknown_schema_is_refused(directory: str, tmp_path: Path) -> None:
     with pytest.raises(StoreError, match="creates it"):
         Store(str(tmp_path / "nowhere"))
     Store(directory).close()
@@ -104,7 +104,7 @@
         reopened(directory, f"UPDATE ledger_meta SET value = x'32', sha256 = {later} WHERE key = 'schema'")
 
 
-def test_a_batch_that_the_disk_refuses_is_told_and_leaves_nothing(directory: str) -> None:
+def test_a_batch_that_fails_is_reported_and_writes_nothing(directory: str) -> None:
     store = Store(directory)
     told: queue.Queue[Persisted | PersistFailed] = queue.Queue()
     writer = Writer(store, told.put)
@@ -120,7 +120,7 @@
     assert reopened(directory)[1] == [3]
 
 
-def test_a_reader_sees_what_the_owner_has_written_and_nothing_unsound(directory: str, tmp_path: Path) -> None:
+def test_a_reader_sees_only_committed_and_undamaged_records(directory: str, tmp_path: Path) -> None:
     kinds = frozenset({"k"})
     reader = Reader(directory)
     assert reader.puts(kinds) == []  # no ledger tables yet
