--- a/cloverkeel/transforms/activation/shell.py
+++ b/cloverkeel/transforms/activation/shell.py
@@ -167,7 +167,7 @@
             if isinstance(action, WriteRecord):
                 # At a quorum it is told to all at once, and again to those that are silent.
                 wait = Level.LOCAL if action.notify else Level.QUORUM
-                await self.ledger.write(kind, key, encode(action.body), context, wait, tell=action.notify)
+                await self.ledger.write(kind, key, encode(action.body), context, wait, notify=action.notify)
             else:
                 await self.ledger.delete(kind, key, context)
         except WriteRefused as error:
--- a/faultlab/storm/cluster/activation_truth.py
+++ b/faultlab/storm/cluster/activation_truth.py
@@ -87,7 +87,8 @@
                 or brain.epoch != brain.ledger_state.epoch
             ):
                 self.violated(
-                    f"{brain.member} ends on epoch {brain.epoch.number}, {first.member} on {first.epoch.number}"
+                    f"{brain.member} ends on epoch {brain.epoch.number}, "
+                    f"{first.member} on {first.epoch.number}"
                 )
             for name, slot in brain.epoch.slots.items():
                 left = {o.id for o in brain.ledger_state.open_orders(name)}
