--- a/cloverkeel/__main__.py
+++ b/cloverkeel/__main__.py
@@ -12,7 +12,7 @@
 
     from cloverkeel.fleet.duties.part import DutiesPart
     from cloverkeel.fleet.start import FleetParts
-    from cloverkeel.fleet.state import Keeper
+    from cloverkeel.fleet.state import StateWriter
     from cloverkeel.gateway import Gateway
 
 
@@ -25,7 +25,7 @@
 
 
 def schedule_snapshots(
-    loop: asyncio.AbstractEventLoop, keeper: Keeper, gateway: Gateway, interval_s: float
+    loop: asyncio.AbstractEventLoop, keeper: StateWriter, gateway: Gateway, interval_s: float
 ) -> None:
     """Offer a snapshot to the state store every `interval_s`; the store's own thread writes it."""
 
@@ -81,7 +81,7 @@
 
             events.setup_logging()
             settings = config.state
-            keeper, warm = state.start(
+            keeper, warm = state.recover(
                 settings.directory,
                 settings.snapshot_s,
                 settings.max_age_s,
@@ -106,7 +106,7 @@
             fleet = FleetParts(config, config.cluster, gateway, keeper, inherited is not None)
             server.other_descriptors = fleet.descriptors
             if fleet.rollout is not None:
-                server.reload_listeners.append(fleet.rollout.follow)
+                server.reload_listeners.append(fleet.rollout.reconfigured)
 
         duties: DutiesPart | None = None
         if config.duties is not None:
--- a/cloverkeel/commands.py
+++ b/cloverkeel/commands.py
@@ -52,7 +52,7 @@
     if arguments.part in ("transforms", "routes", "duties", "rollout"):
         code: int = arguments.run(arguments)
         return code
-    path = os.path.join(arguments.directory, state.FILE)
+    path = os.path.join(arguments.directory, state.STATE_FILE)
     findings, report = inspect_file(path)
     if arguments.verb == "check":
         report = {"path": path, "sound": not findings, "findings": findings}
@@ -78,12 +78,12 @@
     if os.path.getsize(path) == 0:
         return ["empty file"], {}
     try:
-        connection = state.reader(path)
+        connection = state.open_read_only(path)
     except sqlite3.Error as error:
         return [f"cannot be opened: {error}"], {}
     try:
         snapshots, findings = state.verify(connection)
-        counters = state.counters(connection)
+        counters = state.read_counters(connection)
     except (state.CorruptError, sqlite3.Error) as error:
         return [str(error)], {}
     finally:
--- a/cloverkeel/config.py
+++ b/cloverkeel/config.py
@@ -157,7 +157,7 @@
     return replace(
         new, settings=settings, names=names, listen=old.listen, operator=old.operator, seed=old.seed,
         cluster=old.cluster, transforms=old.transforms, routes=old.routes,
-        duties=old.duties.renamed(new.duties) if old.duties is not None else None, rollout=old.rollout,
+        duties=old.duties.reloaded(new.duties) if old.duties is not None else None, rollout=old.rollout,
     )  # fmt: skip
 
 
--- a/cloverkeel/fleet/duties/founding.py
+++ b/cloverkeel/fleet/duties/bootstrap.py
@@ -12,19 +12,19 @@
 
 
 @dataclass(slots=True)
-class Founding:
+class Bootstrap:
     """`life`: this process's, drawn anew at each start. `has_journal`: on disk, when it started."""
 
     name: str
-    life: int
+    run_id: int
     others: frozenset[str]
     has_journal: bool
-    heard: dict[str, int] = field(default_factory=dict)  # founders, and the life that each told
-    refused: str = ""  # why this voter does not take part
+    founder_run_ids: dict[str, int] = field(default_factory=dict)  # founders, and the life that each told
+    refusal: str = ""  # why this voter does not take part
 
     @property
-    def may_begin(self) -> bool:
-        return self.has_journal or (not self.refused and self.others <= self.heard.keys())
+    def may_start(self) -> bool:
+        return self.has_journal or (not self.refusal and self.others <= self.founder_run_ids.keys())
 
     def answer(self, member: str, life: int) -> tuple[bool, int]:
         """To a voter that asks: whether there is a log that it has no part in, and this one's life. It counts
@@ -32,18 +32,18 @@
         if member not in self.others:
             raise ValueError(f"{member} is no voter here")
         if self.has_journal:
-            return True, self.life
-        known = self.heard.get(member)
-        if known is not None and known != life and self.may_begin:
-            return True, self.life  # founded with a life of it that has ended
-        self.heard[member] = life
-        return False, self.life
-
-    def told(self, member: str, has_log: bool, life: int) -> None:
+            return True, self.run_id
+        known = self.founder_run_ids.get(member)
+        if known is not None and known != life and self.may_start:
+            return True, self.run_id  # founded with a life of it that has ended
+        self.founder_run_ids[member] = life
+        return False, self.run_id
+
+    def handle_answer(self, member: str, has_log: bool, life: int) -> None:
         """What another voter answered."""
-        if member not in self.others or self.may_begin:
+        if member not in self.others or self.may_start:
             return
         if has_log:
-            self.refused = f"{member} has a log that this voter's disk does not have: its votes may be lost"
+            self.refusal = f"{member} has a log that this voter's disk does not have: its votes may be lost"
         else:
-            self.heard[member] = life
+            self.founder_run_ids[member] = life
--- a/cloverkeel/fleet/duties/command.py
+++ b/cloverkeel/fleet/duties/command.py
@@ -21,7 +21,7 @@
     duties.add_argument("name", nargs="?", metavar="NAME")
     duties.add_argument("--state-dir", metavar="DIR", help="a state directory: the local backend's, offline")
     duties.add_argument("--json", action="store_true", help="one JSON object instead of lines")
-    operator_commands.add_operator_option(duties, _asked)
+    operator_commands.add_operator_option(duties, _online)
     guarded = duties.get_default("run")
     duties.set_defaults(run=lambda arguments: _run(arguments, guarded, duties))
 
@@ -42,38 +42,38 @@
 
 def _offline(arguments: argparse.Namespace) -> int:
     from cloverkeel.fleet.duties import local
-    from cloverkeel.fleet.duties.part import force
+    from cloverkeel.fleet.duties.part import force_release
 
     if arguments.verb is None:
-        rows = [row.shown() for row in local.table(arguments.state_dir)]
-        _print({"duties": rows}, arguments.json)
+        rows = [row.to_dict() for row in local.list_leases(arguments.state_dir)]
+        _print_duties({"duties": rows}, arguments.json)
         return 0
     backend = local.LocalBackend(arguments.state_dir, "")
     try:
-        _released(arguments.name, force(backend, arguments.name), arguments.json)
+        _print_released(arguments.name, force_release(backend, arguments.name), arguments.json)
     finally:
         backend.close()
     return 0
 
 
-def _asked(address: operator_commands.Address, arguments: argparse.Namespace) -> int:
+def _online(address: operator_commands.Address, arguments: argparse.Namespace) -> int:
     if arguments.verb is None:
         answer = operator_commands.request_json(address, "/api/duties", lacks=LACKS)
         if not isinstance(answer.get("duties"), list):
             raise CommandError("the answer tells of no duties")
-        _print(answer, arguments.json)
+        _print_duties(answer, arguments.json)
         return 0
     query = urlencode({"name": arguments.name})
     answer = operator_commands.request_json(address, f"/api/duties/release?{query}", b"", lacks=LACKS)
-    _released(arguments.name, int(answer["token"]), arguments.json)
+    _print_released(arguments.name, int(answer["token"]), arguments.json)
     return 0
 
 
-def _released(name: str, token: int, as_json: bool) -> None:
+def _print_released(name: str, token: int, as_json: bool) -> None:
     print(json.dumps({"duty": name, "token": token}) if as_json else f"released: {name}, token {token}")
 
 
-def _print(answer: dict[str, Any], as_json: bool) -> None:
+def _print_duties(answer: dict[str, Any], as_json: bool) -> None:
     if as_json:
         print(json.dumps(answer))
         return
--- a/cloverkeel/fleet/duties/interface.py
+++ b/cloverkeel/fleet/duties/interface.py
@@ -6,8 +6,8 @@
 from typing import Any, Literal
 
 Verb = Literal["acquire", "renew", "release"]
-MARGIN = 0.15  # of the time to live: the holder stops that much earlier, by its own clock
-RENEWALS = 4  # in a time to live
+SAFETY_MARGIN = 0.15  # of the time to live: the holder stops that much earlier, by its own clock
+RENEWALS_PER_TTL = 4  # in a time to live
 
 
 @dataclass(slots=True, frozen=True)
@@ -18,13 +18,13 @@
     ttl_s: float = 10.0
 
     @property
-    def acts_s(self) -> float:
+    def holder_ttl_s(self) -> float:
         """How long its holder acts after it sent the request that was granted."""
-        return self.ttl_s * (1.0 - MARGIN)
+        return self.ttl_s * (1.0 - SAFETY_MARGIN)
 
     @property
-    def renew_s(self) -> float:
-        return self.ttl_s / RENEWALS
+    def renew_interval_s(self) -> float:
+        return self.ttl_s / RENEWALS_PER_TTL
 
 
 # Answers of a backend
@@ -47,7 +47,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Gone:
+class NotHeld:
     """To `renew`: no longer this holder's under that token. To `release`: not held under it now."""
 
 
@@ -58,11 +58,11 @@
     reason: str
 
 
-Answer = Granted | Held | Gone | Unreachable
+BackendAnswer = Granted | Held | NotHeld | Unreachable
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
+class LeaseStatus:
     """A duty as a backend has it; `left_s` at 0 or below: it is free."""
 
     name: str
@@ -70,7 +70,7 @@
     token: int
     left_s: float
 
-    def shown(self) -> dict[str, Any]:
+    def to_dict(self) -> dict[str, Any]:
         """For operators: who is past its time holds nothing."""
         holder = self.holder if self.left_s > 0 else ""
         left_s = round(max(0.0, self.left_s), 3)
@@ -81,23 +81,23 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Named:
+class DutiesConfigured:
     """The duties of the configuration; those held that are not among them are let go."""
 
     duties: tuple[Duty, ...]
 
 
 @dataclass(slots=True, frozen=True)
-class Answered:
+class CallAnswered:
     """The answer to the `Ask` of this number; a late or second one changes nothing."""
 
     duty: str
-    number: int
-    answer: Answer
+    call_id: int
+    answer: BackendAnswer
 
 
 @dataclass(slots=True, frozen=True)
-class Changed:
+class DutyFreed:
     """The backend saw the duty pass or become free."""
 
     duty: str
@@ -109,28 +109,28 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Leave:
+class Shutdown:
     """The process ends: all is let go, nothing more is asked for."""
 
 
-Event = Named | Answered | Changed | Tick | Leave
+Event = DutiesConfigured | CallAnswered | DutyFreed | Tick | Shutdown
 
 
 # Actions
 
 
 @dataclass(slots=True, frozen=True)
-class Ask:
+class BackendCall:
     """Call the backend, and say `Answered` with the same number."""
 
     duty: Duty
     verb: Verb
-    number: int
+    call_id: int
     token: int = 0  # of the lease to renew or release
 
 
 @dataclass(slots=True, frozen=True)
-class Begin:
+class DutyStarted:
     """This process holds the duty from now on."""
 
     duty: str
@@ -138,7 +138,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class End:
+class DutyEnded:
     """It holds it no longer."""
 
     duty: str
@@ -147,11 +147,11 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Note:
+class LogEvent:
     """Something for the log."""
 
     name: str
     fields: tuple[tuple[str, object], ...]
 
 
-Action = Ask | Begin | End | Note
+Action = BackendCall | DutyStarted | DutyEnded | LogEvent
--- a/cloverkeel/fleet/duties/local.py
+++ b/cloverkeel/fleet/duties/local.py
@@ -15,18 +15,26 @@
 from dataclasses import replace
 from typing import TypeVar
 
-from cloverkeel.fleet.duties.interface import Answer, Ask, Gone, Granted, Held, Row, Unreachable
-from cloverkeel.fleet.state.file import FILE, connect, reader, transaction
+from cloverkeel.fleet.duties.interface import (
+    BackendAnswer,
+    BackendCall,
+    NotHeld,
+    Granted,
+    Held,
+    LeaseStatus,
+    Unreachable,
+)
+from cloverkeel.fleet.state.database import STATE_FILE, connect, open_read_only, transaction
 
-BUSY_MS = 200  # for another's transaction to end; then nothing is known
-BOOT = "/proc/sys/kernel/random/boot_id"
+BUSY_TIMEOUT_MS = 200  # for another's transaction to end; then nothing is known
+BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
 TABLES = (
     "CREATE TABLE IF NOT EXISTS lease (name TEXT PRIMARY KEY, holder TEXT NOT NULL, token INTEGER NOT NULL, "
     "until_s REAL NOT NULL)",
     "CREATE TABLE IF NOT EXISTS lease_file (id INTEGER PRIMARY KEY CHECK (id = 1), seen_as TEXT NOT NULL, "
     "since_s REAL NOT NULL)",
 )
-Done = TypeVar("Done")
+Result = TypeVar("Result")
 
 
 class LocalBackend:
@@ -39,17 +47,17 @@
         clock: Callable[[], float] = time.monotonic,
         unix: Callable[[], float] = time.time,
     ) -> None:
-        self.path = os.path.join(directory, FILE)
-        self.holder, self.clock, self.unix = holder, clock, unix
+        self.path = os.path.join(directory, STATE_FILE)
+        self.holder, self.clock, self.unix_clock = holder, clock, unix
         self.connection: sqlite3.Connection | None = None
-        self.seen_as = ""  # device, inode and boot of the file that the connection has open
-        self.version = -1
+        self.opened_identity = ""  # device, inode and boot of the file that the connection has open
+        self.data_version = -1
         self.transactions = 0
 
-    def ask(self, ask: Ask) -> Answer:
+    def call(self, ask: BackendCall) -> BackendAnswer:
         """Carry a call out. Raises nothing: what goes wrong is `Unreachable`."""
         try:
-            return self._changed(lambda c: self._asked(c, ask))
+            return self._transact(lambda c: self._execute(c, ask))
         except (OSError, sqlite3.Error) as error:
             return Unreachable(str(error) or type(error).__name__)
 
@@ -58,40 +66,40 @@
         try:
             connection = self._open()
             version = connection.execute("PRAGMA data_version").fetchone()[0]
-            if version == self.version:
+            if version == self.data_version:
                 return []
-            rows = _rows(connection, self.clock())
-            self.version = version
+            rows = _read_leases(connection, self.clock())
+            self.data_version = version
         except (OSError, sqlite3.Error):
             return []  # the call that follows says why
         return [row.name for row in rows if row.name in names and row.left_s <= 0]
 
-    def force(self, name: str) -> int:
+    def force_release(self, name: str) -> int:
         """Let go of a duty whoever holds it, so that the next grant has a higher token than the one given
         back, which nobody holds. Raises OSError, sqlite3.Error, or KeyError where nobody ever held it."""
 
         def release(connection: sqlite3.Connection) -> int:
-            token = _of(connection, name)[1]
+            token = _read_lease(connection, name)[1]
             if not token:
                 raise KeyError(name)
-            self._put(connection, name, "", self._next(token), 0.0)
-            return self._next(token)
+            self._put(connection, name, "", self._next_token(token), 0.0)
+            return self._next_token(token)
 
-        return self._changed(release)
+        return self._transact(release)
 
-    def table(self) -> list[Row]:
+    def list_leases(self) -> list[LeaseStatus]:
         """Raises OSError, sqlite3.Error."""
-        return table(os.path.dirname(self.path))
+        return list_leases(os.path.dirname(self.path))
 
     def close(self) -> None:
         if self.connection is not None:
             self.connection.close()
             self.connection = None
 
-    def _asked(self, connection: sqlite3.Connection, ask: Ask) -> Answer:
+    def _execute(self, connection: sqlite3.Connection, ask: BackendCall) -> BackendAnswer:
         now_s, name, ttl_s = self.clock(), ask.duty.name, ask.duty.ttl_s
-        since_s = self._since_s(connection, now_s)
-        holder, token, until_s = _of(connection, name)
+        since_s = self._in_use_since_s(connection, now_s)
+        holder, token, until_s = _read_lease(connection, name)
         held = bool(holder) and now_s < until_s
         mine = held and holder == self.holder and token == ask.token
         if ask.verb == "acquire":
@@ -99,19 +107,19 @@
                 return Held(holder, token, until_s - now_s)
             if now_s < since_s + ttl_s:
                 return Held("", token, since_s + ttl_s - now_s)
-            token = self._next(token)
+            token = self._next_token(token)
             self._put(connection, name, self.holder, token, now_s + ttl_s)
             return Granted(token)
         if not mine:
-            return Gone()
+            return NotHeld()
         if ask.verb == "release":
             self._put(connection, name, "", token, 0.0)
-            return Gone()
+            return NotHeld()
         self._put(connection, name, self.holder, token, now_s + ttl_s)
         return Granted(token)
 
-    def _next(self, token: int) -> int:
-        return max(token + 1, int(self.unix() * 1000))
+    def _next_token(self, token: int) -> int:
+        return max(token + 1, int(self.unix_clock() * 1000))
 
     @staticmethod
     def _put(connection: sqlite3.Connection, name: str, holder: str, token: int, until_s: float) -> None:
@@ -120,79 +128,82 @@
             (name, holder, token, until_s),
         )
 
-    def _since_s(self, connection: sqlite3.Connection, now_s: float) -> float:
+    def _in_use_since_s(self, connection: sqlite3.Connection, now_s: float) -> float:
         """Since when this very file has been in use, on this boot."""
         row = connection.execute("SELECT seen_as, since_s FROM lease_file").fetchone()
-        if row is not None and row[0] == self.seen_as:
+        if row is not None and row[0] == self.opened_identity:
             return float(row[1])
         # Leases of another boot or place say nothing of this one: their times are another clock's.
         connection.execute("UPDATE lease SET holder = '', until_s = 0")
-        connection.execute("INSERT OR REPLACE INTO lease_file VALUES (1, ?, ?)", (self.seen_as, now_s))
+        connection.execute(
+            "INSERT OR REPLACE INTO lease_file VALUES (1, ?, ?)", (self.opened_identity, now_s)
+        )
         return now_s
 
     # The file
 
-    def _changed(self, change: Callable[[sqlite3.Connection], Done]) -> Done:
+    def _transact(self, change: Callable[[sqlite3.Connection], Result]) -> Result:
         connection = self._open()
         self.transactions += 1
         with transaction(connection):
-            if self._identity() != self.seen_as:
+            if self._identity() != self.opened_identity:
                 raise OSError("the state file was replaced meanwhile")
             return change(connection)
 
     def _open(self) -> sqlite3.Connection:
         """The connection to the file that the path names now."""
         identity = self._identity()
-        if self.connection is not None and identity == self.seen_as:
+        if self.connection is not None and identity == self.opened_identity:
             return self.connection
         self.close()
         connection = connect(self.path)
         try:
-            connection.execute(f"PRAGMA busy_timeout = {BUSY_MS}")
+            connection.execute(f"PRAGMA busy_timeout = {BUSY_TIMEOUT_MS}")
             with transaction(connection):
                 for statement in TABLES:
                     connection.execute(statement)
         except BaseException:
             connection.close()
             raise
-        self.connection, self.seen_as, self.version = connection, identity, -1
+        self.connection, self.opened_identity, self.data_version = connection, identity, -1
         return connection
 
     def _identity(self) -> str:
         """Raises OSError where there is no file: the state store begins it."""
-        return _named(os.stat(self.path))
+        return _file_identity(os.stat(self.path))
 
 
-def _named(found: os.stat_result) -> str:
+def _file_identity(found: os.stat_result) -> str:
     """A file's device and inode, and the boot whose monotonic clock its leases go by."""
-    with open(BOOT, encoding="ascii") as file:
+    with open(BOOT_ID_PATH, encoding="ascii") as file:
         return f"{found.st_dev}:{found.st_ino}:{file.read().strip()}"
 
 
-def _of(connection: sqlite3.Connection, name: str) -> tuple[str, int, float]:
+def _read_lease(connection: sqlite3.Connection, name: str) -> tuple[str, int, float]:
     row = connection.execute("SELECT holder, token, until_s FROM lease WHERE name = ?", (name,)).fetchone()
     return (str(row[0]), int(row[1]), float(row[2])) if row is not None else ("", 0, 0.0)
 
 
-def _rows(connection: sqlite3.Connection, now_s: float) -> list[Row]:
+def _read_leases(connection: sqlite3.Connection, now_s: float) -> list[LeaseStatus]:
     found = connection.execute("SELECT name, holder, token, until_s FROM lease ORDER BY name").fetchall()
     return [
-        Row(name, holder, token, until_s - now_s if holder else 0.0) for name, holder, token, until_s in found
+        LeaseStatus(name, holder, token, until_s - now_s if holder else 0.0)
+        for name, holder, token, until_s in found
     ]
 
 
-def table(directory: str) -> list[Row]:
+def list_leases(directory: str) -> list[LeaseStatus]:
     """The duties of a state directory as they stand, read without a write. Raises OSError, sqlite3.Error."""
-    path = os.path.join(directory, FILE)
+    path = os.path.join(directory, STATE_FILE)
     if not os.path.isfile(path):
         raise FileNotFoundError(2, "no such file", path)
-    with contextlib.closing(reader(path)) as connection:
+    with contextlib.closing(open_read_only(path)) as connection:
         tables = {row[0] for row in connection.execute("SELECT name FROM sqlite_master")}
         if "lease" not in tables:
             return []
-        rows = _rows(connection, time.monotonic())
+        rows = _read_leases(connection, time.monotonic())
         found = os.stat(path)
         seen_as = connection.execute("SELECT seen_as FROM lease_file").fetchone()
-        if seen_as != (_named(found),):  # of another boot or place: their times are another clock's
+        if seen_as != (_file_identity(found),):  # of another boot or place: their times are another clock's
             return [replace(row, holder="", left_s=0.0) for row in rows]
         return rows
--- a/cloverkeel/fleet/duties/part.py
+++ b/cloverkeel/fleet/duties/part.py
@@ -12,11 +12,11 @@
 
 from cloverkeel.fleet import events
 from cloverkeel.fleet.operator_queries import JSON_CONTENT_TYPE, query_value, error_answer
-from cloverkeel.fleet.duties.chores import CHORES, Chore
-from cloverkeel.fleet.duties.founding import Founding
+from cloverkeel.fleet.duties.jobs import JOBS, PeriodicJob
+from cloverkeel.fleet.duties.bootstrap import Bootstrap
 from cloverkeel.fleet.duties.interface import Duty
 from cloverkeel.fleet.duties.settings import DutySettings
-from cloverkeel.fleet.duties.shell import Service
+from cloverkeel.fleet.duties.shell import DutyService
 from cloverkeel.fleet.membership.calls import CallFailed
 from cloverkeel.operator import Answer
 
@@ -26,10 +26,10 @@
     from cloverkeel.fleet.duties.quorum import QuorumBackend
     from cloverkeel.fleet.membership.service import Membership
 
-KIND = "duties.founding"
-AGAIN_S = 0.5  # between two rounds of the founding
-CALL_S = 1.0
-NOT_YET = Answer(503, b"duties have not started yet\n")
+BOOTSTRAP_CALL = "duties.founding"
+BOOTSTRAP_RETRY_S = 0.5  # between two rounds of the founding
+BOOTSTRAP_CALL_TIMEOUT_S = 1.0
+NOT_STARTED = Answer(503, b"duties have not started yet\n")
 
 
 class DutiesPart:
@@ -38,83 +38,87 @@
     def __init__(self, settings: DutySettings, name: str, directory: str) -> None:
         events.setup_logging()
         self.settings, self.name, self.directory = settings, name, directory
-        self.life = secrets.randbits(62) + 1
-        self.holder = f"{name}/{self.life:x}"  # the old and the new process of an upgrade are two
-        self.wanted: tuple[Duty, ...] = settings.duties
-        self.service: Service | None = None
+        self.run_id = secrets.randbits(62) + 1
+        self.holder = f"{name}/{self.run_id:x}"  # the old and the new process of an upgrade are two
+        self.configured: tuple[Duty, ...] = settings.duties
+        self.service: DutyService | None = None
         self.backend: LocalBackend | QuorumBackend | None = None
-        self.beginning: asyncio.Task[None] | None = None
-        self.chores: list[Chore] = []
+        self.start_task: asyncio.Task[None] | None = None
+        self.jobs: list[PeriodicJob] = []
         self.listeners: list[tuple[str, Callable[[int | None], None]]] = []  # until the service is there
 
     def start(self, membership: Membership | None) -> None:
         if self.settings.backend == "local":
             from cloverkeel.fleet.duties.local import LocalBackend
 
-            self._begin(LocalBackend(self.directory, self.holder))
+            self._start_service(LocalBackend(self.directory, self.holder))
             return
         assert membership is not None, "settings.parse_duties sees to it"
-        self.beginning = asyncio.get_running_loop().create_task(self._found(membership))
+        self.start_task = asyncio.get_running_loop().create_task(self._bootstrap(membership))
 
-    def listen(self, duty: str, listener: Callable[[int | None], None]) -> None:
+    def add_listener(self, duty: str, listener: Callable[[int | None], None]) -> None:
         """See `Service.listen`; also before there is one."""
         if self.service is not None:
-            self.service.listen(duty, listener)
+            self.service.add_listener(duty, listener)
         else:
             self.listeners.append((duty, listener))
 
     def reconfigured(self, config: Config) -> None:
         """After a SIGHUP: which duties are named may change, the backend may not."""
-        self.wanted = config.duties.duties if config.duties is not None else ()
+        self.configured = config.duties.duties if config.duties is not None else ()
         if self.service is not None:
-            self.service.named(self.wanted)
+            self.service.set_duties(self.configured)
 
-    def _begin(self, backend: LocalBackend | QuorumBackend) -> None:
+    def _start_service(self, backend: LocalBackend | QuorumBackend) -> None:
         self.backend = backend
-        self.service = Service(self.holder, backend)
-        self.chores = [Chore(duty, self.service, self.directory, CHORES[duty]) for duty in CHORES]
+        self.service = DutyService(self.holder, backend)
+        self.jobs = [PeriodicJob(duty, self.service, self.directory, JOBS[duty]) for duty in JOBS]
         for duty, listener in self.listeners:
-            self.service.listen(duty, listener)
-        self.service.named(self.wanted)
+            self.service.add_listener(duty, listener)
+        self.service.set_duties(self.configured)
 
-    async def _found(self, membership: Membership) -> None:
+    async def _bootstrap(self, membership: Membership) -> None:
         from cloverkeel.fleet.duties.quorum import JOURNAL, QuorumBackend
 
         voters = self.settings.voters
         others = frozenset(voters) - {self.name}
         has_journal = os.path.exists(os.path.join(self.directory, JOURNAL))
-        founding = Founding(self.name, self.life, others, has_journal)
-        membership.calls.serve(KIND, lambda member, life: founding.answer(member, int(life)))
+        founding = Bootstrap(self.name, self.run_id, others, has_journal)
+        membership.calls.serve(BOOTSTRAP_CALL, lambda member, life: founding.answer(member, int(life)))
         said = ""
-        while not founding.may_begin:
+        while not founding.may_start:
             view = membership.view()
             for member in others:
                 rumour = view.get(member)
                 if rumour is None:
                     continue
                 try:
-                    has_log, life = await membership.calls.call(rumour.address, KIND, self.life, CALL_S)
-                    founding.told(member, bool(has_log), int(life))
+                    has_log, life = await membership.calls.call(
+                        rumour.address, BOOTSTRAP_CALL, self.run_id, BOOTSTRAP_CALL_TIMEOUT_S
+                    )
+                    founding.handle_answer(member, bool(has_log), int(life))
                 except (CallFailed, TypeError, ValueError):
                     continue  # it is asked again
-            waits = founding.refused or f"waits for {', '.join(sorted(others - founding.heard.keys()))}"
-            if not founding.may_begin:
+            waits = (
+                founding.refusal or f"waits for {', '.join(sorted(others - founding.founder_run_ids.keys()))}"
+            )
+            if not founding.may_start:
                 if waits != said:
                     events.event("duties.no_vote", voter=self.name, reason=waits)
                     said = waits
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(BOOTSTRAP_RETRY_S)
         addresses = tuple(voters[member] for member in sorted(others))
         backend = QuorumBackend(
             self.holder, self.directory, voters[self.name], addresses, self.settings.password or None
         )
         events.event("duties.voter", voter=self.name, founded=not has_journal)
-        self._begin(backend)
+        self._start_service(backend)
 
     async def leave(self) -> None:
         """Let go of all duties; the next process has them at once."""
-        if self.beginning is not None:
-            self.beginning.cancel()
-        for chore in self.chores:
+        if self.start_task is not None:
+            self.start_task.cancel()
+        for chore in self.jobs:
             chore.close()
         if self.service is not None:
             await self.service.close()
@@ -127,15 +131,15 @@
         return {f"duties_{name}_total": number for name, number in counts.items()}
 
     def gauges(self) -> dict[str, int]:
-        return {"duties_held": self.service.held() if self.service is not None else 0}
+        return {"duties_held": self.service.held_count() if self.service is not None else 0}
 
     # Operators' calls
 
     def status(self) -> Answer:
         if self.service is None or self.backend is None:
-            return NOT_YET
+            return NOT_STARTED
         try:
-            rows = [row.shown() for row in self.backend.table()]
+            rows = [row.to_dict() for row in self.backend.list_leases()]
         except (OSError, sqlite3.Error) as error:
             return error_answer(503, error)
         body = {"process": self.holder, "backend": self.settings.backend, "duties": rows}
@@ -144,10 +148,10 @@
     async def release(self, query: bytes, body: bytes) -> Answer:
         """`name` in the query: let go of it, whoever holds it."""
         if self.service is None or self.backend is None:
-            return NOT_YET
+            return NOT_STARTED
         try:
             name = query_value(query, "name")
-            token = await self.service.run(lambda: force(self.backend, name))
+            token = await self.service.run_on_thread(lambda: force_release(self.backend, name))
         except ValueError as error:
             return error_answer(400, error)
         except (OSError, sqlite3.Error) as error:
@@ -156,10 +160,10 @@
         return Answer(200, json.dumps({"duty": name, "token": token}).encode(), JSON_CONTENT_TYPE)
 
 
-def force(backend: LocalBackend | QuorumBackend | None, name: str) -> int:
+def force_release(backend: LocalBackend | QuorumBackend | None, name: str) -> int:
     """The token from which on a duty is free. Raises ValueError where nobody ever held it."""
     assert backend is not None
     try:
-        return backend.force(name)
+        return backend.force_release(name)
     except KeyError:
         raise ValueError(f"nobody has ever held a duty {name!r:.80}") from None
--- a/cloverkeel/fleet/duties/quorum.py
+++ b/cloverkeel/fleet/duties/quorum.py
@@ -15,24 +15,24 @@
 from typing import Any
 
 # Its import puts stand-ins that only Windows can call in the place of these two, for the whole process.
-_ADDRESSES = socket.inet_pton, socket.inet_ntop
+_SOCKET_FUNCTIONS = socket.inet_pton, socket.inet_ntop
 import pysyncobj  # noqa: E402
 
-socket.inet_pton, socket.inet_ntop = _ADDRESSES
+socket.inet_pton, socket.inet_ntop = _SOCKET_FUNCTIONS
 
 from cloverkeel.fleet.duties.interface import (  # noqa: E402
-    Answer,
-    Ask,
-    Gone,
+    BackendAnswer,
+    BackendCall,
+    NotHeld,
     Granted,
     Held,
-    Row,
+    LeaseStatus,
     Unreachable,
 )
 
 JOURNAL = "duties.raft"
-LEADER_S = 0.2  # the voter that leads lets others go first: one kill should not take holder and leader
-CALL_S = 1.0  # for a change to be committed; less where the duty's renewals come faster
+LEADER_DELAY_S = 0.2  # the voter that leads lets others go first: one kill should not take holder and leader
+COMMIT_TIMEOUT_S = 1.0  # for a change to be committed; less where the duty's renewals come faster
 
 
 class Leases(pysyncobj.SyncObjConsumer):  # type: ignore[misc]
@@ -99,8 +99,8 @@
         self.holder = holder
         self.leases = Leases(clock)
         self.clock = clock
-        self.told: dict[str, int] = {}  # duty to the token after which it was last said to be free
-        self.ttls: dict[str, float] = {}  # as last asked for, to tell what is left
+        self.reported_free: dict[str, int] = {}  # duty to the token after which it was last said to be free
+        self.last_ttls: dict[str, float] = {}  # as last asked for, to tell what is left
         self.transactions = 0
         conf = pysyncobj.SyncObjConf(
             journalFile=os.path.join(directory, JOURNAL), password=password, useFork=False,
@@ -109,29 +109,29 @@
         )  # fmt: skip
         self.raft = pysyncobj.SyncObj(bind, list(others), conf, consumers=[self.leases])
 
-    def ask(self, ask: Ask) -> Answer:
+    def call(self, ask: BackendCall) -> BackendAnswer:
         """Carry a call out. Raises nothing: what goes wrong is `Unreachable`."""
         name, ttl_s = ask.duty.name, ask.duty.ttl_s
-        self.ttls[name] = ttl_s
-        timeout_s = min(CALL_S, ask.duty.renew_s)
+        self.last_ttls[name] = ttl_s
+        timeout_s = min(COMMIT_TIMEOUT_S, ask.duty.renew_interval_s)
         try:
             if ask.verb == "acquire":
                 return self._acquire(name, ttl_s, timeout_s)
             if ask.verb == "renew":
                 token = self._commit(timeout_s, self.leases.renew, name, self.holder, ask.token)
-                return Granted(token) if token else Gone()
+                return Granted(token) if token else NotHeld()
             self._commit(timeout_s, self.leases.let_go, name, ask.token)
-            return Gone()
+            return NotHeld()
         except pysyncobj.SyncObjException as error:
             return Unreachable(f"not committed: {error.errorCode}")
 
-    def _acquire(self, name: str, ttl_s: float, timeout_s: float) -> Answer:
+    def _acquire(self, name: str, ttl_s: float, timeout_s: float) -> BackendAnswer:
         if not self.raft.isReady():
             return Unreachable("no quorum of the voters")
         holder, token, renewal, since_s = self.leases.state(name)
         left_s = (since_s + ttl_s if holder else since_s) - self.clock()
-        if self._leads():
-            left_s += LEADER_S
+        if self._is_leader():
+            left_s += LEADER_DELAY_S
         if left_s > 0:
             return Held(holder, token, left_s)
         taken = self._commit(timeout_s, self.leases.take, name, self.holder, token, renewal)
@@ -145,46 +145,46 @@
         found = []
         for name in names:
             holder, token, _, _ = self.leases.state(name)
-            if not holder and token and self.told.get(name) != token:
-                self.told[name] = token
+            if not holder and token and self.reported_free.get(name) != token:
+                self.reported_free[name] = token
                 found.append(name)
         return found
 
-    def force(self, name: str) -> int:
+    def force_release(self, name: str) -> int:
         """Let go of a duty whoever holds it, under a token that nobody holds. Raises KeyError where nobody
         ever held it, OSError where it is not committed."""
         try:
-            token = self._commit(CALL_S, self.leases.force, name)
+            token = self._commit(COMMIT_TIMEOUT_S, self.leases.force, name)
         except pysyncobj.SyncObjException as error:
             raise OSError(f"not committed: {error.errorCode}") from None
         if not token:
             raise KeyError(name)
         return token
 
-    def table(self) -> list[Row]:
+    def list_leases(self) -> list[LeaseStatus]:
         """As this voter has it; `left_s` is by the time to live that it last asked for."""
         found = []
         for name in sorted(self.leases.leases):
             holder, token, _, since_s = self.leases.state(name)
-            ttl_s = self.ttls.get(name, 0.0) if holder else 0.0
-            found.append(Row(name, holder, token, since_s + ttl_s - self.clock() if holder else 0.0))
+            ttl_s = self.last_ttls.get(name, 0.0) if holder else 0.0
+            found.append(LeaseStatus(name, holder, token, since_s + ttl_s - self.clock() if holder else 0.0))
         return found
 
     def _commit(self, timeout_s: float, change: Callable[..., Any], *arguments: object) -> int:
         self.transactions += 1
         return int(change(*arguments, sync=True, timeout=timeout_s))
 
-    def _leads(self) -> bool:
+    def _is_leader(self) -> bool:
         status = self.raft.getStatus()
         return bool(status["leader"] == status["self"])
 
     def close(self) -> None:
         """Hand the log's leadership on, if it is here: the next holder need not wait for an election."""
-        if self._leads():
+        if self._is_leader():
             sent = threading.Event()
             self.raft.transferLeadership(callback=lambda *_: sent.set())
-            sent.wait(LEADER_S)
-            until_s = time.monotonic() + LEADER_S
-            while self._leads() and time.monotonic() < until_s:
-                time.sleep(LEADER_S / 20)
+            sent.wait(LEADER_DELAY_S)
+            until_s = time.monotonic() + LEADER_DELAY_S
+            while self._is_leader() and time.monotonic() < until_s:
+                time.sleep(LEADER_DELAY_S / 20)
         self.raft.destroy()
--- a/cloverkeel/fleet/duties/settings.py
+++ b/cloverkeel/fleet/duties/settings.py
@@ -11,7 +11,7 @@
 from cloverkeel.fleet.duties.interface import Duty
 from cloverkeel.fleet.membership.codec import parse_address
 
-VOTERS = 3  # at the least: two of them are a majority, with one away
+MIN_VOTERS = 3  # at the least: two of them are a majority, with one away
 
 
 class NamedDuty(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -27,7 +27,7 @@
     voters: dict[str, str] = {}
     password: str = ""
 
-    def renamed(self, new: DutySettings | None) -> DutySettings:
+    def reloaded(self, new: DutySettings | None) -> DutySettings:
         """After a SIGHUP: other duties may be named, the backend is that of the start."""
         return msgspec.structs.replace(self, named=new.named if new is not None else ())
 
@@ -54,8 +54,8 @@
         return settings
     if trusted is None:
         raise ConfigError("duties: backend: quorum needs a cluster in the configuration")
-    if len(settings.voters) < VOTERS or gateway not in settings.voters:
-        raise ConfigError(f"duties: voters: {VOTERS} gateways or more, this one ({gateway}) among them")
+    if len(settings.voters) < MIN_VOTERS or gateway not in settings.voters:
+        raise ConfigError(f"duties: voters: {MIN_VOTERS} gateways or more, this one ({gateway}) among them")
     if len(set(settings.voters.values())) < len(settings.voters):
         raise ConfigError("duties: voters: one address twice")
     for name, address in settings.voters.items():
--- a/cloverkeel/fleet/duties/shell.py
+++ b/cloverkeel/fleet/duties/shell.py
@@ -9,29 +9,29 @@
 from concurrent.futures import ThreadPoolExecutor
 from typing import Protocol, TypeVar
 
-from cloverkeel.fleet.duties.core import Duties
+from cloverkeel.fleet.duties.core import LeaseManager
 from cloverkeel.fleet.duties.interface import (
     Action,
-    Answer,
-    Answered,
-    Ask,
-    Begin,
-    Changed,
+    BackendAnswer,
+    CallAnswered,
+    BackendCall,
+    DutyStarted,
+    DutyFreed,
     Duty,
-    End,
+    DutyEnded,
     Event,
     Granted,
-    Leave,
-    Named,
-    Note,
+    Shutdown,
+    DutiesConfigured,
+    LogEvent,
     Tick,
     Unreachable,
 )
 from cloverkeel.fleet.events import event
 
-LOOK = 0.01  # of the time to live: between looks whether a duty has become free
-LOOK_S = 0.02  # at the least
-Done = TypeVar("Done")
+POLL_FRACTION = 0.01  # of the time to live: between looks whether a duty has become free
+MIN_POLL_S = 0.02  # at the least
+Result = TypeVar("Result")
 
 
 class NotHeldError(Exception):
@@ -43,44 +43,44 @@
 
     transactions: int  # made so far
 
-    def ask(self, ask: Ask) -> Answer: ...
+    def call(self, ask: BackendCall) -> BackendAnswer: ...
 
     def freed(self, names: set[str]) -> list[str]: ...
 
     def close(self) -> None: ...
 
 
-class Service:
+class DutyService:
     """`holder`: this process's name, no other's at the same time. `named` says what it may hold; `listen` to
     be told of a duty's begin (its token) and end (None)."""
 
     def __init__(self, holder: str, backend: Backend) -> None:
-        self.core = Duties(holder, random.Random())
+        self.core = LeaseManager(holder, random.Random())
         self.backend = backend
         self.loop = asyncio.get_running_loop()
         self.thread = ThreadPoolExecutor(1, "duties")
         self.timer: asyncio.TimerHandle | None = None
-        self.looker: asyncio.TimerHandle | None = None
+        self.poll_timer: asyncio.TimerHandle | None = None
         self.listeners: dict[str, list[Callable[[int | None], None]]] = {}
         self.counts: collections.Counter[str] = collections.Counter()
-        self.calls: set[asyncio.Future[None]] = set()
+        self.pending_calls: set[asyncio.Future[None]] = set()
         self.closed = False
 
-    def named(self, duties: tuple[Duty, ...]) -> None:
+    def set_duties(self, duties: tuple[Duty, ...]) -> None:
         """These are this process's to hold from now on; others that it holds are let go."""
-        self._give(Named(duties))
-        if self.looker is None and duties:
-            self._look_later()
+        self._handle(DutiesConfigured(duties))
+        if self.poll_timer is None and duties:
+            self._schedule_poll()
 
-    def listen(self, duty: str, listener: Callable[[int | None], None]) -> None:
+    def add_listener(self, duty: str, listener: Callable[[int | None], None]) -> None:
         """`listener(token)` as this process begins the duty, `listener(None)` at its end; must not raise."""
         self.listeners.setdefault(duty, []).append(listener)
 
     def token(self, duty: str) -> int | None:
         """The token to act under at this moment, or None."""
-        return self.core.may_act(self.loop.time(), duty)
+        return self.core.current_token(self.loop.time(), duty)
 
-    def act(self, duty: str, action: Callable[[int], Done]) -> Done:
+    def run_if_held(self, duty: str, action: Callable[[int], Result]) -> Result:
         """Run `action(token)`, which is to hand its token to what it acts on. Raises NotHeldError."""
         token = self.token(duty)
         if token is None:
@@ -88,21 +88,21 @@
             raise NotHeldError(f"{duty} is not held here")
         return action(token)
 
-    async def run(self, call: Callable[[], Done]) -> Done:
+    async def run_on_thread(self, call: Callable[[], Result]) -> Result:
         """A call of the backend's beside the core's, on its thread. Raises what it raises."""
         return await self.loop.run_in_executor(self.thread, call)
 
-    def held(self) -> int:
+    def held_count(self) -> int:
         """How many duties this process holds at this moment."""
         return sum(self.token(duty) is not None for duty in self.core.leases)
 
     async def close(self, wait_s: float = 1.0) -> None:
         """Let go of all that is held, so that the next has it at once; `wait_s` for the backend."""
-        self._give(Leave())
-        if self.calls:
-            await asyncio.wait(set(self.calls), timeout=wait_s)
+        self._handle(Shutdown())
+        if self.pending_calls:
+            await asyncio.wait(set(self.pending_calls), timeout=wait_s)
         self.closed = True
-        for handle in (self.timer, self.looker):
+        for handle in (self.timer, self.poll_timer):
             if handle is not None:
                 handle.cancel()
         self.thread.submit(self.backend.close)
@@ -110,66 +110,66 @@
 
     # Events in, actions out
 
-    def _give(self, what: Event) -> None:
+    def _handle(self, what: Event) -> None:
         if self.closed:
             return
         for action in self.core.handle(self.loop.time(), what):
-            self._act(action)
+            self._execute(action)
         if self.timer is not None:
             self.timer.cancel()
-        due_s = self.core.due_s()
+        due_s = self.core.next_due_s()
         if due_s < float("inf"):
-            self.timer = self.loop.call_at(due_s, self._give, Tick())
+            self.timer = self.loop.call_at(due_s, self._handle, Tick())
 
-    def _act(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
-            case Ask():
-                call = self.loop.create_task(self._ask(action))
-                self.calls.add(call)
-                call.add_done_callback(self.calls.discard)
-            case Begin(duty, token):
+            case BackendCall():
+                call = self.loop.create_task(self._call_backend(action))
+                self.pending_calls.add(call)
+                call.add_done_callback(self.pending_calls.discard)
+            case DutyStarted(duty, token):
                 self.counts["begun"] += 1
                 event("duties.begun", duty=duty, token=token, holder=self.core.holder)
-                self._tell(duty, token)
-            case End(duty, token, reason):
+                self._notify(duty, token)
+            case DutyEnded(duty, token, reason):
                 self.counts["ended"] += 1
                 event("duties.ended", duty=duty, token=token, holder=self.core.holder, reason=reason)
-                self._tell(duty, None)
-            case Note(name, fields):
+                self._notify(duty, None)
+            case LogEvent(name, fields):
                 self.counts[name.removeprefix("duties.")] += 1
                 event(name, **dict(fields))
 
-    def _tell(self, duty: str, token: int | None) -> None:
+    def _notify(self, duty: str, token: int | None) -> None:
         for listener in self.listeners.get(duty, ()):
             listener(token)
 
-    async def _ask(self, ask: Ask) -> None:
+    async def _call_backend(self, ask: BackendCall) -> None:
         self.counts["calls"] += 1
         try:
-            answer = await self.loop.run_in_executor(self.thread, self.backend.ask, ask)
+            answer = await self.loop.run_in_executor(self.thread, self.backend.call, ask)
         except Exception as error:  # guards the duty against a call that would stay out for ever
             answer = Unreachable(repr(error))
         if isinstance(answer, Granted) and ask.verb == "renew":
             self.counts["renewed"] += 1
-        self._give(Answered(ask.duty.name, ask.number, answer))
+        self._handle(CallAnswered(ask.duty.name, ask.call_id, answer))
 
     # Duties that others let go
 
-    def _look_later(self) -> None:
+    def _schedule_poll(self) -> None:
         waiting = [
             lease.duty.ttl_s for lease in self.core.leases.values() if not lease.token and lease.wanted
         ]
-        wait_s = max(LOOK_S, LOOK * min(waiting)) if waiting else 10 * LOOK_S
-        self.looker = self.loop.call_later(wait_s, lambda: self.loop.create_task(self._look()))
+        wait_s = max(MIN_POLL_S, POLL_FRACTION * min(waiting)) if waiting else 10 * MIN_POLL_S
+        self.poll_timer = self.loop.call_later(wait_s, lambda: self.loop.create_task(self._poll_freed()))
 
-    async def _look(self) -> None:
-        names = {n for n, lease in self.core.leases.items() if not lease.token and lease.asked is None}
+    async def _poll_freed(self) -> None:
+        names = {n for n, lease in self.core.leases.items() if not lease.token and lease.pending_call is None}
         if names and not self.closed:
             try:
                 freed = await self.loop.run_in_executor(self.thread, self.backend.freed, names)
             except RuntimeError:
                 return
             for name in freed:
-                self._give(Changed(name))
+                self._handle(DutyFreed(name))
         if not self.closed:
-            self._look_later()
+            self._schedule_poll()
--- a/cloverkeel/fleet/ledger/part.py
+++ b/cloverkeel/fleet/ledger/part.py
@@ -15,7 +15,7 @@
 
 if TYPE_CHECKING:
     from cloverkeel.fleet.membership.service import Membership
-    from cloverkeel.fleet.state import Keeper
+    from cloverkeel.fleet.state import StateWriter
 
 STORE_POLL_S = 0.1  # between two checks whether this process owns the state store
 START_RETRY_S = 5.0  # between two attempts to open a state file that the ledger could not use
@@ -28,7 +28,7 @@
     state store is released. Any number of users may wait for `ready`.
     """
 
-    def __init__(self, keeper: Keeper, settings: Settings) -> None:
+    def __init__(self, keeper: StateWriter, settings: Settings) -> None:
         self.keeper, self.settings = keeper, settings
         self.ledger: LedgerService | None = None
         self.started = asyncio.Event()
--- a/cloverkeel/fleet/ledger/reader.py
+++ b/cloverkeel/fleet/ledger/reader.py
@@ -9,7 +9,7 @@
 from cloverkeel.fleet.ledger.records import payload_hash
 from cloverkeel.fleet.ledger.replica import Put
 from cloverkeel.fleet.ledger.store import SCHEMA, StoreError, checksum, decode_row
-from cloverkeel.fleet.state.file import FILE, reader
+from cloverkeel.fleet.state.database import STATE_FILE, open_read_only
 
 
 class Reader:
@@ -20,10 +20,10 @@
     """
 
     def __init__(self, directory: str) -> None:
-        self.path = os.path.join(directory, FILE)
+        self.path = os.path.join(directory, STATE_FILE)
         self.version = -1  # PRAGMA data_version at the last call of `puts`
         try:
-            self.connection = reader(self.path)
+            self.connection = open_read_only(self.path)
         except sqlite3.Error as error:
             raise StoreError(f"{self.path}: {error}") from None
 
--- a/cloverkeel/fleet/ledger/store.py
+++ b/cloverkeel/fleet/ledger/store.py
@@ -24,7 +24,7 @@
 from cloverkeel.fleet.ledger.interface import Persist, Persisted, PersistFailed
 from cloverkeel.fleet.ledger.records import Record, payload_hash, invalid_reason
 from cloverkeel.fleet.ledger.replica import Put
-from cloverkeel.fleet.state.file import FILE, connect, transaction
+from cloverkeel.fleet.state.database import STATE_FILE, connect, transaction
 
 SCHEMA = b"1"
 TABLES = (
@@ -63,7 +63,7 @@
 
     def __init__(self, directory: str) -> None:
         """Raises StoreError where there is no such file, it has another schema, or SQLite refuses it."""
-        path = os.path.join(directory, FILE)
+        path = os.path.join(directory, STATE_FILE)
         if not os.path.isfile(path):
             raise StoreError(f"{path} is not there: the state store creates it")
         try:
--- a/cloverkeel/fleet/rollout/analysis.py
+++ b/cloverkeel/fleet/rollout/analysis.py
@@ -9,19 +9,19 @@
 
 from cloverkeel.fleet.rollout.records import Rules
 
-BUCKETS = 96  # of good answers' latency: four to each doubling, from 1 ms
-CHANCE = 0.01  # of a difference as great where the sets are alike: one-sided
+LATENCY_BUCKETS = 96  # of good answers' latency: four to each doubling, from 1 ms
+SIGNIFICANCE = 0.01  # of a difference as great where the sets are alike: one-sided
 # Where breakers open on a set that fails, the attempts that would make up a sample never come: fewer will do
 # where the difference is certain.
-FEWEST, CERTAIN = 10, 1e-5
+MIN_EARLY_SAMPLE, EARLY_SIGNIFICANCE = 10, 1e-5
 PERCENTILE = 0.95
 
 
-def bucket_of(latency_us: int) -> int:
-    return min(BUCKETS - 1, max(0, int(4 * math.log2(max(1, latency_us) / 1000) + 1)))
+def latency_bucket(latency_us: int) -> int:
+    return min(LATENCY_BUCKETS - 1, max(0, int(4 * math.log2(max(1, latency_us) / 1000) + 1)))
 
 
-def bucket_ms(bucket: int) -> float:
+def bucket_limit_ms(bucket: int) -> float:
     """The longest latency in a bucket."""
     return float(2 ** (bucket / 4))
 
@@ -33,7 +33,7 @@
     ended: int = 0
     failed: int = 0
     refused: int = 0
-    latency: list[int] = field(default_factory=lambda: [0] * BUCKETS)
+    latency: list[int] = field(default_factory=lambda: [0] * LATENCY_BUCKETS)
 
     def plus(self, other: Counts, sign: int = 1) -> Counts:
         latency = [mine + sign * theirs for mine, theirs in zip(self.latency, other.latency, strict=True)]
@@ -44,7 +44,7 @@
             latency,
         )
 
-    def flat(self) -> list[int]:
+    def to_list(self) -> list[int]:
         """For a message; see `counts_of`."""
         return [self.ended, self.failed, self.refused, *self.latency]
 
@@ -54,18 +54,18 @@
         for bucket, number in enumerate(self.latency):
             seen += number
             if number and seen >= wanted:
-                return bucket_ms(bucket)
+                return bucket_limit_ms(bucket)
         return 0.0
 
 
-def counts_of(flat: Sequence[int]) -> Counts:
+def counts_from_list(flat: Sequence[int]) -> Counts:
     """Raises ValueError for what `flat` did not make."""
-    if len(flat) != BUCKETS + 3 or not all(isinstance(n, int) and n >= 0 for n in flat):
+    if len(flat) != LATENCY_BUCKETS + 3 or not all(isinstance(n, int) and n >= 0 for n in flat):
         raise ValueError("no counts")
     return Counts(flat[0], flat[1], flat[2], list(flat[3:]))
 
 
-def total(counts: Iterable[Counts]) -> Counts:
+def sum_counts(counts: Iterable[Counts]) -> Counts:
     found = Counts()
     for each in counts:
         found = found.plus(each)
@@ -86,11 +86,11 @@
         f"new {new.failed} failed and {new.refused} refused of {new.ended}, p95 {new.p95_ms():.0f} ms; "
         f"base {base.failed} and {base.refused} of {base.ended}, p95 {base.p95_ms():.0f} ms"
     )
-    if new.ended < min(FEWEST, rules.least):
+    if new.ended < min(MIN_EARLY_SAMPLE, rules.least):
         return Verdict("thin", shown)
-    chance = CHANCE if new.ended >= rules.least else CERTAIN
+    chance = SIGNIFICANCE if new.ended >= rules.least else EARLY_SIGNIFICANCE
     for what, bad, its in (("failed", new.failed, base.failed), ("refused", new.refused, base.refused)):
-        if base.ended and _worse(bad, new.ended, its, base.ended, rules.failed_points, chance):
+        if base.ended and _is_worse(bad, new.ended, its, base.ended, rules.failed_points, chance):
             return Verdict("fail", f"more {what}: {shown}")
     if new.ended < rules.least:
         return Verdict("thin", shown)
@@ -106,12 +106,12 @@
     return Verdict("pass", shown)
 
 
-def _worse(bad: int, of: int, its: int, its_of: int, points: float, chance: float) -> bool:
+def _is_worse(bad: int, of: int, its: int, its_of: int, points: float, chance: float) -> bool:
     """Whether a share is above another by more than `points`, and more than chance would have it."""
-    return bad / of - its / its_of > points and tail(bad, of, its, its_of) < chance
+    return bad / of - its / its_of > points and fisher_p_value(bad, of, its, its_of) < chance
 
 
-def tail(bad: int, of: int, its: int, its_of: int) -> float:
+def fisher_p_value(bad: int, of: int, its: int, its_of: int) -> float:
     """Fisher's exact test, one-sided: how probable it is that of all that failed so many or more fell to the
     one, were both alike."""
 
--- a/cloverkeel/fleet/rollout/command.py
+++ b/cloverkeel/fleet/rollout/command.py
@@ -53,14 +53,14 @@
         "rules": {"least": arguments.least, "failed_points": arguments.failed_points,
                   "latency_ratio": arguments.latency_ratio},
     }  # fmt: skip
-    return _ordered(address, "start", arguments.name, json.dumps(spec).encode())
+    return _send_order(address, "start", arguments.name, json.dumps(spec).encode())
 
 
 def _order(address: operator_commands.Address, arguments: argparse.Namespace) -> int:
-    return _ordered(address, arguments.verb, arguments.name, b"")
+    return _send_order(address, arguments.verb, arguments.name, b"")
 
 
-def _ordered(address: operator_commands.Address, verb: str, name: str, body: bytes) -> int:
+def _send_order(address: operator_commands.Address, verb: str, name: str, body: bytes) -> int:
     query = urlencode({"verb": verb, "name": name})
     answer = operator_commands.request_json(address, f"/api/rollout/order?{query}", body, lacks=LACKS)
     if answer["outcome"] == "taken":
--- a/cloverkeel/fleet/rollout/conducting.py
+++ b/cloverkeel/fleet/rollout/conductor_service.py
@@ -7,37 +7,37 @@
 from typing import TYPE_CHECKING, Any, Protocol
 
 from cloverkeel.fleet.duties.shell import NotHeldError
-from cloverkeel.fleet.duties.shell import Service as Duties
+from cloverkeel.fleet.duties.shell import DutyService as Duties
 from cloverkeel.fleet.events import event
 from cloverkeel.fleet.ledger.interface import Acknowledged, Level
 from cloverkeel.fleet.ledger.shell import WriteResult, WriteRefused
 from cloverkeel.fleet.ledger.shell import LedgerService as Ledger
 from cloverkeel.fleet.membership.calls import CallFailed
-from cloverkeel.fleet.rollout.analysis import counts_of
+from cloverkeel.fleet.rollout.analysis import counts_from_list
 from cloverkeel.fleet.rollout.core import (
     Conductor,
-    Drop,
+    DropOrder,
     Event,
-    Live,
-    Note,
-    Ordered,
-    Reported,
+    MembersChanged,
+    LogEvent,
+    OrdersChanged,
+    CountsReported,
     Tick,
-    Write,
+    WriteProgress,
     WriteFailed,
-    Written,
+    ProgressWritten,
 )
 from cloverkeel.fleet.rollout.records import ORDER, PROGRESS, PROGRESS_KEY, Order, Progress, encode
-from cloverkeel.fleet.rollout.settings import DUTY
+from cloverkeel.fleet.rollout.settings import CONDUCTOR_DUTY
 from cloverkeel.tasks import BackgroundTasks
 
 if TYPE_CHECKING:
     from cloverkeel.fleet.membership.service import Membership
 
-TICK_S = 0.1
-ASK_S = 0.5  # between two questions to a member
+TICK_INTERVAL_S = 0.1
+POLL_INTERVAL_S = 0.5  # between two questions to a member
 COUNTS_CALL = "rollout.counts"  # of a member, to each other
-WRITE_S = 5.0  # for a step to be held by a quorum
+WRITE_TIMEOUT_S = 5.0  # for a step to be held by a quorum
 
 
 class ServedRollout(Protocol):
@@ -45,11 +45,11 @@
 
     progress: Progress
 
-    def report(self) -> list[Any]:
+    def counts_report(self) -> list[Any]:
         """The answer to `COUNTS_CALL`."""
 
 
-class Conducting:
+class ConductorService:
     """From the duty's begin to its end, under its `token`."""
 
     def __init__(
@@ -59,86 +59,92 @@
         self.core = Conductor(token, served.progress)
         self.loop = asyncio.get_running_loop()
         self.tasks = BackgroundTasks()
-        self.asked: set[str] = set()  # members that have not answered yet
-        self.ticker = self.loop.call_soon(self._tick)
-        self.asker = self.loop.call_soon(self._ask_all)
+        self.polled_members: set[str] = set()  # members that have not answered yet
+        self.tick_timer = self.loop.call_soon(self._tick)
+        self.poll_timer = self.loop.call_soon(self._poll_members)
         self.closed = False
 
-    def ordered(self, orders: tuple[Order, ...]) -> None:
-        self._give(Ordered(orders))
+    def orders_changed(self, orders: tuple[Order, ...]) -> None:
+        self._handle(OrdersChanged(orders))
 
     def verdict(self) -> dict[str, str]:
         return {"outcome": self.core.verdict.outcome, "why": self.core.verdict.why}
 
     def close(self) -> None:
         self.closed = True
-        self.ticker.cancel()
-        self.asker.cancel()
+        self.tick_timer.cancel()
+        self.poll_timer.cancel()
         self.tasks.cancel()
 
-    def _give(self, what: Event) -> None:
+    def _handle(self, what: Event) -> None:
         if self.closed:
             return
         for action in self.core.handle(self.loop.time(), what):
             match action:
-                case Write(progress):
+                case WriteProgress(progress):
                     self.tasks.spawn(self._write(progress))
-                case Drop(id):
-                    self.tasks.spawn(self._drop(id))
-                case Note(name, fields):
+                case DropOrder(id):
+                    self.tasks.spawn(self._drop_order(id))
+                case LogEvent(name, fields):
                     event(name, **dict(fields))
 
     def _tick(self) -> None:
-        self.ticker = self.loop.call_later(TICK_S, self._tick)
-        self._give(Tick())
+        self.tick_timer = self.loop.call_later(TICK_INTERVAL_S, self._tick)
+        self._handle(Tick())
 
     async def _write(self, progress: Progress) -> None:
         try:
-            answer = await self.duties.act(DUTY, lambda token: self._begin_write(token, progress))
+            answer = await self.duties.run_if_held(
+                CONDUCTOR_DUTY, lambda token: self._begin_write(token, progress)
+            )
         except (NotHeldError, WriteRefused) as error:
-            self._give(WriteFailed(progress.place, str(error)))
+            self._handle(WriteFailed(progress.version, str(error)))
             return
         if isinstance(answer, Acknowledged):
-            self._give(Written(progress.place))
+            self._handle(ProgressWritten(progress.version))
         else:  # kept, and it may yet count: the next try stands above it
-            self._give(WriteFailed(progress.place, answer.reason))
+            self._handle(WriteFailed(progress.version, answer.reason))
 
     def _begin_write(self, token: int, progress: Progress) -> asyncio.Task[WriteResult]:
         """Under the duty's token, over what the ledger shows now: nothing newer may be there, or this process
         has been outrun. Raises NotHeldError."""
-        if token != progress.token or self.served.progress.place >= progress.place:
+        if token != progress.token or self.served.progress.version >= progress.version:
             raise NotHeldError("another conductor's step is newer")
         _, context = self.ledger.read(PROGRESS, PROGRESS_KEY)
-        write = self.ledger.write(PROGRESS, PROGRESS_KEY, encode(progress), context, Level.QUORUM, WRITE_S)
+        write = self.ledger.write(
+            PROGRESS, PROGRESS_KEY, encode(progress), context, Level.QUORUM, WRITE_TIMEOUT_S
+        )
         return self.loop.create_task(write)
 
-    async def _drop(self, id: str) -> None:
+    async def _drop_order(self, id: str) -> None:
         _, context = self.ledger.read(ORDER, id)
         with contextlib.suppress(WriteRefused):  # it stays, told as it is: the next conductor drops it
             await self.ledger.delete(ORDER, id, context)
 
     # Members
 
-    def _ask_all(self) -> None:
-        self.asker = self.loop.call_later(ASK_S, self._ask_all)
+    def _poll_members(self) -> None:
+        self.poll_timer = self.loop.call_later(POLL_INTERVAL_S, self._poll_members)
         live = {rumour.name: rumour.address for rumour in self.membership.live()}
-        self._give(Live(tuple(sorted(live))))
+        self._handle(MembersChanged(tuple(sorted(live))))
         for member, address in live.items():
-            if member not in self.asked:
-                self.asked.add(member)
-                self.tasks.spawn(self._ask(member, address))
+            if member not in self.polled_members:
+                self.polled_members.add(member)
+                self.tasks.spawn(self._poll_member(member, address))
 
-    async def _ask(self, member: str, address: str) -> None:
+    async def _poll_member(self, member: str, address: str) -> None:
         try:
             if member == self.membership.name:
-                answer = self.served.report()
+                answer = self.served.counts_report()
             else:
-                answer = await self.membership.calls.call(address, COUNTS_CALL, None, ASK_S * 2)
+                answer = await self.membership.calls.call(address, COUNTS_CALL, None, POLL_INTERVAL_S * 2)
             life, place, new, base = answer
             token, step = place
-            reported = Reported(member, int(life), (int(token), int(step)), counts_of(new), counts_of(base))
+            reported = CountsReported(
+                member, int(life), (int(token), int(step)), counts_from_list(new), counts_from_list(base)
+            )
         except (CallFailed, TypeError, ValueError):
             return  # it is asked again
         finally:
-            self.asked.discard(member)
-        self._give(reported)
+            self.polled_members.discard(member)
+        self._handle(reported)
--- a/cloverkeel/fleet/rollout/part.py
+++ b/cloverkeel/fleet/rollout/part.py
@@ -23,8 +23,8 @@
 from cloverkeel.fleet.events import event
 from cloverkeel.fleet.ledger.interface import Acknowledged, KeyChanged
 from cloverkeel.fleet.ledger.shell import LedgerService, WriteRefused
-from cloverkeel.fleet.rollout.conducting import COUNTS_CALL, Conducting
-from cloverkeel.fleet.rollout.counting import Counting
+from cloverkeel.fleet.rollout.conductor_service import COUNTS_CALL, ConductorService
+from cloverkeel.fleet.rollout.attempt_counter import AttemptCounter
 from cloverkeel.fleet.rollout.records import (
     ORDER,
     PROGRESS,
@@ -37,7 +37,7 @@
     encode,
     newest,
 )
-from cloverkeel.fleet.rollout.settings import DUTY
+from cloverkeel.fleet.rollout.settings import CONDUCTOR_DUTY
 from cloverkeel.fleet.routes.serving import RouteTable, compile_hosts
 from cloverkeel.operator import Answer
 
@@ -48,7 +48,7 @@
     from cloverkeel.fleet.membership.service import Membership
     from cloverkeel.gateway import Gateway
 
-TAKEN_S = 8.0  # for the conductor to say what becomes of an order
+ORDER_TIMEOUT_S = 8.0  # for the conductor to say what becomes of an order
 VERBS = ("start", "pause", "resume", "abort", "undo")
 
 
@@ -56,101 +56,101 @@
     """`start` after membership, `conduct_by` once the duties are there; `close` before the ledger closes."""
 
     def __init__(self, gateway: Gateway, ledger: LedgerPart, serving: RouteTable) -> None:
-        self.gateway, self.part, self.serving = gateway, ledger, serving
-        self.counting = Counting(gateway)
+        self.gateway, self.ledger_part, self.route_table = gateway, ledger, serving
+        self.attempt_counter = AttemptCounter(gateway)
         self.ledger: LedgerService | None = None
         self.progress = Progress()
-        self.changed = asyncio.Event()  # set at each new progress, for who waits
-        self.conducting: Conducting | None = None
+        self.progress_changed = asyncio.Event()  # set at each new progress, for who waits
+        self.conductor: ConductorService | None = None
         self.duties: DutiesPart | None = None
         self.membership: Membership | None = None
-        self.beginning: asyncio.Task[None] | None = None
+        self.start_task: asyncio.Task[None] | None = None
 
     def start(self, membership: Membership) -> None:
         self.membership = membership
-        self.beginning = asyncio.get_running_loop().create_task(self._begin(membership))
+        self.start_task = asyncio.get_running_loop().create_task(self._start(membership))
 
-    def conduct_by(self, duties: DutiesPart) -> None:
+    def attach_duties(self, duties: DutiesPart) -> None:
         self.duties = duties
-        duties.listen(DUTY, self._duty_changed)
+        duties.add_listener(CONDUCTOR_DUTY, self._duty_changed)
 
-    async def _begin(self, membership: Membership) -> None:
-        self.ledger = await self.part.ready()
-        self.ledger.on_key_changed(self._exposed)
-        membership.calls.serve(COUNTS_CALL, lambda _member, _body: self.report())
-        self._read()
-        self._duty_changed(self._token())
+    async def _start(self, membership: Membership) -> None:
+        self.ledger = await self.ledger_part.ready()
+        self.ledger.on_key_changed(self._key_changed)
+        membership.calls.serve(COUNTS_CALL, lambda _member, _body: self.counts_report())
+        self._read_progress()
+        self._duty_changed(self._duty_token())
 
-    def _token(self) -> int | None:
+    def _duty_token(self) -> int | None:
         service = self.duties.service if self.duties is not None else None
-        return service.token(DUTY) if service is not None else None
+        return service.token(CONDUCTOR_DUTY) if service is not None else None
 
     # What this gateway serves
 
-    def _exposed(self, exposed: KeyChanged) -> None:
+    def _key_changed(self, exposed: KeyChanged) -> None:
         if exposed.kind == PROGRESS:
-            self._read()
-        elif exposed.kind == ORDER and self.conducting is not None:
-            self.conducting.ordered(self.orders())
+            self._read_progress()
+        elif exposed.kind == ORDER and self.conductor is not None:
+            self.conductor.orders_changed(self.orders())
 
-    def _read(self) -> None:
+    def _read_progress(self) -> None:
         assert self.ledger is not None
         records, _ = self.ledger.read(PROGRESS, PROGRESS_KEY)
         found = newest(tuple(payload for _, payload in records if payload is not None))
-        if found is None or found.place <= self.progress.place:
+        if found is None or found.version <= self.progress.version:
             return
         before, self.progress = self.progress, found
-        over = self.over()
-        if over != self.serving.traffic_split:
-            self.serving.set_traffic_split(over)
-        self.counting.compare(self.sets() if found.spec is not None else None)
+        over = self.traffic_split()
+        if over != self.route_table.traffic_split:
+            self.route_table.set_traffic_split(over)
+        self.attempt_counter.set_host_sets(self.host_sets() if found.spec is not None else None)
         if (found.state, found.stage) != (before.state, before.stage):
             event("rollout.serves", state=found.state, stage=found.stage, share=found.share, step=found.step)
-        self.changed.set()
-        self.changed = asyncio.Event()
+        self.progress_changed.set()
+        self.progress_changed = asyncio.Event()
 
-    def follow(self, _config: Config) -> None:
+    def reconfigured(self, _config: Config) -> None:
         """After a SIGHUP: names may have other numbers."""
         if self.progress.spec is not None:
-            self.serving.set_traffic_split(self.over())
-            self.counting.compare(self.sets())
+            self.route_table.set_traffic_split(self.traffic_split())
+            self.attempt_counter.set_host_sets(self.host_sets())
 
-    def sets(self) -> tuple[HostSelector, HostSelector]:
+    def host_sets(self) -> tuple[HostSelector, HostSelector]:
         """The new set's hosts and the base's, as the module knows them."""
         spec, base = self.progress.spec, self.progress.base
         assert spec is not None
-        new = self._hosts(spec.hosts)
-        old = self._hosts(base) if base is not None else HostSelector()
+        new = self._selector(spec.hosts)
+        old = self._selector(base) if base is not None else HostSelector()
         return new, HostSelector(old.kinds, old.groups, old.zones, old.labels, (*old.none_of, new))
 
-    def _hosts(self, selector: Selector) -> HostSelector:
+    def _selector(self, selector: Selector) -> HostSelector:
         return compile_hosts(selector.target(), self.gateway.names)
 
-    def over(self) -> tuple[Target, ...]:
+    def traffic_split(self) -> tuple[Target, ...]:
         """How all requests are divided; empty: no rollout has ever been."""
         if self.progress.spec is None:
             return ()
-        new, base = self.sets()
+        new, base = self.host_sets()
         share = self.progress.share / 100
         return tuple(t for t in (Target(new, share), Target(base, 1 - share)) if t.share > 0)
 
-    def report(self) -> list[Any]:
+    def counts_report(self) -> list[Any]:
         """For the conductor: life, place of the progress served, counts of the new set and of the base."""
-        new, base = self.counting.counts
-        return [self.counting.life, self.progress.place, new.flat(), base.flat()]
+        new, base = self.attempt_counter.counts
+        return [self.attempt_counter.counts_id, self.progress.version, new.to_list(), base.to_list()]
 
     # Conducting
 
     def _duty_changed(self, token: int | None) -> None:
-        if self.conducting is not None:
-            self.conducting.close()
-            self.conducting = None
+        if self.conductor is not None:
+            self.conductor.close()
+            self.conductor = None
         if token is None or self.ledger is None or self.membership is None or self.duties is None:
             return
         service = self.duties.service
         assert service is not None
-        self.conducting = Conducting(token, self, self.ledger, service, self.membership)
-        self.conducting.ordered(self.orders())
+        self.conductor = ConductorService(token, self, self.ledger, service, self.membership)
+        self.conductor.orders_changed(self.orders())
 
     def orders(self) -> tuple[Order, ...]:
         assert self.ledger is not None
@@ -165,14 +165,14 @@
         return tuple(found)
 
     def close(self) -> None:
-        if self.beginning is not None:
-            self.beginning.cancel()
-        if self.conducting is not None:
-            self.conducting.close()
+        if self.start_task is not None:
+            self.start_task.cancel()
+        if self.conductor is not None:
+            self.conductor.close()
 
     def gauges(self) -> dict[str, int]:
         return {
-            "rollout_conducts": int(self.conducting is not None),
+            "rollout_conducts": int(self.conductor is not None),
             "rollout_stage": self.progress.stage,
             "rollout_share_percent": round(self.progress.share),
         }
@@ -183,19 +183,19 @@
         if self.ledger is None:
             return LEDGER_NOT_STARTED
         progress = self.progress
-        new, base = self.counting.counts
+        new, base = self.attempt_counter.counts
         body = {
             "state": progress.state, "stage": progress.stage, "share": progress.share, "why": progress.why,
             "token": progress.token, "step": progress.step,
             "spec": msgspec.to_builtins(progress.spec), "base": msgspec.to_builtins(progress.base),
-            "outcomes": dict(progress.outcomes), "conducts_here": self.conducting is not None,
-            "here": {"new": new.flat()[:3], "base": base.flat()[:3]},
+            "outcomes": dict(progress.outcomes), "conducts_here": self.conductor is not None,
+            "here": {"new": new.to_list()[:3], "base": base.to_list()[:3]},
         }  # fmt: skip
-        if self.conducting is not None:
-            body["verdict"] = self.conducting.verdict()
+        if self.conductor is not None:
+            body["verdict"] = self.conductor.verdict()
         return Answer(200, json.dumps(body).encode(), JSON_CONTENT_TYPE)
 
-    async def order(self, query: bytes, body: bytes) -> Answer:
+    async def submit_order(self, query: bytes, body: bytes) -> Answer:
         """`verb`, `name` and `wait` in the query; the spec of a start, as JSON, in the body."""
         if self.ledger is None:
             return LEDGER_NOT_STARTED
@@ -203,7 +203,7 @@
             verb, wait = query_value(query, "verb"), query_level(query)
             if verb not in VERBS:
                 raise ValueError(f"verb is one of {', '.join(VERBS)}, not {verb[:20]!r}")
-            spec = _spec(body) if verb == "start" else None
+            spec = _parse_spec(body) if verb == "start" else None
             name = spec.name if spec is not None else query_value(query, "name")
             number = max([self.progress.seen, *(order.number for order in self.orders())]) + 1
             order = Order(secrets.token_hex(16), number, verb, name, spec)  # type: ignore[arg-type]
@@ -220,22 +220,22 @@
                 json.dumps({"id": order.id, "outcome": "", "reason": answer.reason}).encode(),
                 JSON_CONTENT_TYPE,
             )
-        outcome = await self._outcome(order.id)
+        outcome = await self._await_outcome(order.id)
         reason = "" if outcome else "no conductor has taken it yet: it is kept"
         told = {"id": order.id, "outcome": outcome, "reason": reason}
         return Answer(200 if outcome else 202, json.dumps(told).encode(), JSON_CONTENT_TYPE)
 
-    async def _outcome(self, id: str) -> str:
+    async def _await_outcome(self, id: str) -> str:
         try:
-            async with asyncio.timeout(TAKEN_S):
+            async with asyncio.timeout(ORDER_TIMEOUT_S):
                 while id not in (outcomes := dict(self.progress.outcomes)):
-                    await self.changed.wait()
+                    await self.progress_changed.wait()
         except TimeoutError:
             return ""
         return outcomes[id]
 
 
-def _spec(body: bytes) -> Spec:
+def _parse_spec(body: bytes) -> Spec:
     """Raises ValueError."""
     try:
         return msgspec.json.decode(body, type=Spec)
--- a/cloverkeel/fleet/rollout/records.py
+++ b/cloverkeel/fleet/rollout/records.py
@@ -8,7 +8,7 @@
 
 ORDER, PROGRESS = "rollout.order", "rollout.progress"
 PROGRESS_KEY = "servers"
-OUTCOMES = 32  # orders that are gone whose outcome the progress still tells
+OUTCOMES_KEPT = 32  # orders that are gone whose outcome the progress still tells
 Name = Annotated[str, msgspec.Meta(pattern="^[a-z0-9][a-z0-9._-]{0,63}$")]
 Text = Annotated[str, msgspec.Meta(max_length=500)]
 Part = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
@@ -65,7 +65,7 @@
     spec: Spec | None = None
 
     @property
-    def place(self) -> tuple[int, str]:
+    def sort_key(self) -> tuple[int, str]:
         return self.number, self.id
 
 
@@ -85,7 +85,7 @@
     outcomes: tuple[tuple[str, Text], ...] = ()
 
     @property
-    def place(self) -> tuple[int, int]:
+    def version(self) -> tuple[int, int]:
         """Which of two counts."""
         return self.token, self.step
 
@@ -97,13 +97,13 @@
         return 100.0 if self.state == "done" else self.spec.steps[self.stage]
 
 
-Body = TypeVar("Body", Order, Progress)
+Record = TypeVar("Record", Order, Progress)
 
 
-def decode(payload: bytes, kind: type[Body]) -> Body:
+def decode(payload: bytes, kind: type[Record]) -> Record:
     """Raises ValueError."""
     try:
-        found: Body = msgspec.msgpack.decode(payload, type=kind)
+        found: Record = msgspec.msgpack.decode(payload, type=kind)
     except (msgspec.MsgspecError, RecursionError) as error:
         raise ValueError(str(error)) from None
     if isinstance(found, Progress) and found.spec is not None and found.stage >= len(found.spec.steps):
@@ -123,4 +123,4 @@
             found.append(decode(payload, Progress))
         except ValueError:
             continue
-    return max(found, key=lambda progress: progress.place) if found else None
+    return max(found, key=lambda progress: progress.version) if found else None
--- a/cloverkeel/fleet/rollout/settings.py
+++ b/cloverkeel/fleet/rollout/settings.py
@@ -8,7 +8,7 @@
 
 from cloverkeel.errors import ConfigError
 
-DUTY = "rollout-conductor"
+CONDUCTOR_DUTY = "rollout-conductor"
 
 
 class RolloutSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/cloverkeel/fleet/start.py
+++ b/cloverkeel/fleet/start.py
@@ -29,7 +29,7 @@
     from cloverkeel.fleet.duties.part import DutiesPart
     from cloverkeel.fleet.rollout.part import RolloutPart
     from cloverkeel.fleet.routes.part import RoutesPart
-    from cloverkeel.fleet.state import Keeper
+    from cloverkeel.fleet.state import StateWriter
     from cloverkeel.gateway import Gateway
     from cloverkeel.transforms.activation.part import TransformsPart
 
@@ -51,7 +51,7 @@
         config: Config,
         cluster: ClusterSettings,
         gateway: Gateway,
-        keeper: Keeper | None,
+        keeper: StateWriter | None,
         take_over: bool,
     ) -> None:
         events.setup_logging()
@@ -86,7 +86,7 @@
     def attach_duties(self, duties: DutiesPart) -> None:
         """Let the rollout part use the duties, under which a gateway may conduct a rollout."""
         if self.rollout is not None:
-            self.rollout.conduct_by(duties)
+            self.rollout.attach_duties(duties)
 
     async def start(self) -> None:
         """Start membership, then the other parts. Raises OSError if `cluster.bind` cannot be bound."""
@@ -184,7 +184,7 @@
             posts[b"/api/transforms/publish"] = self.transforms.publish
             posts[b"/api/transforms/rollback"] = self.transforms.rollback
         if self.rollout is not None:
-            posts[b"/api/rollout/order"] = self.rollout.order
+            posts[b"/api/rollout/order"] = self.rollout.submit_order
         if self.routes is not None:
             posts[b"/api/routes/apply"] = self.routes.apply
             posts[b"/api/routes/resolve"] = self.routes.resolve
@@ -272,7 +272,7 @@
             self.membership.close()
 
 
-def make_ledger(config: Config, cluster: ClusterSettings, keeper: Keeper | None) -> LedgerPart | None:
+def make_ledger(config: Config, cluster: ClusterSettings, keeper: StateWriter | None) -> LedgerPart | None:
     """Create the ledger part, if another part keeps records in it and there is a state store.
 
     That all parts have the same size is checked with the configuration (needs.py).
@@ -287,7 +287,7 @@
     return LedgerPart(keeper, Settings(size=size, reap_after_s=cluster.reap_after_s))
 
 
-async def next_incarnation(keeper: Keeper | None, take_over: bool) -> int:
+async def next_incarnation(keeper: StateWriter | None, take_over: bool) -> int:
     """An incarnation higher than any that this gateway's name had.
 
     It is the store's counter, incremented and written before use. Without a store, or if the store does not
@@ -298,7 +298,7 @@
     clock = time.time_ns() // 1_000_000
     if keeper is None:
         return clock
-    number = asyncio.wrap_future(keeper.number(INCARNATION_COUNTER))
+    number = asyncio.wrap_future(keeper.request_increment(INCARNATION_COUNTER))
     # Marks an exception that comes after the wait as retrieved.
     number.add_done_callback(lambda future: future.cancelled() or future.exception())
     done, _ = await asyncio.wait(
@@ -306,7 +306,7 @@
     )
     if done and number.exception() is None:
         return number.result()
-    last = await asyncio.to_thread(keeper.peek, INCARNATION_COUNTER) if take_over else 0
+    last = await asyncio.to_thread(keeper.read_counter, INCARNATION_COUNTER) if take_over else 0
     if last:
         return last + 1
     events.event("members.incarnation", source="clock", incarnation=clock, reason="the state store gave none")
--- a/cloverkeel/fleet/state/__init__.py
+++ b/cloverkeel/fleet/state/__init__.py
@@ -18,30 +18,38 @@
 if TYPE_CHECKING:
     from cloverkeel.fleet.state.codec import decode as decode
     from cloverkeel.fleet.state.codec import encode as encode
-    from cloverkeel.fleet.state.codec import judge as judge
-    from cloverkeel.fleet.state.file import FILE as FILE
-    from cloverkeel.fleet.state.file import CorruptError as CorruptError
-    from cloverkeel.fleet.state.file import connect as connect
-    from cloverkeel.fleet.state.file import counters as counters
-    from cloverkeel.fleet.state.file import read_only as read_only
-    from cloverkeel.fleet.state.file import reader as reader
-    from cloverkeel.fleet.state.file import verify as verify
-    from cloverkeel.fleet.state.keeper import Keeper as Keeper
-    from cloverkeel.fleet.state.recovery import start as start
+    from cloverkeel.fleet.state.codec import unusable_reason as unusable_reason
+    from cloverkeel.fleet.state.database import STATE_FILE as STATE_FILE
+    from cloverkeel.fleet.state.database import CorruptError as CorruptError
+    from cloverkeel.fleet.state.database import connect as connect
+    from cloverkeel.fleet.state.database import read_counters as read_counters
+    from cloverkeel.fleet.state.database import read_snapshots as read_snapshots
+    from cloverkeel.fleet.state.database import open_read_only as open_read_only
+    from cloverkeel.fleet.state.database import verify as verify
+    from cloverkeel.fleet.state.writer import StateWriter as StateWriter
+    from cloverkeel.fleet.state.recovery import recover as recover
     from cloverkeel.fleet.state.store import Store as Store
 
-HOMES = {
-    "codec": ("decode", "encode", "judge"),
-    "file": ("FILE", "CorruptError", "connect", "counters", "read_only", "reader", "verify"),
-    "keeper": ("Keeper",),
-    "recovery": ("start",),
+LAZY_EXPORTS = {
+    "codec": ("decode", "encode", "unusable_reason"),
+    "database": (
+        "STATE_FILE",
+        "CorruptError",
+        "connect",
+        "open_read_only",
+        "read_counters",
+        "read_snapshots",
+        "verify",
+    ),  # fmt: skip
+    "writer": ("StateWriter",),
+    "recovery": ("recover",),
     "store": ("Store",),
 }
 
 
 def __getattr__(name: str) -> object:
     """A name from its module: who needs the codec alone imports no database."""
-    for home, names in HOMES.items():
+    for home, names in LAZY_EXPORTS.items():
         if name in names:
             return getattr(import_module(f"{__name__}.{home}"), name)
     raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/cloverkeel/fleet/state/codec.py
+++ b/cloverkeel/fleet/state/codec.py
@@ -9,11 +9,11 @@
 
 from cloverkeel.fleet.snapshot import Snapshot
 
-SCHEMA = 1
-FUTURE_S = 1.0  # a snapshot taken later than now by more than this is from a clock that was wrong
+SCHEMA_VERSION = 1
+MAX_CLOCK_SKEW_S = 1.0  # a snapshot taken later than now by more than this is from a clock that was wrong
 
 
-def _breaker(raw: list[Any]) -> LearnedBreaker:
+def _decode_breaker(raw: list[Any]) -> LearnedBreaker:
     ring, state, left_us, cooldown_us = raw
     if state not in ("closed", "open", "half-open"):
         raise ValueError(f"no breaker state {state!r:.20}")
@@ -33,7 +33,8 @@
         for s in learned.servers
     ]  # fmt: skip
     raw = {
-        "v": SCHEMA, "taken_unix_s": snapshot.taken_unix_s, "servers": servers, "known": snapshot.known,
+        "v": SCHEMA_VERSION, "taken_unix_s": snapshot.taken_unix_s, "servers": servers,
+        "known": snapshot.known,
         "smoothed_us": learned.smoothed_us, "unhindered_us": learned.unhindered_us,
         "classes": [name.decode("latin-1") for name in snapshot.classes],
     }  # fmt: skip
@@ -46,8 +47,8 @@
         raw = json.loads(payload)
         servers = tuple(
             LearnedServer(
-                int(server), int(started), float(weight), float(idle), _breaker(b),
-                tuple((int(k), float(w), _breaker(pb)) for k, w, pb in parts),
+                int(server), int(started), float(weight), float(idle), _decode_breaker(b),
+                tuple((int(k), float(w), _decode_breaker(pb)) for k, w, pb in parts),
             )
             for server, started, weight, idle, b, parts in raw["servers"]
         )  # fmt: skip
@@ -63,11 +64,11 @@
         raise ValueError(f"payload does not parse: {error!r:.80}") from None
 
 
-def judge(snapshot: Snapshot, now_unix_s: float, max_age_s: float) -> str | None:
+def unusable_reason(snapshot: Snapshot, now_unix_s: float, max_age_s: float) -> str | None:
     """Why a sound snapshot is still not to be used, or None: too old, or from the future."""
     age_s = now_unix_s - snapshot.taken_unix_s
     if age_s > max_age_s:
         return f"taken {age_s:.1f} s ago, over the bound of {max_age_s:g} s"
-    if age_s < -FUTURE_S:
+    if age_s < -MAX_CLOCK_SKEW_S:
         return f"taken {-age_s:.1f} s from now"
     return None
--- a/cloverkeel/fleet/state/file.py
+++ b/cloverkeel/fleet/state/database.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterator
 
 from cloverkeel.fleet.snapshot import Snapshot
-from cloverkeel.fleet.state.codec import SCHEMA, decode
+from cloverkeel.fleet.state.codec import SCHEMA_VERSION, decode
 
-FILE, LOCK = "cloverkeel.db", "cloverkeel.lock"
-BUSY_MS = 2_000
+STATE_FILE, LOCK_FILE = "cloverkeel.db", "cloverkeel.lock"
+BUSY_TIMEOUT_MS = 2_000
 TABLES = """
 CREATE TABLE meta (key TEXT PRIMARY KEY, value TEXT NOT NULL);
 CREATE TABLE snapshot (id INTEGER PRIMARY KEY, taken_unix_s REAL NOT NULL, payload BLOB NOT NULL,
@@ -26,7 +26,9 @@
 
 
 def connect(path: str) -> sqlite3.Connection:
-    connection = sqlite3.connect(path, timeout=BUSY_MS / 1000, isolation_level=None, check_same_thread=False)
+    connection = sqlite3.connect(
+        path, timeout=BUSY_TIMEOUT_MS / 1000, isolation_level=None, check_same_thread=False
+    )
     connection.execute("PRAGMA journal_mode=WAL")
     connection.execute("PRAGMA synchronous=FULL")
     return connection
@@ -46,8 +48,8 @@
         if not {"meta", "snapshot", "counter"} <= tables:
             raise CorruptError("no schema: tables missing")
         row = connection.execute("SELECT value FROM meta WHERE key='schema'").fetchone()
-        if row is None or row[0] != str(SCHEMA):
-            raise CorruptError(f"schema {row[0] if row else 'missing'}, not {SCHEMA}")
+        if row is None or row[0] != str(SCHEMA_VERSION):
+            raise CorruptError(f"schema {row[0] if row else 'missing'}, not {SCHEMA_VERSION}")
         rows = connection.execute("SELECT id, payload, sha256 FROM snapshot ORDER BY id DESC").fetchall()
     except sqlite3.DatabaseError as error:
         raise CorruptError(str(error)) from None
@@ -65,7 +67,7 @@
     return good, findings
 
 
-def counters(connection: sqlite3.Connection) -> dict[str, int]:
+def read_counters(connection: sqlite3.Connection) -> dict[str, int]:
     return dict(connection.execute("SELECT name, value FROM counter ORDER BY name").fetchall())
 
 
@@ -90,22 +92,22 @@
     connection.execute("COMMIT")
 
 
-def reader(path: str) -> sqlite3.Connection:
+def open_read_only(path: str) -> sqlite3.Connection:
     """A connection that only reads: it sets no journal mode and cannot write. Raises sqlite3.Error."""
     uri = f"file:{path}?mode=ro"
     return sqlite3.connect(
-        uri, uri=True, timeout=BUSY_MS / 1000, isolation_level=None, check_same_thread=False
+        uri, uri=True, timeout=BUSY_TIMEOUT_MS / 1000, isolation_level=None, check_same_thread=False
     )
 
 
-def read_only(directory: str) -> list[Snapshot]:
+def read_snapshots(directory: str) -> list[Snapshot]:
     """The sound snapshots of a file that another process holds, newest first; nothing is moved or written.
     A file that fails a check gives none: its owner is the one to judge it."""
-    path = os.path.join(directory, FILE)
+    path = os.path.join(directory, STATE_FILE)
     if not os.path.isfile(path):
         return []
     try:
-        connection = reader(path)
+        connection = open_read_only(path)
     except sqlite3.Error:
         return []
     try:
--- a/cloverkeel/fleet/state/recovery.py
+++ b/cloverkeel/fleet/state/recovery.py
@@ -8,15 +8,15 @@
 
 from cloverkeel.fleet.events import event
 from cloverkeel.fleet.snapshot import StoreCounters, Snapshot
-from cloverkeel.fleet.state.codec import judge
-from cloverkeel.fleet.state.file import read_only
-from cloverkeel.fleet.state.keeper import Keeper
+from cloverkeel.fleet.state.codec import unusable_reason
+from cloverkeel.fleet.state.database import read_snapshots
+from cloverkeel.fleet.state.writer import StateWriter
 from cloverkeel.fleet.state.store import Store
 
 
-def start(
+def recover(
     directory: str, interval_s: float, max_age_s: float, upgrade: bool, figures: StoreCounters
-) -> tuple[Keeper | None, Snapshot | None]:
+) -> tuple[StateWriter | None, Snapshot | None]:
     """Recovery at the start: the store to write to (None: run without one) and the newest snapshot that may
     be used (None: start cold). Never raises; each reason to go without is one line.
 
@@ -26,13 +26,13 @@
     store: Store | None = None
     try:
         os.makedirs(directory, exist_ok=True)
-        fd = Store.take_lock(directory)
+        fd = Store.acquire_lock(directory)
         if fd is None and not upgrade:
             event("state.locked", directory=directory,
                   reason="another process holds this state directory; running without the store")  # fmt: skip
             return None, None
         if fd is None:
-            found = read_only(directory)
+            found = read_snapshots(directory)
         else:
             store, found = Store.open(directory, fd, figures, now_unix_s)
     except (OSError, sqlite3.Error) as error:
@@ -40,10 +40,10 @@
         return None, None
     newest = found[0] if found else None
     if newest is not None:
-        why = judge(newest, now_unix_s, max_age_s)
+        why = unusable_reason(newest, now_unix_s, max_age_s)
         if why is not None:
             event("state.stale", directory=directory, reason=why)
             newest = None
     event("state.opened", directory=directory, snapshots=len(found), warm=newest is not None,
           writer="this process" if store is not None else "after the process before ends")  # fmt: skip
-    return Keeper(directory, interval_s, figures, store), newest
+    return StateWriter(directory, interval_s, figures, store), newest
--- a/faultlab/duties/site.py
+++ b/faultlab/duties/site.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from cloverkeel.fleet.state import FILE, StoreCounters, Store
+from cloverkeel.fleet.state import STATE_FILE, StoreCounters, Store
 
 from faultlab.duties.resource import First, Resource
 from faultlab.lab import ROOT
@@ -26,7 +26,7 @@
 
 def begin(directory: Path) -> None:
     """A state file as a gateway's store begins it."""
-    lock = Store.take_lock(str(directory))
+    lock = Store.acquire_lock(str(directory))
     assert lock is not None
     store, _ = Store.open(str(directory), lock, StoreCounters(), time.time())
     store.prepare()
@@ -118,7 +118,7 @@
         """Whether somebody holds the file's write lock now."""
         if self.backend != "local":
             return False
-        writer = sqlite3.connect(self.folder / FILE, isolation_level=None, timeout=0.2)
+        writer = sqlite3.connect(self.folder / STATE_FILE, isolation_level=None, timeout=0.2)
         try:
             writer.execute("BEGIN IMMEDIATE")
             writer.execute("ROLLBACK")
@@ -130,7 +130,7 @@
 
     async def lock_store(self, length_s: float) -> None:
         """Another program writes for so long."""
-        writer = sqlite3.connect(self.folder / FILE, isolation_level=None, timeout=5.0)
+        writer = sqlite3.connect(self.folder / STATE_FILE, isolation_level=None, timeout=5.0)
         try:
             writer.execute("BEGIN IMMEDIATE")
             await asyncio.sleep(length_s)  # how long the fault lasts
@@ -140,7 +140,7 @@
 
     def replace_store(self) -> None:
         """A copy of the file in its place, as a restore from a backup would put it there."""
-        path = self.folder / FILE
+        path = self.folder / STATE_FILE
         copy = path.with_suffix(".copy")
         with sqlite3.connect(path, timeout=5.0) as source, sqlite3.connect(copy) as target:
             source.backup(target)
@@ -152,11 +152,11 @@
 
     def lose_store(self) -> None:
         """A directory in the place of the file: it can be neither read nor written."""
-        path = self.folder / FILE
+        path = self.folder / STATE_FILE
         os.replace(path, path.with_suffix(".lost"))
         path.mkdir()
 
     def restore_store(self) -> None:
-        path = self.folder / FILE
+        path = self.folder / STATE_FILE
         shutil.rmtree(path)
         os.replace(path.with_suffix(".lost"), path)
--- a/faultlab/duties/worker.py
+++ b/faultlab/duties/worker.py
@@ -18,7 +18,7 @@
 
 from cloverkeel.fleet import events
 from cloverkeel.fleet.duties.interface import Duty
-from cloverkeel.fleet.duties.shell import Backend, NotHeldError, Service
+from cloverkeel.fleet.duties.shell import Backend, NotHeldError, DutyService
 
 from faultlab.duties.resource import CARELESS
 
@@ -39,11 +39,11 @@
     events.setup_logging()
     holder = f"{order['name']}/{time.monotonic_ns():x}{CARELESS if order.get('careless') else ''}"
     backend = backend_of(order, holder)
-    service = Service(holder, backend)
+    service = DutyService(holder, backend)
     duties = tuple(Duty(name, ttl_s) for name, ttl_s in order["duties"].items())
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, lambda: service.named(duties[:1]))
+    loop.add_signal_handler(signal.SIGHUP, lambda: service.set_duties(duties[:1]))
     loop.add_signal_handler(signal.SIGUSR1, lambda: print(backend.transactions, flush=True))
     print("ready", flush=True)
     held: dict[str, int] = {}
@@ -67,13 +67,13 @@
                     act(duty, held[duty])
                     continue
                 try:
-                    service.act(duty, lambda token, duty=duty: act(duty, token))  # type: ignore[misc]
+                    service.run_if_held(duty, lambda token, duty=duty: act(duty, token))  # type: ignore[misc]
                 except NotHeldError:
                     held.pop(duty, None)
 
         for each in duties:
-            service.listen(each.name, lambda token, name=each.name: changed(name, token))  # type: ignore[misc]
-        service.named(duties)
+            service.add_listener(each.name, lambda token, name=each.name: changed(name, token))  # type: ignore[misc]
+        service.set_duties(duties)
         tick()
         await stop.wait()
         held.clear()
--- a/faultlab/lab.py
+++ b/faultlab/lab.py
@@ -141,10 +141,10 @@
 
 async def snapshot_after(directory: Path, after_unix_s: float, timeout_s: float = 10.0) -> None:
     """Once the state file in `directory` holds a snapshot taken after `after_unix_s`."""
-    from cloverkeel.fleet.state import read_only
+    from cloverkeel.fleet.state import read_snapshots
 
     async with asyncio.timeout(timeout_s):
-        while not any(s.taken_unix_s > after_unix_s for s in read_only(str(directory))):
+        while not any(s.taken_unix_s > after_unix_s for s in read_snapshots(str(directory))):
             await asyncio.sleep(POLL_S)
 
 
--- a/faultlab/member.py
+++ b/faultlab/member.py
@@ -45,7 +45,7 @@
 
     keeper = None
     if directory is not None:
-        keeper, _ = state.start(directory, 3600.0, 3600.0, False, state.StoreCounters())
+        keeper, _ = state.recover(directory, 3600.0, 3600.0, False, state.StoreCounters())
     number = await next_incarnation(keeper, False)
     if keeper is not None:
         keeper.close(None, 1.0)
--- a/faultlab/recovery/damage.py
+++ b/faultlab/recovery/damage.py
@@ -19,7 +19,7 @@
 
 def damages(rng: random.Random) -> dict[str, Callable[[Path], None]]:
     """Each damage, done to a directory that holds a good file."""
-    path = state.FILE
+    path = state.STATE_FILE
 
     def truncate(at: Callable[[int], int]) -> Callable[[Path], None]:
         def damage(d: Path) -> None:
--- a/faultlab/recovery/files.py
+++ b/faultlab/recovery/files.py
@@ -19,14 +19,14 @@
     """What a disk could hold: the database file, then its WAL, each read at its own moment."""
     target.mkdir()
     for suffix in ("", "-wal"):
-        with open(source / (state.FILE + suffix), "rb") as file:
+        with open(source / (state.STATE_FILE + suffix), "rb") as file:
             data = file.read()
-        (target / (state.FILE + suffix)).write_bytes(data)
+        (target / (state.STATE_FILE + suffix)).write_bytes(data)
 
 
 def open_copy(directory: Path) -> tuple[str, int]:
     """How a start treats a copy: 'restored', 'cold' or 'moved aside', and the sequence it restored."""
-    fd = state.Store.take_lock(str(directory))
+    fd = state.Store.acquire_lock(str(directory))
     assert fd is not None
     figures = state.StoreCounters()
     store, found = state.Store.open(str(directory), fd, figures, time.time())
@@ -41,7 +41,7 @@
 
 def good_file(directory: Path, snapshots: int) -> None:
     directory.mkdir()
-    fd = state.Store.take_lock(str(directory))
+    fd = state.Store.acquire_lock(str(directory))
     assert fd is not None
     store, _ = state.Store.open(str(directory), fd, state.StoreCounters(), time.time())
     store.prepare()
@@ -54,7 +54,7 @@
     """A good file whose newest snapshot is still in the WAL: copied while the writer holds it open."""
     source = directory.with_name(directory.name + "-source")
     good_file(source, 2)
-    connection = sqlite3.connect(source / state.FILE, isolation_level=None)
+    connection = sqlite3.connect(source / state.STATE_FILE, isolation_level=None)
     connection.execute("PRAGMA wal_autocheckpoint=0")
     payload = state.encode(writer.synthetic(2, time.time()))
     connection.execute("INSERT INTO snapshot (taken_unix_s, payload, sha256) VALUES (?, ?, ?)",
--- a/faultlab/recovery/gateways.py
+++ b/faultlab/recovery/gateways.py
@@ -31,7 +31,7 @@
     for gateway in (first, second):
         await gateway.signal(signal.SIGTERM)
     hosts[0].close()
-    with sqlite3.connect(directory / state.FILE) as connection:
+    with sqlite3.connect(directory / state.STATE_FILE) as connection:
         snapshots, findings = state.verify(connection)
     return {
         "two_ready": all(r < float("inf") for r in ready),
@@ -56,7 +56,7 @@
         for _ in range(rounds):
             await asyncio.sleep(rng.uniform(0.0, 0.05))
             await gateway.signal(signal.SIGSTOP)
-            sound += bool(state.read_only(str(directory)))
+            sound += bool(state.read_snapshots(str(directory)))
             await asyncio.sleep(rng.uniform(0.0, 0.5))
             await gateway.signal(signal.SIGCONT)
         resumed = time.time()
--- a/faultlab/recovery/starts.py
+++ b/faultlab/recovery/starts.py
@@ -85,7 +85,7 @@
     directory = folder / "checks"
     good_file(directory, 2)
     costs: dict[str, float] = {}
-    with sqlite3.connect(directory / state.FILE) as connection:
+    with sqlite3.connect(directory / state.STATE_FILE) as connection:
         for pragma in ("quick_check", "integrity_check"):
             times = []
             for _ in range(rounds):
@@ -93,5 +93,5 @@
                 connection.execute(f"PRAGMA {pragma}").fetchall()
                 times.append((time.perf_counter() - began) * 1000)
             costs[pragma] = statistics.median(times)
-    size_kib = (directory / state.FILE).stat().st_size / 1024
+    size_kib = (directory / state.STATE_FILE).stat().st_size / 1024
     return {"check_ms": costs, "file_kib": size_kib}
--- a/faultlab/recovery/writer.py
+++ b/faultlab/recovery/writer.py
@@ -41,7 +41,7 @@
 
 
 def main(directory: str, count: int) -> int:
-    fd = state.Store.take_lock(directory)
+    fd = state.Store.acquire_lock(directory)
     if fd is None:
         print("locked", flush=True)
         return 1
--- a/faultlab/transforms/faults/disks.py
+++ b/faultlab/transforms/faults/disks.py
@@ -8,7 +8,7 @@
 import shutil
 from pathlib import Path
 
-from cloverkeel.fleet.state.file import FILE
+from cloverkeel.fleet.state.database import STATE_FILE
 from faultlab.transforms.faults.field import REST_S, Field
 from faultlab.transforms.faults.network import PAD, candidate_or_active
 from faultlab.gateways import POLL_S
@@ -20,7 +20,7 @@
 def _files(field: Field, name: str) -> list[Path]:
     state = field.fleet.gateways[name].state_dir
     assert state is not None
-    return [file for file in (state / FILE, state / f"{FILE}-wal") if file.exists()]
+    return [file for file in (state / STATE_FILE, state / f"{STATE_FILE}-wal") if file.exists()]
 
 
 async def disk(field: Field) -> None:
--- a/tests/test_duties_local.py
+++ b/tests/test_duties_local.py
@@ -10,10 +10,19 @@
 
 import pytest
 
-from cloverkeel.fleet.duties.interface import Answer, Ask, Duty, Gone, Granted, Held, Unreachable, Verb
-from cloverkeel.fleet.duties.local import LocalBackend, table
-from cloverkeel.fleet.duties.shell import NotHeldError, Service
-from cloverkeel.fleet.state.file import FILE
+from cloverkeel.fleet.duties.interface import (
+    BackendAnswer,
+    BackendCall,
+    Duty,
+    NotHeld,
+    Granted,
+    Held,
+    Unreachable,
+    Verb,
+)
+from cloverkeel.fleet.duties.local import LocalBackend, list_leases
+from cloverkeel.fleet.duties.shell import NotHeldError, DutyService
+from cloverkeel.fleet.state.database import STATE_FILE
 from faultlab.duties.site import begin
 from tests.sockets import on_loop
 
@@ -28,11 +37,11 @@
         return self.now_s
 
 
-def call(backend: LocalBackend, verb: Verb, token: int = 0) -> Answer:
-    return backend.ask(Ask(DUTY, verb, 1, token))
+def call(backend: LocalBackend, verb: Verb, token: int = 0) -> BackendAnswer:
+    return backend.call(BackendCall(DUTY, verb, 1, token))
 
 
-def granted(answer: Answer) -> int:
+def granted(answer: BackendAnswer) -> int:
     assert isinstance(answer, Granted), answer
     return answer.token
 
@@ -55,18 +64,20 @@
     assert call(one, "renew", first) == Granted(first)
     clock.now_s += 1.9
     assert isinstance(call(other, "acquire"), Held)
-    assert call(one, "release", first) == Gone() and other.freed({"chore"}) == ["chore"]
+    assert call(one, "release", first) == NotHeld() and other.freed({"chore"}) == ["chore"]
     second = granted(call(other, "acquire"))
     clock.now_s += 2.0
-    assert call(other, "renew", second) == Gone()  # over: it is not held, though nobody else has it
+    assert call(other, "renew", second) == NotHeld()  # over: it is not held, though nobody else has it
     third = granted(call(one, "acquire"))
     assert first < second < third
-    assert [(row.name, row.holder, row.token) for row in table(str(tmp_path))] == [("chore", "one", third)]
-    forced = one.force("chore")
-    assert forced > third and call(one, "renew", third) == Gone()
+    assert [(row.name, row.holder, row.token) for row in list_leases(str(tmp_path))] == [
+        ("chore", "one", third)
+    ]
+    forced = one.force_release("chore")
+    assert forced > third and call(one, "renew", third) == NotHeld()
     assert granted(call(other, "acquire")) > forced
     with pytest.raises(KeyError):
-        one.force("never-held")
+        one.force_release("never-held")
 
 
 @pytest.mark.parametrize("how", ["new", "copy"])
@@ -74,7 +85,7 @@
     begin(tmp_path)
     clock = Clock()
     one, other = pair(tmp_path, clock)
-    path = tmp_path / FILE
+    path = tmp_path / STATE_FILE
     with sqlite3.connect(path) as connection:
         connection.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     connection.close()
@@ -87,7 +98,7 @@
     else:
         begin(tmp_path)
     assert isinstance(call(other, "acquire"), Held)
-    assert call(one, "renew", token) == Gone()
+    assert call(one, "renew", token) == NotHeld()
     clock.now_s += 2.0
     assert granted(call(other, "acquire")) > token
 
@@ -97,11 +108,11 @@
     one = LocalBackend(str(tmp_path), "one", clock)
     assert isinstance(call(one, "acquire"), Unreachable)  # no file yet
     with pytest.raises(FileNotFoundError):
-        table(str(tmp_path))
+        list_leases(str(tmp_path))
     begin(tmp_path)
     one, other = pair(tmp_path, clock)
     token = granted(call(one, "acquire"))
-    writer = sqlite3.connect(tmp_path / FILE, isolation_level=None)
+    writer = sqlite3.connect(tmp_path / STATE_FILE, isolation_level=None)
     writer.execute("BEGIN IMMEDIATE")
     locked = call(one, "renew", token)
     assert isinstance(locked, Unreachable) and "locked" in locked.reason
@@ -121,21 +132,21 @@
     def tell(name: str, token: int | None) -> None:
         heard.put_nowait((name, token))
 
-    services = [Service(name, LocalBackend(str(tmp_path), name)) for name in ("one", "other")]
+    services = [DutyService(name, LocalBackend(str(tmp_path), name)) for name in ("one", "other")]
     for service in services:
-        service.listen("chore", partial(tell, service.core.holder))
-        service.named((duty,))
+        service.add_listener("chore", partial(tell, service.core.holder))
+        service.set_duties((duty,))
     first, token = await heard.get()
     assert token is not None
     holder, waiting = services if first == "one" else reversed(services)
-    assert holder.act("chore", lambda given: given) == token
+    assert holder.run_if_held("chore", lambda given: given) == token
     with pytest.raises(NotHeldError, match="chore is not held here"):
-        waiting.act("chore", lambda given: given)
+        waiting.run_if_held("chore", lambda given: given)
     await holder.close()
     assert await heard.get() == (first, None)
     second, higher = await heard.get()
     assert second != first and higher is not None and higher > token
-    waiting.named(())
+    waiting.set_duties(())
     assert await heard.get() == (second, None)
     assert waiting.token("chore") is None
     await waiting.close()
--- a/tests/test_duties_model.py
+++ b/tests/test_duties_model.py
@@ -9,22 +9,22 @@
 
 import pytest
 
-from cloverkeel.fleet.duties.core import Duties
+from cloverkeel.fleet.duties.core import LeaseManager
 from cloverkeel.fleet.duties.interface import (
     Action,
-    Answer,
-    Answered,
-    Ask,
-    Begin,
-    Changed,
+    BackendAnswer,
+    CallAnswered,
+    BackendCall,
+    DutyStarted,
+    DutyFreed,
     Duty,
-    End,
+    DutyEnded,
     Event,
-    Gone,
+    NotHeld,
     Granted,
     Held,
-    Leave,
-    Named,
+    Shutdown,
+    DutiesConfigured,
     Tick,
     Unreachable,
 )
@@ -38,11 +38,11 @@
 
 @dataclass
 class Process:
-    core: Duties
+    core: LeaseManager
     rate: float  # of its clock
     holds: int = 0  # as its Begin and End say
-    asks: list[Ask] = field(default_factory=list)  # on their way to the backend
-    answers: list[Answered] = field(default_factory=list)  # on their way back
+    asks: list[BackendCall] = field(default_factory=list)  # on their way to the backend
+    answers: list[CallAnswered] = field(default_factory=list)  # on their way back
 
 
 @dataclass
@@ -59,24 +59,24 @@
     def give(self, process: Process, event: Event) -> None:
         for action in process.core.handle(self.now_s * process.rate, event):
             match action:
-                case Ask():
+                case BackendCall():
                     process.asks.append(action)
-                case Begin(_, token):
+                case DutyStarted(_, token):
                     assert process.holds == 0 and token not in self.granted, "a token is granted twice"
                     self.granted.add(token)
                     process.holds = token
-                case End(_, token, _):
+                case DutyEnded(_, token, _):
                     assert process.holds == token
                     process.holds = 0
         self.check()
 
     def check(self) -> None:
-        acting = [p.core.may_act(self.now_s * p.rate, "d") for p in self.processes]
+        acting = [p.core.current_token(self.now_s * p.rate, "d") for p in self.processes]
         assert sum(token is not None for token in acting) <= 1, "two act at once"
         for process, token in zip(self.processes, acting, strict=True):
             assert token is None or token == process.holds
 
-    def backend(self, holder: str, ask: Ask) -> Answer:
+    def backend(self, holder: str, ask: BackendCall) -> BackendAnswer:
         free = not self.holder or self.now_s >= self.until_s
         mine = not free and (self.holder, self.token) == (holder, ask.token)
         if ask.verb == "acquire" and free:
@@ -89,7 +89,7 @@
             return Granted(self.token)
         if ask.verb == "release" and mine:
             self.holder = ""
-        return Gone()
+        return NotHeld()
 
     def key(self) -> object:
         """Equal for states that go on alike: times by their distance, tokens by how far back they are."""
@@ -99,18 +99,19 @@
             for lease in p.core.leases.values():
                 seen.append((
                     self.token - lease.token if lease.token else None,
-                    round(max(0.0, lease.until_s - now_s), 6),
-                    lease.asked and lease.asked.verb, round(now_s - lease.sent_s, 6) if lease.asked else 0,
-                    round(max(0.0, lease.next_s - now_s), 6), lease.wanted,
+                    round(max(0.0, lease.valid_until_s - now_s), 6),
+                    lease.pending_call and lease.pending_call.verb,
+                    round(now_s - lease.sent_at_s, 6) if lease.pending_call else 0,
+                    round(max(0.0, lease.next_call_s - now_s), 6), lease.wanted,
                 ))  # fmt: skip
-            asked = next(iter(p.core.leases.values())).asked if p.core.leases else None
-            number = asked.number if asked else 0
-            seen.append(tuple((a.verb, self.token - a.token, a.number == number) for a in p.asks))
-            seen.append(tuple((repr(_aged(a.answer, self.token)), a.number == number) for a in p.answers))
+            asked = next(iter(p.core.leases.values())).pending_call if p.core.leases else None
+            number = asked.call_id if asked else 0
+            seen.append(tuple((a.verb, self.token - a.token, a.call_id == number) for a in p.asks))
+            seen.append(tuple((repr(_aged(a.answer, self.token)), a.call_id == number) for a in p.answers))
         return tuple(seen)
 
 
-def _aged(answer: Answer, token: int) -> object:
+def _aged(answer: BackendAnswer, token: int) -> object:
     match answer:
         case Granted(its):
             return "granted", token - its
@@ -150,10 +151,10 @@
                 state.give(each, Tick())
         case "take":
             ask = process.asks.pop(0)
-            process.answers.append(Answered("d", ask.number, state.backend(process.core.holder, ask)))
+            process.answers.append(CallAnswered("d", ask.call_id, state.backend(process.core.holder, ask)))
         case "lose":
             ask = process.asks.pop(0)
-            process.answers.append(Answered("d", ask.number, Unreachable("lost")))
+            process.answers.append(CallAnswered("d", ask.call_id, Unreachable("lost")))
         case "tell":
             state.give(process, process.answers.pop(0))
         case "drop":
@@ -163,9 +164,9 @@
 
 def search(rates: tuple[float, float], depth: int) -> int:
     """Every order of up to `depth` moves; returns how many states there were. Raises AssertionError."""
-    first = State([Process(Duties(f"p{n}", LOW), rate) for n, rate in enumerate(rates)])
+    first = State([Process(LeaseManager(f"p{n}", LOW), rate) for n, rate in enumerate(rates)])
     for process in first.processes:
-        first.give(process, Named((DUTY,)))
+        first.give(process, DutiesConfigured((DUTY,)))
     seen, waiting = {first.key()}, deque([(first, 0)])
     while waiting:
         state, steps = waiting.popleft()
@@ -191,54 +192,54 @@
         search((0.7, 1.0), 12)
 
 
-def begun(core: Duties, now_s: float, token: int) -> None:
-    ask = next(a for a in core.handle(now_s, Named((DUTY,))) if isinstance(a, Ask))
-    assert core.handle(now_s, Answered("d", ask.number, Granted(token)))[0] == Begin("d", token)
+def begun(core: LeaseManager, now_s: float, token: int) -> None:
+    ask = next(a for a in core.handle(now_s, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
+    assert core.handle(now_s, CallAnswered("d", ask.call_id, Granted(token)))[0] == DutyStarted("d", token)
 
 
 def asked(actions: list[Action]) -> list[tuple[str, int]]:
-    return [(a.verb, a.token) for a in actions if isinstance(a, Ask)]
+    return [(a.verb, a.token) for a in actions if isinstance(a, BackendCall)]
 
 
 def test_a_process_that_wakes_up_past_its_time_does_not_act_before_it_has_looked() -> None:
-    core = Duties("p", LOW)
+    core = LeaseManager("p", LOW)
     begun(core, 10.0, 7)
-    assert core.may_act(10.84, "d") == 7
-    assert core.may_act(10.86, "d") is None  # nothing has ticked meanwhile
-    assert End("d", 7, "not renewed in time") in core.handle(12.0, Tick())
+    assert core.current_token(10.84, "d") == 7
+    assert core.current_token(10.86, "d") is None  # nothing has ticked meanwhile
+    assert DutyEnded("d", 7, "not renewed in time") in core.handle(12.0, Tick())
 
 
 def test_an_answer_that_comes_too_late_is_given_back() -> None:
-    core = Duties("p", LOW)
-    ask = next(a for a in core.handle(10.0, Named((DUTY,))) if isinstance(a, Ask))
-    actions = core.handle(10.9, Answered("d", ask.number, Granted(3)))
-    assert asked(actions) == [("release", 3)] and core.may_act(10.9, "d") is None
+    core = LeaseManager("p", LOW)
+    ask = next(a for a in core.handle(10.0, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
+    actions = core.handle(10.9, CallAnswered("d", ask.call_id, Granted(3)))
+    assert asked(actions) == [("release", 3)] and core.current_token(10.9, "d") is None
 
 
 def test_a_grant_whose_answer_was_lost_is_let_go_and_asked_for_anew() -> None:
-    core = Duties("p", LOW)
-    ask = next(a for a in core.handle(10.0, Named((DUTY,))) if isinstance(a, Ask))
-    core.handle(10.01, Answered("d", ask.number, Unreachable("reset")))
-    again = next(a for a in core.handle(10.2, Tick()) if isinstance(a, Ask))
-    release = core.handle(10.2, Answered("d", again.number, Held("p", 4, 0.8)))
+    core = LeaseManager("p", LOW)
+    ask = next(a for a in core.handle(10.0, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
+    core.handle(10.01, CallAnswered("d", ask.call_id, Unreachable("reset")))
+    again = next(a for a in core.handle(10.2, Tick()) if isinstance(a, BackendCall))
+    release = core.handle(10.2, CallAnswered("d", again.call_id, Held("p", 4, 0.8)))
     assert asked(release) == [("release", 4)]
-    number = next(a.number for a in release if isinstance(a, Ask))
-    assert asked(core.handle(10.21, Answered("d", number, Gone()))) == [("acquire", 0)]
+    number = next(a.call_id for a in release if isinstance(a, BackendCall))
+    assert asked(core.handle(10.21, CallAnswered("d", number, NotHeld()))) == [("acquire", 0)]
 
 
 def test_what_is_dropped_from_the_configuration_or_left_at_the_end_is_released() -> None:
-    for event in (Named(()), Leave()):
-        core = Duties("p", LOW)
+    for event in (DutiesConfigured(()), Shutdown()):
+        core = LeaseManager("p", LOW)
         begun(core, 10.0, 7)
         actions = core.handle(10.1, event)
-        assert isinstance(actions[0], End) and asked(actions) == [("release", 7)]
-        number = next(a.number for a in actions if isinstance(a, Ask))
-        assert core.handle(10.2, Answered("d", number, Gone())) == []
-        assert core.handle(30.0, Tick()) == [] and core.may_act(30.0, "d") is None
+        assert isinstance(actions[0], DutyEnded) and asked(actions) == [("release", 7)]
+        number = next(a.call_id for a in actions if isinstance(a, BackendCall))
+        assert core.handle(10.2, CallAnswered("d", number, NotHeld())) == []
+        assert core.handle(30.0, Tick()) == [] and core.current_token(30.0, "d") is None
 
 
 def test_a_contender_asks_at_once_where_the_duty_is_seen_to_be_free() -> None:
-    core = Duties("p", LOW)
-    ask = next(a for a in core.handle(10.0, Named((DUTY,))) if isinstance(a, Ask))
-    assert core.handle(10.0, Answered("d", ask.number, Held("other", 4, 0.9))) == []
-    assert asked(core.handle(10.01, Changed("d"))) == [("acquire", 0)]
+    core = LeaseManager("p", LOW)
+    ask = next(a for a in core.handle(10.0, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
+    assert core.handle(10.0, CallAnswered("d", ask.call_id, Held("other", 4, 0.9))) == []
+    assert asked(core.handle(10.01, DutyFreed("d"))) == [("acquire", 0)]
--- a/tests/test_duties_parts.py
+++ b/tests/test_duties_parts.py
@@ -10,9 +10,9 @@
 
 from cloverkeel.commands import run
 from cloverkeel.errors import ConfigError
-from cloverkeel.fleet.duties.chores import compact
-from cloverkeel.fleet.duties.founding import Founding
-from cloverkeel.fleet.duties.interface import Ask, Duty, Granted
+from cloverkeel.fleet.duties.jobs import remove_old_corrupt_files
+from cloverkeel.fleet.duties.bootstrap import Bootstrap
+from cloverkeel.fleet.duties.interface import BackendCall, Duty, Granted
 from cloverkeel.fleet.duties.local import LocalBackend
 from cloverkeel.fleet.duties.settings import parse_duties
 from faultlab.duties.site import begin
@@ -27,39 +27,41 @@
 VOTERS = {"a": "127.0.0.1:7101", "b": "127.0.0.1:7102", "c": "127.0.0.1:7103"}
 
 
-def founders(*with_journal: str) -> dict[str, Founding]:
+def founders(*with_journal: str) -> dict[str, Bootstrap]:
     return {
-        name: Founding(name, life, frozenset(VOTERS) - {name}, name in with_journal)
+        name: Bootstrap(name, life, frozenset(VOTERS) - {name}, name in with_journal)
         for life, name in enumerate(VOTERS, 1)
     }
 
 
-def ask_all(asker: Founding, others: dict[str, Founding]) -> None:
+def ask_all(asker: Bootstrap, others: dict[str, Bootstrap]) -> None:
     for name in asker.others & others.keys():
-        asker.told(name, *others[name].answer(asker.name, asker.life))
+        asker.handle_answer(name, *others[name].answer(asker.name, asker.run_id))
 
 
 def test_voters_without_journals_found_a_log_once_all_have_said_so() -> None:
     voters = founders()
     ask_all(voters["a"], {"b": voters["b"]})
-    assert not voters["a"].may_begin  # c may have a log
+    assert not voters["a"].may_start  # c may have a log
     ask_all(voters["a"], voters)
-    assert voters["a"].may_begin
+    assert voters["a"].may_start
     ask_all(voters["c"], voters)  # late, of the same founding
-    assert voters["c"].may_begin and not voters["c"].refused
+    assert voters["c"].may_start and not voters["c"].refusal
 
 
 def test_a_voter_whose_disk_was_lost_takes_no_part() -> None:
     voters = founders("a", "b")
     ask_all(voters["c"], voters)
-    assert not voters["c"].may_begin and "its votes may be lost" in voters["c"].refused
-    assert voters["a"].may_begin  # a journal of its own
+    assert not voters["c"].may_start and "its votes may be lost" in voters["c"].refusal
+    assert voters["a"].may_start  # a journal of its own
     founded = founders()
     for each in founded.values():
         ask_all(each, founded)
-    blank = Founding("c", 99, frozenset({"a", "b"}), False)  # c again, in another life, before the others end
+    blank = Bootstrap(
+        "c", 99, frozenset({"a", "b"}), False
+    )  # c again, in another life, before the others end
     ask_all(blank, founded)
-    assert not blank.may_begin and blank.refused
+    assert not blank.may_start and blank.refusal
     with pytest.raises(ValueError, match="x is no voter here"):
         founded["a"].answer("x", 1)
 
@@ -103,7 +105,7 @@
         for suffix in ("", "-wal"):
             (tmp_path / f"cloverkeel.db.corrupt-{moment}{suffix}").touch()
     (tmp_path / "cloverkeel.db").touch()
-    assert compact(str(tmp_path)) == 2 and compact(str(tmp_path)) == 0
+    assert remove_old_corrupt_files(str(tmp_path)) == 2 and remove_old_corrupt_files(str(tmp_path)) == 0
     left = sorted(path.name for path in tmp_path.iterdir())
     assert len(left) == 7 and not any("corrupt-100" in name and "1000" not in name for name in left)
 
@@ -118,13 +120,13 @@
     duty = Duty("chore", ttl_s=0.0)  # a new file grants nothing for a time to live
     held = Duty("chore", ttl_s=60.0)
     backend = LocalBackend(str(tmp_path), "g1/1f")
-    first = backend.ask(Ask(duty, "acquire", 1))
+    first = backend.call(BackendCall(duty, "acquire", 1))
     assert isinstance(first, Granted)
     assert run(["duties", *where, "--json"]) == 0
     assert json.loads(capsys.readouterr().out) == {
         "duties": [{"duty": "chore", "holder": "", "token": first.token, "left_s": 0.0}]
     }
-    backend.ask(Ask(held, "renew", 2, first.token))
+    backend.call(BackendCall(held, "renew", 2, first.token))
     assert run(["duties", "release", "chore", *where]) == 0
     released = int(capsys.readouterr().out.split()[-1])
     assert released > first.token
--- a/tests/test_ledger_shell.py
+++ b/tests/test_ledger_shell.py
@@ -26,7 +26,7 @@
 
 async def service(membership: Membership, directory: Path) -> LedgerService:
     directory.mkdir(exist_ok=True)
-    fd = StateStore.take_lock(str(directory))
+    fd = StateStore.acquire_lock(str(directory))
     assert fd is not None
     state, _ = StateStore.open(str(directory), fd, StoreCounters(), time.time())
     state.prepare()
--- a/tests/test_ledger_store.py
+++ b/tests/test_ledger_store.py
@@ -16,14 +16,14 @@
 from cloverkeel.fleet.ledger.records import Record, payload_hash
 from cloverkeel.fleet.ledger.replica import Put
 from cloverkeel.fleet.ledger.store import Store, StoreError, Writer
-from cloverkeel.fleet.state import FILE, StoreCounters, verify
+from cloverkeel.fleet.state import STATE_FILE, StoreCounters, verify
 from cloverkeel.fleet.state.store import Store as StateStore
 
 
 @pytest.fixture
 def directory(tmp_path: Path) -> str:
     """A state directory with a state file that has no ledger tables yet."""
-    fd = StateStore.take_lock(str(tmp_path))
+    fd = StateStore.acquire_lock(str(tmp_path))
     assert fd is not None
     state, _ = StateStore.open(str(tmp_path), fd, StoreCounters(), time.time())
     state.prepare()
@@ -44,7 +44,7 @@
 
 def reopened(directory: str, *damage: str) -> tuple[Store, list[int], Context, list[str]]:
     """Runs SQL on the file and opens it: the store, counters of the loaded records, context, findings."""
-    connection = sqlite3.connect(os.path.join(directory, FILE))
+    connection = sqlite3.connect(os.path.join(directory, STATE_FILE))
     for sql in damage:
         connection.execute(sql)
     connection.commit()
--- a/tests/test_rollout_core.py
+++ b/tests/test_rollout_core.py
@@ -9,16 +9,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cloverkeel.fleet.rollout.analysis import Counts, bucket_of, counts_of, judge
+from cloverkeel.fleet.rollout.analysis import Counts, latency_bucket, counts_from_list, judge
 from cloverkeel.fleet.rollout.core import (
     Conductor,
-    Live,
-    Ordered,
-    Reported,
+    MembersChanged,
+    OrdersChanged,
+    CountsReported,
     Tick,
-    Write,
+    WriteProgress,
     WriteFailed,
-    Written,
+    ProgressWritten,
 )
 from cloverkeel.fleet.rollout.records import Order, Progress, Rules, Selector, Spec, Verb, encode, newest
 
@@ -28,7 +28,7 @@
 
 def counts(ended: int, failed: int = 0, latency_ms: int = 20) -> Counts:
     found = Counts(ended, failed)
-    found.latency[bucket_of(latency_ms * 1000)] = ended - failed
+    found.latency[latency_bucket(latency_ms * 1000)] = ended - failed
     return found
 
 
@@ -50,7 +50,7 @@
 
     def __post_init__(self) -> None:
         self.conductor = Conductor(self.token, None)
-        self.give(Live(MEMBERS))
+        self.give(MembersChanged(MEMBERS))
 
     @property
     def progress(self) -> Progress:
@@ -61,27 +61,27 @@
 
     def give(self, event: object) -> None:
         for action in self.conductor.handle(self.now_s, event):  # type: ignore[arg-type]
-            if not isinstance(action, Write):
+            if not isinstance(action, WriteProgress):
                 continue
             if self.full:
-                self.give(WriteFailed(action.progress.place, "disk full"))
+                self.give(WriteFailed(action.progress.version, "disk full"))
                 continue
-            assert action.progress.place > self.progress.place
+            assert action.progress.version > self.progress.version
             self.held.append(action.progress)
-            self.give(Written(action.progress.place))
+            self.give(ProgressWritten(action.progress.version))
 
     def order(self, verb: Verb, name: str = "new", spec: Spec | None = None) -> Order:
         self.ordered += 1
         order = Order(f"{self.ordered:032x}", self.ordered, verb, name, spec)
         self.orders.append(order)
-        self.give(Ordered(tuple(self.orders)))
+        self.give(OrdersChanged(tuple(self.orders)))
         return order
 
     def next_conductor(self) -> None:
         self.token += 1
         self.conductor = Conductor(self.token, self.progress)
-        self.give(Live(MEMBERS))
-        self.give(Ordered(tuple(self.orders)))
+        self.give(MembersChanged(MEMBERS))
+        self.give(OrdersChanged(tuple(self.orders)))
 
     def run(self, length_s: float) -> None:
         until_s = self.now_s + length_s
@@ -94,9 +94,9 @@
                 base += 0.5 * self.base_rate * (share < 1)
                 self.ended[member] = new, base
                 failed = int(new * self.new_fails)
-                place = self.progress.place
+                place = self.progress.version
                 self.give(
-                    Reported(member, 1, place, counts(int(new), failed, self.new_ms), counts(int(base)))
+                    CountsReported(member, 1, place, counts(int(new), failed, self.new_ms), counts(int(base)))
                 )
             self.give(Tick())
 
@@ -159,12 +159,12 @@
 def test_an_order_written_beside_the_one_taken_has_its_turn_though_it_comes_late() -> None:
     fleet = started()
     beside = Order("00", 1, "start", "other", named(SPEC, "other"))
-    assert beside.place < fleet.orders[0].place
+    assert beside.sort_key < fleet.orders[0].sort_key
     fleet.orders.append(beside)
-    fleet.give(Ordered(tuple(fleet.orders)))
+    fleet.give(OrdersChanged(tuple(fleet.orders)))
     assert dict(fleet.progress.outcomes)["00"].startswith("refused: new is under way")
     fleet.orders.clear()  # dropped
-    fleet.give(Ordered(()))
+    fleet.give(OrdersChanged(()))
     fleet.order("pause")
     assert fleet.seen() == ("paused", 0)
 
@@ -182,9 +182,12 @@
     assert fleet.progress.token == 2 and fleet.progress.step == before.step + 1
     assert (fleet.progress.state, fleet.progress.stage) == (before.state, before.stage)
     late = [
-        a for a in stale.handle(fleet.now_s, Ordered((*fleet.orders, Order("f" * 32, 99, "abort", "new"))))
+        a
+        for a in stale.handle(
+            fleet.now_s, OrdersChanged((*fleet.orders, Order("f" * 32, 99, "abort", "new")))
+        )
     ]
-    fleet.held += [a.progress for a in late if isinstance(a, Write)]
+    fleet.held += [a.progress for a in late if isinstance(a, WriteProgress)]
     assert fleet.progress.token == 2 and fleet.seen()[0] == "baking"
     fleet.run(15)
     assert fleet.seen()[0] == "done"
@@ -203,13 +206,15 @@
 def test_a_gateway_that_restarts_within_a_window_adds_only_what_it_has_counted_since() -> None:
     fleet = started(new_rate=0)
     fleet.run(1)
-    place = fleet.progress.place
-    fleet.give(Reported("a", 2, place, counts(5), counts(5)))  # another life
-    fleet.give(Reported("b", 1, place, counts(4_000, 4_000), counts(10)))
+    place = fleet.progress.version
+    fleet.give(CountsReported("a", 2, place, counts(5), counts(5)))  # another life
+    fleet.give(CountsReported("b", 1, place, counts(4_000, 4_000), counts(10)))
     fleet.give(Tick())
     assert fleet.progress.state == "rolling-back"  # b's failures are of this window
     fresh = started(new_rate=0)
-    fresh.give(Reported("a", 9, (0, 0), counts(4_000, 4_000), counts(0)))  # counted before it served the step
+    fresh.give(
+        CountsReported("a", 9, (0, 0), counts(4_000, 4_000), counts(0))
+    )  # counted before it served the step
     fresh.run(1)
     assert fresh.progress.state == "baking"
 
@@ -237,13 +242,13 @@
 def test_a_rollout_that_cannot_be_is_refused(spec: dict[str, object]) -> None:
     import json
 
-    from cloverkeel.fleet.rollout.part import _spec
+    from cloverkeel.fleet.rollout.part import _parse_spec
 
     whole = {"name": "new", "hosts": {"groups": ["9"]}, "steps": [5, 100], "bake_s": 1} | spec
     with pytest.raises(ValueError, match="the rollout: "):
-        _spec(json.dumps(whole).encode())
+        _parse_spec(json.dumps(whole).encode())
     with pytest.raises(ValueError, match="no counts"):
-        counts_of([1, 2, 3])
+        counts_from_list([1, 2, 3])
 
 
 MOVES = st.sampled_from(
@@ -272,7 +277,7 @@
     fleet.full = False
     fleet.run(40)
     for before, after in zip(fleet.held, fleet.held[1:], strict=False):
-        assert after.share in (0, 100, *SPEC.steps) and after.place > before.place
+        assert after.share in (0, 100, *SPEC.steps) and after.version > before.version
         if after.share > before.share:
             started_anew = before.share == 0 and after.stage == 0
             assert started_anew or (before.state == "baking" and after.stage == before.stage + 1)
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -81,8 +81,8 @@
 def test_a_snapshot_survives_the_file_and_a_damaged_row_falls_back(tmp_path: Path) -> None:
     learned = learned_driver().balancer.learned_state()
     figures = StoreCounters()
-    fd = Store.take_lock(str(tmp_path))
-    assert fd is not None and Store.take_lock(str(tmp_path)) is None
+    fd = Store.acquire_lock(str(tmp_path))
+    assert fd is not None and Store.acquire_lock(str(tmp_path)) is None
     store, found = Store.open(str(tmp_path), fd, figures, 0.0)
     assert found == []
     store.prepare()
@@ -96,26 +96,26 @@
     store.connection.execute("UPDATE snapshot SET payload = x'00' WHERE taken_unix_s = 2.0")
     with pytest.raises(state.CorruptError, match="no sound snapshot"):
         state.verify(store.connection)
-    assert store.boots == 1 and store.bump("boots") == 2
+    assert store.boots == 1 and store.increment("boots") == 2
     store.close()
 
 
 def test_a_file_that_is_no_database_is_moved_aside(tmp_path: Path) -> None:
-    (tmp_path / state.FILE).write_bytes(b"not a database at all" * 50)
+    (tmp_path / state.STATE_FILE).write_bytes(b"not a database at all" * 50)
     figures = StoreCounters()
-    keeper, snapshot = state.start(str(tmp_path), 5.0, 60.0, False, figures)
+    keeper, snapshot = state.recover(str(tmp_path), 5.0, 60.0, False, figures)
     assert keeper is not None and snapshot is None and figures.corrupt == 1
-    assert any(name.startswith(state.FILE + ".corrupt-") for name in os.listdir(tmp_path))
+    assert any(name.startswith(state.STATE_FILE + ".corrupt-") for name in os.listdir(tmp_path))
     keeper.close(None, 5.0)
-    with sqlite3.connect(tmp_path / state.FILE) as connection:
-        assert state.counters(connection) == {"boots": 1}
+    with sqlite3.connect(tmp_path / state.STATE_FILE) as connection:
+        assert state.read_counters(connection) == {"boots": 1}
 
 
 def test_old_snapshots_are_judged_stale() -> None:
     snapshot = Snapshot(100.0, LearnedState((), (), ()))
-    assert state.judge(snapshot, 150.0, 60.0) is None
-    assert "over the bound" in str(state.judge(snapshot, 161.0, 60.0))
-    assert "from now" in str(state.judge(snapshot, 98.0, 60.0))
+    assert state.unusable_reason(snapshot, 150.0, 60.0) is None
+    assert "over the bound" in str(state.unusable_reason(snapshot, 161.0, 60.0))
+    assert "from now" in str(state.unusable_reason(snapshot, 98.0, 60.0))
 
 
 def test_what_was_learned_of_a_class_goes_by_its_name() -> None:
--- a/tests/test_state_lab.py
+++ b/tests/test_state_lab.py
@@ -120,7 +120,7 @@
             await new.line("event=state.ready")
             await traffic(port, 10, 200.0)
             await new.signal(signal.SIGTERM)
-        found = state.read_only(str(tmp_path / "state"))
+        found = state.read_snapshots(str(tmp_path / "state"))
         assert found and len(found[0].learned.servers) == 2
         assert len(old.events("state.write_failed")) == len(new.events("state.write_failed")) == 0
 
