--- a/cloverkeel/fleet/routes/compaction.py
+++ b/cloverkeel/fleet/routes/compaction.py
@@ -12,30 +12,32 @@
 from cloverkeel.fleet.routes.merged_routes import MergedRoutes
 
 
-def droppable(whole: MergedRoutes, held: Mapping[Dot, Change]) -> list[Dot]:
+def droppable(merged_routes: MergedRoutes, changes: Mapping[Dot, Change]) -> list[Dot]:
     """The changes that say of their routes only what two single generations, one after the other, have
     superseded, and without which each of those routes comes out as with them. By dot."""
     old: dict[str, set[Dot]] = {
-        name: set(_superseded(whole.active_changes(name))) for name in whole.many_changes
+        name: set(_superseded(merged_routes.active_changes(name))) for name in merged_routes.many_changes
     }
-    going = {
+    candidates = {
         dot
         for dot in set().union(*old.values())
-        if all(dot in old.get(name, ()) for name in routes_of(held[dot]))
+        if all(dot in old.get(name, ()) for name in routes_of(changes[dot]))
     }
-    todo = dict.fromkeys(name for dot in sorted(going) for name in routes_of(held[dot]))
+    todo = dict.fromkeys(name for dot in sorted(candidates) for name in routes_of(changes[dot]))
     while todo:
         name = next(iter(todo))
         del todo[name]
-        rising = whole.active_changes(name)
-        kept = [touch for touch in rising if touch.dot not in going]
-        if len(kept) == len(rising) or merge_route(name, kept, whole.environment) == whole.merged(name):
+        ordered = merged_routes.active_changes(name)
+        kept = [change for change in ordered if change.dot not in candidates]
+        if len(kept) == len(ordered) or merge_route(
+            name, kept, merged_routes.environment
+        ) == merged_routes.merged(name):
             continue
-        for touch in rising:
-            if touch.dot in going:
-                going.discard(touch.dot)
-                todo.update(dict.fromkeys(routes_of(held[touch.dot])))
-    return sorted(going)
+        for change in ordered:
+            if change.dot in candidates:
+                candidates.discard(change.dot)
+                todo.update(dict.fromkeys(routes_of(changes[change.dot])))
+    return sorted(candidates)
 
 
 def routes_of(change: Change) -> dict[str, None]:
@@ -43,36 +45,36 @@
     return dict.fromkeys((*(edit.route for edit in change.edits), *(each.route for each in change.accepts)))
 
 
-def _superseded(rising: list[RouteChange]) -> Iterator[Dot]:
+def _superseded(ordered: list[RouteChange]) -> Iterator[Dot]:
     """The changes all of whose writes of this route two later generations have superseded."""
-    standing = classify(rising)
+    classification = classify(ordered)
     registers: dict[str, list[Write]] = {}
-    for touch in standing.counted:
-        for field in touch.fields:
-            registers.setdefault(field, []).append(Write(touch.dot, touch.context, touch.team, None))
-        if touch.dot in standing.initial_owners:
-            registers.setdefault("owner", []).append(Write(touch.dot, touch.context, touch.team, None))
-    for delete in standing.deletes:
+    for change in classification.counted:
+        for field in change.fields:
+            registers.setdefault(field, []).append(Write(change.dot, change.context, change.team, None))
+        if change.dot in classification.initial_owners:
+            registers.setdefault("owner", []).append(Write(change.dot, change.context, change.team, None))
+    for delete in classification.deletes:
         for field, writes in registers.items():
             if field != DELETED and all(write.dot != delete.dot for write in writes):
                 writes.append(Write(delete.dot, delete.context, delete.team, None))
-    places = {touch.dot: at for at, touch in enumerate(rising)}
+    positions = {change.dot: index for index, change in enumerate(ordered)}
     second: dict[str, Write] = {}
     for field, writes in registers.items():
-        writes.sort(key=lambda write: places[write.dot])
+        writes.sort(key=lambda write: positions[write.dot])
         live = newest(writes)
         rest = [write for write in writes if write is not live[0]]
         if len(live) == 1 and rest and len(before := newest(rest)) == 1:
             second[field] = before[0]
-    here = {touch.dot for touch in rising}
+    present = {change.dot for change in ordered}
     gone: set[Dot] = set()
-    for touch in rising:
-        fields = {*touch.fields, *(("owner",) if touch.dot in standing.initial_owners else ())}
+    for change in ordered:
+        fields = {*change.fields, *(("owner",) if change.dot in classification.initial_owners else ())}
         # Someone who is kept had seen each, so that the context of the view covers it as before.
         if (
-            all(field in second and second[field].context.covers(touch.dot) for field in fields)
-            and all(dot in gone or dot not in here for dot in touch.accepts)
-            and any(write.context.covers(touch.dot) for write in second.values())
+            all(field in second and second[field].context.covers(change.dot) for field in fields)
+            and all(dot in gone or dot not in present for dot in change.accepts)
+            and any(write.context.covers(change.dot) for write in second.values())
         ):
-            gone.add(touch.dot)
-            yield touch.dot
+            gone.add(change.dot)
+            yield change.dot
--- a/cloverkeel/fleet/routes/conflicts.py
+++ b/cloverkeel/fleet/routes/conflicts.py
@@ -57,9 +57,9 @@
 
 def first_names(names: Iterable[str]) -> str:
     """The first few names, and how many more."""
-    every = sorted(names)
-    more = len(every) - NAMES_SHOWN
-    return ", ".join(every[:NAMES_SHOWN]) + (f" and {more} more" if more > 0 else "")
+    ordered = sorted(names)
+    more = len(ordered) - NAMES_SHOWN
+    return ", ".join(ordered[:NAMES_SHOWN]) + (f" and {more} more" if more > 0 else "")
 
 
 def deciding_changes(view: RouteView, fields: Sequence[str]) -> list[Choice]:
@@ -72,11 +72,11 @@
     return list(found.values())
 
 
-def route_conflicts(view: RouteView, world: Environment) -> Iterator[Conflict]:
+def route_conflicts(view: RouteView, environment: Environment) -> Iterator[Conflict]:
     """The plan conflicts of one route by itself."""
     yield from _share_conflicts(view)
-    yield from _unknown_name_conflicts(view, world)
-    yield from _chain_conflicts(view, world)
+    yield from _unknown_name_conflicts(view, environment)
+    yield from _chain_conflicts(view, environment)
 
 
 def _single_route_conflict(
@@ -94,37 +94,44 @@
         )
 
 
-def _unknown_name_conflicts(view: RouteView, world: Environment) -> Iterator[Conflict]:
+def _unknown_name_conflicts(view: RouteView, environment: Environment) -> Iterator[Conflict]:
     values = view.values
-    for field, known in (("classes", world.classes), ("callers", world.callers), ("zones", world.zones)):
-        if known is not None and field in values and (none := set(values[field]) - known):
+    for field, known in (
+        ("classes", environment.classes),
+        ("callers", environment.callers),
+        ("zones", environment.zones),
+    ):
+        if known is not None and field in values and (missing := set(values[field]) - known):
             yield _single_route_conflict(
-                "unknown", view, field, f"{field} that the settings do not have: {first_names(none)}"
+                "unknown", view, field, f"{field} that the settings do not have: {first_names(missing)}"
             )
-    none = set()
+    missing = set()
     for target in values.get("targets", ()):
-        for field, known in (("types", world.types), ("zones", world.zones)):
+        for field, known in (("types", environment.types), ("zones", environment.zones)):
             if known is not None and field in target:
-                none.update(set(target[field]) - known)
-    if none:
+                missing.update(set(target[field]) - known)
+    if missing:
         yield _single_route_conflict(
-            "unknown", view, "targets", f"types or zones that the settings do not have: {first_names(none)}"
+            "unknown",
+            view,
+            "targets",
+            f"types or zones that the settings do not have: {first_names(missing)}",
         )
-    if world.transforms is not None and "transforms" in values:
-        none = set(values["transforms"]) - world.transforms.keys()
-        if none:
+    if environment.transforms is not None and "transforms" in values:
+        missing = set(values["transforms"]) - environment.transforms.keys()
+        if missing:
             yield _single_route_conflict(
-                "unknown", view, "transforms", f"transforms that nobody published: {first_names(none)}"
+                "unknown", view, "transforms", f"transforms that nobody published: {first_names(missing)}"
             )
 
 
-def _chain_conflicts(view: RouteView, world: Environment) -> Iterator[Conflict]:
+def _chain_conflicts(view: RouteView, environment: Environment) -> Iterator[Conflict]:
     chain = view.values.get("transforms", ())
-    if world.transforms is None or len(chain) < 2:
+    if environment.transforms is None or len(chain) < 2:
         return
     writers: dict[str, list[str]] = {}
     for name in chain:
-        for header in world.transforms.get(name, ()):
+        for header in environment.transforms.get(name, ()):
             writers.setdefault(header, []).append(name)
     twice = [f"{header} by {' and '.join(names)}" for header, names in writers.items() if len(names) > 1]
     if twice:
@@ -136,11 +143,11 @@
         )
 
 
-def absent_conflict(view: RouteView, world: Environment) -> Conflict | None:
+def absent_conflict(view: RouteView, environment: Environment) -> Conflict | None:
     """Groups and labels that no host of this gateway's list has just now."""
     none: set[str] = set()
     for target in view.values.get("targets", ()):
-        for field, known in (("groups", world.groups), ("labels", world.labels)):
+        for field, known in (("groups", environment.groups), ("labels", environment.labels)):
             if known is not None and field in target:
                 none.update(f"{field[:-1]} {name}" for name in target[field] if name not in known)
     if not none:
@@ -169,16 +176,16 @@
 
 
 def capacity_conflict(
-    team: str, kind: str, parts: Mapping[str, int], room: int, views: Mapping[str, RouteView]
+    team: str, kind: str, limits: Mapping[str, int], capacity: int, views: Mapping[str, RouteView]
 ) -> Conflict:
     """`parts`: by route, the requests at once that its limit sends to hosts of this type, times the share."""
-    choices = {side.dot: side for name in parts for side in deciding_changes(views[name], ("limit",))}
-    total = sum(parts.values()) // (100 * UNITS_PER_PERCENT)
+    choices = {side.dot: side for name in limits for side in deciding_changes(views[name], ("limit",))}
+    total = sum(limits.values()) // (100 * UNITS_PER_PERCENT)
     why = (
-        f"limits of {team}'s routes ({first_names(parts)}) sum to {total} "
-        f"on hosts of type {kind}, which have {room}"
+        f"limits of {team}'s routes ({first_names(limits)}) sum to {total} "
+        f"on hosts of type {kind}, which have {capacity}"
     )
-    return make_conflict("room", parts, f"limit:{kind}", choices.values(), why, (team,))
+    return make_conflict("room", limits, f"limit:{kind}", choices.values(), why, (team,))
 
 
 def limits_by_type(view: RouteView) -> Iterator[tuple[str, int]]:
--- a/cloverkeel/fleet/routes/index.py
+++ b/cloverkeel/fleet/routes/index.py
@@ -49,12 +49,12 @@
     def __contains__(self, name: str) -> bool:
         return name in self._entries
 
-    def set_precedence(self, behind: Mapping[str, frozenset[str]]) -> None:
+    def set_precedence(self, precedes: Mapping[str, frozenset[str]]) -> None:
         """Go by this `View.behind` from now on."""
-        if behind is self._precedes:
+        if precedes is self._precedes:
             return
-        self._precedes, self._preceded_by = behind, {}
-        for name, others in behind.items():
+        self._precedes, self._preceded_by = precedes, {}
+        for name, others in precedes.items():
             for other in others:
                 self._preceded_by.setdefault(other, set()).add(name)
 
@@ -66,20 +66,20 @@
         if zones and self.zone not in zones:
             return
         number = self.numbers[route.name]
-        matched = MatchedRoute(route.name, number, None if chain is None else tuple(chain), bool(zones))
+        match = MatchedRoute(route.name, number, None if chain is None else tuple(chain), bool(zones))
         classes, callers = _names(values.get("classes")), _names(values.get("callers"))
         pairs = tuple((klass, caller) for klass in classes for caller in callers)
         segments = path_segments((values.get("path") or "").encode())
         for pair in pairs:
-            _put(self._trees.setdefault(pair, {}), segments, matched)
-        self._entries[route.name] = pairs, segments, matched
+            _put(self._trees.setdefault(pair, {}), segments, match)
+        self._entries[route.name] = pairs, segments, match
 
     def remove(self, name: str) -> None:
         """Forget a route; nothing where it is not there."""
-        pairs, segments, matched = self._entries.pop(name, ((), [], None))
+        pairs, segments, match = self._entries.pop(name, ((), [], None))
         for pair in pairs:
-            assert matched is not None
-            _remove(self._trees[pair], segments, matched)
+            assert match is not None
+            _remove(self._trees[pair], segments, match)
             if not self._trees[pair]:
                 del self._trees[pair]
 
@@ -113,8 +113,8 @@
     def _first_in_order(self, klass: bytes, caller: bytes, segments: list[bytes]) -> MatchedRoute:
         """The most specific of those that match and that no other of them comes before."""
         found = list(self._all_matches(klass, caller, segments))
-        names = {matched.name for matched in found}
-        free = (matched for matched in found if names.isdisjoint(self._preceded_by.get(matched.name, ())))
+        names = {match.name for match in found}
+        free = (match for match in found if names.isdisjoint(self._preceded_by.get(match.name, ())))
         return next(free, found[0])  # none is free in a cycle alone, and a plan with one is not in service
 
     def _all_matches(self, klass: bytes, caller: bytes, segments: list[bytes]) -> Iterator[MatchedRoute]:
@@ -133,43 +133,43 @@
                 yield from routes
 
 
-def _put(node: _Node, segments: list[bytes], matched: MatchedRoute) -> None:
+def _put(node: _Node, segments: list[bytes], match: MatchedRoute) -> None:
     *above, last = segments or (OWN_ROUTES,)
     for segment in above:
-        held = node.get(segment)
-        if not isinstance(held, dict):
-            held = node[segment] = {} if held is None else {OWN_ROUTES: held}
-        node = held
+        child = node.get(segment)
+        if not isinstance(child, dict):
+            child = node[segment] = {} if child is None else {OWN_ROUTES: child}
+        node = child
     routes = node.setdefault(last, [])
     if isinstance(routes, dict):
         routes = routes.setdefault(OWN_ROUTES, [])
-    insort(routes, matched, key=_sort_key)
+    insort(routes, match, key=_sort_key)
 
 
-def _remove(node: _Node, segments: list[bytes], matched: MatchedRoute) -> None:
+def _remove(node: _Node, segments: list[bytes], match: MatchedRoute) -> None:
     """Take it out, and what holds nothing any more with it."""
-    way = [node]
+    path_nodes = [node]
     for segment in segments:
-        held = way[-1][segment]
-        if isinstance(held, dict):
-            way.append(held)
-    place = OWN_ROUTES if len(way) > len(segments) else segments[-1]
-    routes = way[-1][place]
-    del routes[bisect_left(routes, _sort_key(matched), key=_sort_key)]
+        child = path_nodes[-1][segment]
+        if isinstance(child, dict):
+            path_nodes.append(child)
+    key = OWN_ROUTES if len(path_nodes) > len(segments) else segments[-1]
+    routes = path_nodes[-1][key]
+    del routes[bisect_left(routes, _sort_key(match), key=_sort_key)]
     if not routes:
-        del way[-1][place]
-    for depth in range(len(way) - 1, 0, -1):
-        if not way[depth]:
-            del way[depth - 1][segments[depth - 1]]
-        elif way[depth].keys() == {OWN_ROUTES}:
-            way[depth - 1][segments[depth - 1]] = way[depth][OWN_ROUTES]
+        del path_nodes[-1][key]
+    for depth in range(len(path_nodes) - 1, 0, -1):
+        if not path_nodes[depth]:
+            del path_nodes[depth - 1][segments[depth - 1]]
+        elif path_nodes[depth].keys() == {OWN_ROUTES}:
+            path_nodes[depth - 1][segments[depth - 1]] = path_nodes[depth][OWN_ROUTES]
         else:
             break
 
 
-def _sort_key(matched: MatchedRoute) -> tuple[bool, str]:
+def _sort_key(match: MatchedRoute) -> tuple[bool, str]:
     """A route's place among those of one prefix."""
-    return not matched.names_zones, matched.name
+    return not match.names_zones, match.name
 
 
 def path_segments(path: bytes) -> list[bytes]:
--- a/cloverkeel/fleet/routes/merge.py
+++ b/cloverkeel/fleet/routes/merge.py
@@ -23,10 +23,10 @@
 class Merge:
     """`view`: of the last `settle` that was played to its end."""
 
-    def __init__(self, world: Environment) -> None:
+    def __init__(self, environment: Environment) -> None:
         self.view = EMPTY_VIEW
-        self._environment = world
-        self._routes = MergedRoutes(world)
+        self._environment = environment
+        self._routes = MergedRoutes(environment)
         self._changes: dict[Dot, Change] = {}
         self._to_add: dict[Dot, Change] = {}
         self._to_remove: dict[Dot, None] = {}
@@ -48,27 +48,29 @@
         if dot in self._changes or dot in self._adding:
             self._to_remove[dot] = None
 
-    def set_environment(self, world: Environment) -> None:
-        self._environment = world
+    def set_environment(self, environment: Environment) -> None:
+        self._environment = environment
 
     def settle(self) -> Iterator[None]:
         """Steps; when it is exhausted `view` is the outcome of what was added before it began. One that is
         left off is gone on with by the next."""
-        whole = self._routes
+        merged_routes = self._routes
         self._adding.update(self._to_add)
         self._removing.update(self._to_remove)
         self._to_add, self._to_remove = {}, {}
-        whole.set_environment(self._environment)
+        merged_routes.set_environment(self._environment)
         yield from self._remove_changes()
         yield from self._add_changes()
         yield from self._set_excluded(())
-        yield from whole.settle()
-        found = {each.id: each for each in whole.conflict_set.all()}
+        yield from merged_routes.settle()
+        found = {each.id: each for each in merged_routes.conflict_set.all()}
         yield
-        while whole.conflict_set.blocking:
+        while merged_routes.conflict_set.blocking:
             yield from self._exclude_blocking()
-            yield from whole.settle()
-            found |= {each.id: each for each in whole.conflict_set.all()}  # what the older plan disputes, too
+            yield from merged_routes.settle()
+            found |= {
+                each.id: each for each in merged_routes.conflict_set.all()
+            }  # what the older plan disputes, too
             yield
         conflicts = tuple(found[id] for id in sorted(found))
         yield from self._publish_view(conflicts, tuple(self._all_waiting()))
@@ -80,24 +82,24 @@
         return droppable(self._routes, self._changes)
 
     def _add_changes(self) -> Iterator[None]:
-        for at, change in enumerate(list(self._adding.values())):
+        for index, change in enumerate(list(self._adding.values())):
             if change.dot not in self._changes:
-                for looked, (name, touch) in enumerate(_route_changes(change)):
-                    self._routes.add_change(name, touch)
-                    if looked % STEP_ITEMS == STEP_ITEMS - 1:
+                for position, (name, route_change) in enumerate(_route_changes(change)):
+                    self._routes.add_change(name, route_change)
+                    if position % STEP_ITEMS == STEP_ITEMS - 1:
                         yield
                 self._seen.add(change.dot, change.context)
                 self._changes[change.dot] = change
             del self._adding[change.dot]
-            if at % STEP_CHANGES == STEP_CHANGES - 1:
+            if index % STEP_CHANGES == STEP_CHANGES - 1:
                 yield
 
     def _remove_changes(self) -> Iterator[None]:
         for dot in list(self._removing):
             if (change := self._changes.get(dot) or self._adding.get(dot)) is not None:
-                for looked, (name, _) in enumerate(_route_changes(change)):
+                for position, (name, _) in enumerate(_route_changes(change)):
                     self._routes.remove_change(name, dot)
-                    if looked % STEP_ITEMS == STEP_ITEMS - 1:
+                    if position % STEP_ITEMS == STEP_ITEMS - 1:
                         yield
                 self._rebuild_seen = True
                 self._changes.pop(dot, None)
@@ -106,9 +108,9 @@
             del self._removing[dot]
         if self._rebuild_seen:
             seen = SeenDots()
-            for at, change in enumerate(list(self._changes.values())):
+            for index, change in enumerate(list(self._changes.values())):
                 seen.add(change.dot, change.context)
-                if at % STEP_ITEMS == STEP_ITEMS - 1:
+                if index % STEP_ITEMS == STEP_ITEMS - 1:
                     yield
             self._seen, self._rebuild_seen = seen, False
 
@@ -123,54 +125,54 @@
     def _exclude_blocking(self) -> Iterator[None]:
         """Take out the newest of the changes that touched what is in a blocking conflict, and what rests on
         them: a later change of one of their routes would leave half a route in service."""
-        newest: set[Dot] = set()
+        excluded: set[Dot] = set()
         for conflict in list(self._routes.conflict_set.blocking.values()):
-            newest.update(touch.dot for touch in self._routes.newest_changes(conflict.routes))
+            excluded.update(route_change.dot for route_change in self._routes.newest_changes(conflict.routes))
             yield
-        if not newest:
+        if not excluded:
             raise AssertionError("a blocking conflict of no change")
-        todo = sorted(newest)
+        todo = sorted(excluded)
         while todo:
             dot = todo.pop()
             for name in routes_of(self._changes[dot]):
-                for touch in self._routes.active_changes(name):
-                    if touch.dot not in newest and touch.context.covers(dot):
-                        newest.add(touch.dot)
-                        todo.append(touch.dot)
+                for route_change in self._routes.active_changes(name):
+                    if route_change.dot not in excluded and route_change.context.covers(dot):
+                        excluded.add(route_change.dot)
+                        todo.append(route_change.dot)
                 yield
-        yield from self._set_excluded(self._routes.excluded | newest)
+        yield from self._set_excluded(self._routes.excluded | excluded)
 
     def _all_waiting(self) -> Iterator[WaitingEdits]:
         for name in sorted(self._routes.waiting):
             yield from self._routes.waiting[name]
 
     def _publish_view(self, found: tuple[Conflict, ...], waiting: tuple[WaitingEdits, ...]) -> Iterator[None]:
-        whole, old = self._routes, self.view
-        touched: set[str] = set()
-        for at, name in enumerate(whole.changed):
-            if not self._first_settle and whole.views.get(name) != old.routes.get(name):
-                touched.add(name)
-            if at % STEP_ITEMS == STEP_ITEMS - 1:
+        merged_routes, previous = self._routes, self.view
+        changed_routes: set[str] = set()
+        for index, name in enumerate(merged_routes.changed):
+            if not self._first_settle and merged_routes.views.get(name) != previous.routes.get(name):
+                changed_routes.add(name)
+            if index % STEP_ITEMS == STEP_ITEMS - 1:
                 yield
-        routes: dict[str, RouteView] = dict(whole.views)
+        routes: dict[str, RouteView] = dict(merged_routes.views)
         yield
         self.view = View(
-            plan_hash(whole.hash_sum),
+            plan_hash(merged_routes.hash_sum),
             routes,
-            dict(whole.order.precedes),
+            dict(merged_routes.order.precedes),
             found,
             waiting,
-            tuple(sorted(whole.excluded)),
+            tuple(sorted(merged_routes.excluded)),
             self._seen.context(),
-            None if self._first_settle else frozenset(touched),
+            None if self._first_settle else frozenset(changed_routes),
         )
-        whole.changed.clear()
+        merged_routes.changed.clear()
         self._first_settle = False
 
 
-def merge_all(changes: Iterable[Change], world: Environment) -> View:
+def merge_all(changes: Iterable[Change], environment: Environment) -> View:
     """The same from nothing."""
-    merge = Merge(world)
+    merge = Merge(environment)
     for change in changes:
         merge.add(change)
     for _ in merge.settle():
@@ -185,11 +187,13 @@
         fields[edit.route][edit.field] = edit.value
     for each in change.accepts:
         accepts[each.route] = (*accepts.get(each.route, ()), each.dot)
-    heavy = count_dots(change.context)
+    seen_count = count_dots(change.context)
     return [
         (
             name,
-            RouteChange(change.dot, change.context, heavy, change.team, fields[name], accepts.get(name, ())),
+            RouteChange(
+                change.dot, change.context, seen_count, change.team, fields[name], accepts.get(name, ())
+            ),
         )
         for name in fields
     ]
--- a/cloverkeel/fleet/routes/merged_routes.py
+++ b/cloverkeel/fleet/routes/merged_routes.py
@@ -55,14 +55,14 @@
     """`views`: the routes; `total`: the sum of their hashes; `changed`: names whose view is another since the
     caller cleared it."""
 
-    def __init__(self, world: Environment) -> None:
+    def __init__(self, environment: Environment) -> None:
         self.conflict_set = ConflictSet()
         self.views: dict[str, RouteView] = {}
         self.hash_sum = 0
         self.changed: dict[str, None] = {}
         self.waiting: dict[str, tuple[WaitingEdits, ...]] = {}
         self.excluded: set[Dot] = set()
-        self.environment = world
+        self.environment = environment
         self.order = RouteOrder()
         self.many_changes: dict[str, None] = {}  # routes that over two changes touch
         self._route_changes: dict[str, list[RouteChange]] = {}
@@ -76,22 +76,22 @@
         self._list_dirty: dict[str, None] = {}  # those to be held against the list anew
         self._capacity_dirty: dict[tuple[str, str], None] = {}  # whose conflict is to be worked out
 
-    def add_change(self, name: str, touch: RouteChange) -> None:
-        held = self._route_changes.setdefault(name, [])
-        at = bisect_left(held, causal_key(touch), key=causal_key)
-        if at == len(held) or held[at].dot != touch.dot:
-            held.insert(at, touch)
+    def add_change(self, name: str, change: RouteChange) -> None:
+        changes = self._route_changes.setdefault(name, [])
+        index = bisect_left(changes, causal_key(change), key=causal_key)
+        if index == len(changes) or changes[index].dot != change.dot:
+            changes.insert(index, change)
             self._dirty[name] = None
-            if len(held) > 2:
+            if len(changes) > 2:
                 self.many_changes[name] = None
 
     def remove_change(self, name: str, dot: Dot) -> None:
-        held = [each for each in self._route_changes.get(name, ()) if each.dot != dot]
+        changes = [each for each in self._route_changes.get(name, ()) if each.dot != dot]
         self._dirty[name] = None
-        if len(held) <= 2:
+        if len(changes) <= 2:
             self.many_changes.pop(name, None)
-        if held:
-            self._route_changes[name] = held
+        if changes:
+            self._route_changes[name] = changes
         else:
             self._route_changes.pop(name, None)
 
@@ -99,64 +99,64 @@
         """Work these routes out anew."""
         self._dirty.update(dict.fromkeys(names))
 
-    def set_environment(self, world: Environment) -> None:
+    def set_environment(self, environment: Environment) -> None:
         """Judge by another world: all routes anew, or those alone that name groups and labels of the list."""
-        old, self.environment = self.environment, world
-        if replace(old, groups=None, labels=None) != replace(world, groups=None, labels=None):
+        old, self.environment = self.environment, environment
+        if replace(old, groups=None, labels=None) != replace(environment, groups=None, labels=None):
             self.invalidate(self._route_changes)
             self._capacity_dirty.update(dict.fromkeys(self._limits))
-        if (old.groups, old.labels) != (world.groups, world.labels):
+        if (old.groups, old.labels) != (environment.groups, environment.labels):
             self._list_dirty.update(self._list_dependent)
 
     def active_changes(self, name: str) -> list[RouteChange]:
         """What touches a route and is not taken out, by `registers.order`."""
-        held = self._route_changes.get(name, [])
-        return [touch for touch in held if touch.dot not in self.excluded] if self.excluded else held
+        changes = self._route_changes.get(name, [])
+        return [change for change in changes if change.dot not in self.excluded] if self.excluded else changes
 
     def merged(self, name: str) -> MergedRoute:
         return self._merged.get(name, EMPTY_ROUTE)
 
     def settle(self) -> Iterator[None]:
         """Steps. Left off, it goes on with the next call."""
-        for at, name in enumerate(list(self._dirty)):
-            rising = self.active_changes(name)
-            self._store(name, merge_route(name, rising, self.environment) if rising else EMPTY_ROUTE)
+        for index, name in enumerate(list(self._dirty)):
+            ordered = self.active_changes(name)
+            self._store(name, merge_route(name, ordered, self.environment) if ordered else EMPTY_ROUTE)
             del self._dirty[name]
-            if at % STEP_ROUTES == STEP_ROUTES - 1 or len(rising) > STEP_ROUTES:
+            if index % STEP_ROUTES == STEP_ROUTES - 1 or len(ordered) > STEP_ROUTES:
                 yield
         yield from self.order.settle()
         self._overlaps.invalidate(self.order.changed)
         self.order.changed.clear()
         yield from self._overlaps.settle()
-        for at, pair in enumerate(list(self._overlaps.changed)):
+        for index, pair in enumerate(list(self._overlaps.changed)):
             self._update_overlap(*pair)
             del self._overlaps.changed[pair]
-            if at % STEP_CONFLICTS == STEP_CONFLICTS - 1:
+            if index % STEP_CONFLICTS == STEP_CONFLICTS - 1:
                 yield
-        for at, name in enumerate(list(self._list_dirty)):
+        for index, name in enumerate(list(self._list_dirty)):
             view = self.views.get(name)
-            none = None if view is None else conflicts.absent_conflict(view, self.environment)
-            self.conflict_set.put(("absent", "", name), () if none is None else (none,))
+            absent = None if view is None else conflicts.absent_conflict(view, self.environment)
+            self.conflict_set.put(("absent", "", name), () if absent is None else (absent,))
             del self._list_dirty[name]
-            if at % STEP_CONFLICTS == STEP_CONFLICTS - 1:
+            if index % STEP_CONFLICTS == STEP_CONFLICTS - 1:
                 yield
         self._settle_cycles()
         for (
-            crowd
+            owner_and_type
         ) in self._capacity_dirty:  # all first: a route that went to another owner has one id with both
-            self.conflict_set.put(("room", "", *crowd))
-        for crowd in self._capacity_dirty:
-            self._update_capacity(*crowd)
+            self.conflict_set.put(("room", "", *owner_and_type))
+        for owner_and_type in self._capacity_dirty:
+            self._update_capacity(*owner_and_type)
         self._capacity_dirty.clear()
 
     def newest_changes(self, names: Iterable[str]) -> list[RouteChange]:
         """Of the changes that count or accept on these routes, those that no other of them had seen."""
-        touches: dict[Dot, RouteChange] = {}
+        moving_changes: dict[Dot, RouteChange] = {}
         for name in names:
-            held = classify(rising := self.active_changes(name))
-            moving = {touch.dot for touch in (*held.counted, *held.accepts)}
-            touches.update((touch.dot, touch) for touch in rising if touch.dot in moving)
-        return newest(sorted(touches.values(), key=causal_key))
+            classified = classify(ordered := self.active_changes(name))
+            moving = {change.dot for change in (*classified.counted, *classified.accepts)}
+            moving_changes.update((change.dot, change) for change in ordered if change.dot in moving)
+        return newest(sorted(moving_changes.values(), key=causal_key))
 
     def _store(self, name: str, new: MergedRoute) -> None:
         old = self.merged(name)
@@ -226,11 +226,11 @@
 
     def _update_capacity(self, owner: str, kind: str) -> None:
         parts = self._limits[owner, kind]
-        most = self.environment.capacity.get(kind)
-        over = most is not None and sum(parts.values()) > most * 100 * UNITS_PER_PERCENT
+        capacity = self.environment.capacity.get(kind)
+        over = capacity is not None and sum(parts.values()) > capacity * 100 * UNITS_PER_PERCENT
         found = (
-            (conflicts.capacity_conflict(owner, kind, parts, most, self.views),)
-            if over and most is not None
+            (conflicts.capacity_conflict(owner, kind, parts, capacity, self.views),)
+            if over and capacity is not None
             else ()
         )
         self.conflict_set.put(("room", "", owner, kind), found)
--- a/cloverkeel/fleet/routes/order.py
+++ b/cloverkeel/fleet/routes/order.py
@@ -45,27 +45,27 @@
             return
         reached = list(self._dirty)
         affected = dict(self._dirty)
-        for at, name in enumerate(reached):
+        for index, name in enumerate(reached):
             for source in self._named_by.get(name, ()):
                 if source not in affected:
                     affected[source] = None
                     reached.append(source)
-            if at % STEP_ROUTES == STEP_ROUTES - 1:
+            if index % STEP_ROUTES == STEP_ROUTES - 1:
                 yield
-        left = dict(affected)
-        for at, name in enumerate(affected):
-            closure = self._closure(name, left)
-            del left[name]
+        pending = dict(affected)
+        for index, name in enumerate(affected):
+            closure = self._closure(name, pending)
+            del pending[name]
             if closure != self.precedes.get(name, frozenset()):
                 self.changed[name] = None
                 if closure:
                     self.precedes[name] = closure
                 else:
                     del self.precedes[name]
-            if at % STEP_ROUTES == STEP_ROUTES - 1:
+            if index % STEP_ROUTES == STEP_ROUTES - 1:
                 yield
-        for at, name in enumerate(affected):
-            if at % STEP_ROUTES == STEP_ROUTES - 1:
+        for index, name in enumerate(affected):
+            if index % STEP_ROUTES == STEP_ROUTES - 1:
                 yield
             if name in self.precedes.get(name, ()):
                 self.cycles[name] = tuple(
@@ -79,7 +79,7 @@
         """Whether one of them is before the other."""
         return b in self.precedes.get(a, ()) or a in self.precedes.get(b, ())
 
-    def _closure(self, name: str, left: dict[str, None]) -> frozenset[str]:
+    def _closure(self, name: str, pending: dict[str, None]) -> frozenset[str]:
         """What `name` comes before; the closures of routes in `left` are not known yet."""
         found: set[str] = set()
         todo = list(self._before.get(name, ()))
@@ -88,7 +88,7 @@
             if other in found or other not in self._before:
                 continue
             found.add(other)
-            if other in left:
+            if other in pending:
                 todo += self._before[other]
             else:
                 found |= self.precedes.get(other, frozenset())
--- a/cloverkeel/fleet/routes/overlaps.py
+++ b/cloverkeel/fleet/routes/overlaps.py
@@ -70,10 +70,10 @@
         self._root = _Node()
         self._dirty: dict[str, None] = {}
 
-    def put(self, name: str, match: MatchRule | None) -> None:
+    def put(self, name: str, rule: MatchRule | None) -> None:
         """None: there is no such route."""
         old = self._rules.get(name)
-        if old == match:
+        if old == rule:
             return
         self._dirty[name] = None
         if old is not None:
@@ -83,11 +83,11 @@
                     del self._buckets[key]
             self._update_tree(old, name, -1)
             del self._rules[name]
-        if match is not None:
-            for key in _bucket_keys(match):
+        if rule is not None:
+            for key in _bucket_keys(rule):
                 self._buckets.setdefault(key, {})[name] = None
-            self._update_tree(match, name, 1)
-            self._rules[name] = match
+            self._update_tree(rule, name, 1)
+            self._rules[name] = rule
 
     def invalidate(self, names: dict[str, None]) -> None:
         """Their order to others may be another."""
@@ -96,20 +96,20 @@
     def settle(self) -> Iterator[None]:
         """Steps. Left off, it goes on with the next call."""
         cost = 0
-        for at, name in enumerate(list(self._dirty)):
+        for index, name in enumerate(list(self._dirty)):
             cost += self._count_below(self._rules[name]) if name in self._rules else 0
-            if at % STEP_ROUTES == STEP_ROUTES - 1:
+            if index % STEP_ROUTES == STEP_ROUTES - 1:
                 yield
         if cost > 4 * len(self._rules) and len(self._dirty) > 1:
             yield from self._find_all()
             return
         for name in list(self._dirty):
             found: set[str] = set()
-            if (match := self._rules.get(name)) is not None:
-                for at, other in enumerate(self._candidates(match)):
-                    if match.may_overlap(self._rules[other]) and not self._order.are_ordered(name, other):
+            if (rule := self._rules.get(name)) is not None:
+                for index, other in enumerate(self._candidates(rule)):
+                    if rule.may_overlap(self._rules[other]) and not self._order.are_ordered(name, other):
                         found.add(other)
-                    if at % STEP_ROUTES == STEP_ROUTES - 1:
+                    if index % STEP_ROUTES == STEP_ROUTES - 1:
                         yield
             self._set_pairs(name, found)
             del self._dirty[name]
@@ -118,19 +118,19 @@
     def _find_all(self) -> Iterator[None]:
         """All pairs, each found from the longer path; cheaper than a look below each of many short ones."""
         pairs: dict[str, set[str]] = {}
-        looked = 0
-        for name, match in self._rules.items():
-            for other in self._at_prefixes(match):
-                if match.may_overlap(self._rules[other]) and not self._order.are_ordered(name, other):
+        examined = 0
+        for name, rule in self._rules.items():
+            for other in self._at_prefixes(rule):
+                if rule.may_overlap(self._rules[other]) and not self._order.are_ordered(name, other):
                     pairs.setdefault(name, set()).add(other)
                     pairs.setdefault(other, set()).add(name)
-                if (looked := looked + 1) % STEP_ROUTES == 0:
+                if (examined := examined + 1) % STEP_ROUTES == 0:
                     yield
-            if (looked := looked + 4) % STEP_ROUTES < 4:
+            if (examined := examined + 4) % STEP_ROUTES < 4:
                 yield
-        for at, name in enumerate({**self.pairs, **pairs}):
+        for index, name in enumerate({**self.pairs, **pairs}):
             self._set_pairs(name, pairs.get(name, set()))
-            if at % STEP_ROUTES == STEP_ROUTES - 1:
+            if index % STEP_ROUTES == STEP_ROUTES - 1:
                 yield
         self._dirty.clear()
 
@@ -150,10 +150,10 @@
         else:
             self.pairs.pop(name, None)
 
-    def _candidates(self, match: MatchRule) -> Iterator[str]:
-        yield from self._at_prefixes(match)
+    def _candidates(self, rule: MatchRule) -> Iterator[str]:
+        yield from self._at_prefixes(rule)
         node: _Node | None = self._root
-        for path in match.paths[1:]:
+        for path in rule.paths[1:]:
             node = node.children.get(path) if node is not None else None
         todo = list(node.children.values()) if node is not None else []
         while todo:
@@ -161,23 +161,23 @@
             yield from node.names
             todo += node.children.values()
 
-    def _at_prefixes(self, match: MatchRule) -> Iterator[str]:
+    def _at_prefixes(self, rule: MatchRule) -> Iterator[str]:
         """Those that may match the same class and caller, by a path that is a prefix of this, or this."""
-        pairs = _lookup_pairs(match)
-        for path in match.paths:
+        pairs = _lookup_pairs(rule)
+        for path in rule.paths:
             for klass, caller in pairs:
                 if (names := self._buckets.get((klass, caller, path))) is not None:
                     yield from names
 
-    def _count_below(self, match: MatchRule) -> int:
+    def _count_below(self, rule: MatchRule) -> int:
         node = self._root
-        for path in match.paths[1:]:
+        for path in rule.paths[1:]:
             node = node.children[path]
         return node.count
 
-    def _update_tree(self, match: MatchRule, name: str, change: int) -> None:
+    def _update_tree(self, rule: MatchRule, name: str, change: int) -> None:
         nodes = [self._root]
-        for path in match.paths[1:]:
+        for path in rule.paths[1:]:
             nodes.append(nodes[-1].children.setdefault(path, _Node()))
         for node in nodes:
             node.count += change
@@ -185,28 +185,28 @@
             nodes[-1].names[name] = None
             return
         del nodes[-1].names[name]
-        for node, path in zip(reversed(nodes[:-1]), reversed(match.paths), strict=False):
+        for node, path in zip(reversed(nodes[:-1]), reversed(rule.paths), strict=False):
             if node.children[path].count:
                 break
             del node.children[path]
 
 
-def _is_wide(match: MatchRule) -> bool:
-    return (len(match.classes) or 1) * (len(match.callers) or 1) > WIDE_MIN_PAIRS
+def _is_wide(rule: MatchRule) -> bool:
+    return (len(rule.classes) or 1) * (len(rule.callers) or 1) > WIDE_MIN_PAIRS
 
 
-def _bucket_keys(match: MatchRule) -> list[BucketKey]:
-    path = match.paths[-1]
-    if _is_wide(match):
+def _bucket_keys(rule: MatchRule) -> list[BucketKey]:
+    path = rule.paths[-1]
+    if _is_wide(rule):
         return [(WIDE, WIDE, path), (ALL, ALL, path)]
-    pairs = product((*(match.classes or (ANY,)), ALL), (*(match.callers or (ANY,)), ALL))
+    pairs = product((*(rule.classes or (ANY,)), ALL), (*(rule.callers or (ANY,)), ALL))
     return [(klass, caller, path) for klass, caller in pairs]
 
 
-def _lookup_pairs(match: MatchRule) -> list[tuple[str, str]]:
-    if _is_wide(match):
+def _lookup_pairs(rule: MatchRule) -> list[tuple[str, str]]:
+    if _is_wide(rule):
         return [(ALL, ALL)]
-    classes = (*match.classes, ANY) if match.classes else (ALL,)
-    callers = (*match.callers, ANY) if match.callers else (ALL,)
+    classes = (*rule.classes, ANY) if rule.classes else (ALL,)
+    callers = (*rule.callers, ANY) if rule.callers else (ALL,)
     pairs = list(product(classes, callers))
     return pairs if pairs == [(ALL, ALL)] else [*pairs, (WIDE, WIDE)]
--- a/cloverkeel/fleet/routes/owners.py
+++ b/cloverkeel/fleet/routes/owners.py
@@ -36,97 +36,101 @@
         return any(delete.context.covers(dot) for delete in self.deletes)
 
 
-def classify(rising: Sequence[RouteChange]) -> Classification:
+def classify(ordered: Sequence[RouteChange]) -> Classification:
     """`rising`: all that touch the route, by `registers.order`."""
-    if len(rising) == 1 and rising[0].fields and DELETED not in rising[0].fields:
-        return _classify_single(rising[0])
-    return _Classifier(rising).result
+    if len(ordered) == 1 and ordered[0].fields and DELETED not in ordered[0].fields:
+        return _classify_single(ordered[0])
+    return _Classifier(ordered).result
 
 
-def _classify_single(touch: RouteChange) -> Classification:
+def _classify_single(change: RouteChange) -> Classification:
     """What `_Judge` finds where there is one change, and no delete in it."""
-    if _named_owner(touch) not in (None, touch.team):
-        return Classification(pending=[touch])
-    return Classification([touch], initial_owners={} if OWNER in touch.fields else {touch.dot: touch.team})
+    if _named_owner(change) not in (None, change.team):
+        return Classification(pending=[change])
+    return Classification(
+        [change], initial_owners={} if OWNER in change.fields else {change.dot: change.team}
+    )
 
 
-def writes_route(touch: RouteChange) -> bool:
+def writes_route(change: RouteChange) -> bool:
     """Whether it says more than that the route is to be gone."""
-    return any(name != DELETED or value is not True for name, value in touch.fields.items())
+    return any(name != DELETED or value is not True for name, value in change.fields.items())
 
 
-def writes_fields(touch: RouteChange) -> bool:
-    return any(name != DELETED for name in touch.fields)
+def writes_fields(change: RouteChange) -> bool:
+    return any(name != DELETED for name in change.fields)
 
 
 class _Classifier:
-    def __init__(self, rising: Sequence[RouteChange]) -> None:
-        self._by_dot = {touch.dot: touch for touch in rising}
+    def __init__(self, ordered: Sequence[RouteChange]) -> None:
+        self._by_dot = {change.dot: change for change in ordered}
         self._accepted: dict[Dot, list[RouteChange]] = {}  # by an owner
         self._by_owner: set[Dot] = set()
         self._owner_writes: list[RouteChange] = []
         self._deletes: list[RouteChange] = []
         self._writers: list[RouteChange] = []
         self.result = Classification()
-        for touch in rising:
-            self._classify(touch)
-        held = self.result
-        for touch in rising:
-            if touch.fields:
-                (held.counted if self._counts(touch, None) else held.pending).append(touch)
-        held.deletes, held.disputes = self._effective_deletes(None)
-
-    def _classify(self, touch: RouteChange) -> None:
-        owners = self._owners_at(touch.context)
-        valid = [dot for dot in touch.accepts if self._may_accept(touch, dot, owners)]
+        for change in ordered:
+            self._classify(change)
+        result = self.result
+        for change in ordered:
+            if change.fields:
+                (result.counted if self._counts(change, None) else result.pending).append(change)
+        result.deletes, result.disputes = self._effective_deletes(None)
+
+    def _classify(self, change: RouteChange) -> None:
+        owners = self._owners_at(change.context)
+        valid = [dot for dot in change.accepts if self._may_accept(change, dot, owners)]
         if valid:
-            self.result.accepts.append(touch)
+            self.result.accepts.append(change)
             for dot in valid:
-                self._accepted.setdefault(dot, []).append(touch)
-        if not touch.fields:
+                self._accepted.setdefault(dot, []).append(change)
+        if not change.fields:
             return
-        named = _named_owner(touch)
-        own = touch.team in owners if owners else named in (None, touch.team)
-        deletes = touch.fields.get(DELETED) is True
+        named = _named_owner(change)
+        own = change.team in owners if owners else named in (None, change.team)
+        deletes = change.fields.get(DELETED) is True
         if own:
-            self._by_owner.add(touch.dot)
+            self._by_owner.add(change.dot)
         # The first of a route, or one that deletes it and makes it anew.
         first = deletes or (own and not owners)
-        if first and OWNER not in touch.fields and len(touch.fields) > (DELETED in touch.fields):
-            named = self.result.initial_owners[touch.dot] = touch.team
+        if first and OWNER not in change.fields and len(change.fields) > (DELETED in change.fields):
+            named = self.result.initial_owners[change.dot] = change.team
         if named is not None:
-            self._owner_writes.append(touch)
+            self._owner_writes.append(change)
         if deletes:
-            self._deletes.append(touch)
-        if writes_route(touch):
-            self._writers.append(touch)
+            self._deletes.append(change)
+        if writes_route(change):
+            self._writers.append(change)
 
-    def _may_accept(self, touch: RouteChange, dot: Dot, owners: set[str]) -> bool:
+    def _may_accept(self, change: RouteChange, dot: Dot, owners: set[str]) -> bool:
         accepted = self._by_dot.get(dot)
         if accepted is None or not accepted.fields:
             return False
-        return touch.team in owners if owners else touch.team == _named_owner(accepted)
+        return change.team in owners if owners else change.team == _named_owner(accepted)
 
-    def _counts(self, touch: RouteChange, at: Context | None) -> bool:
-        if touch.dot in self._by_owner:
+    def _counts(self, change: RouteChange, context: Context | None) -> bool:
+        if change.dot in self._by_owner:
             return True
-        accepts = self._accepted.get(touch.dot)
-        return accepts is not None and (at is None or any(at.covers(each.dot) for each in accepts))
+        accepts = self._accepted.get(change.dot)
+        return accepts is not None and (context is None or any(context.covers(each.dot) for each in accepts))
 
-    def _effective_at(self, touches: Iterable[RouteChange], at: Context | None) -> list[RouteChange]:
+    def _effective_at(self, changes: Iterable[RouteChange], context: Context | None) -> list[RouteChange]:
         return [
-            touch for touch in touches if (at is None or at.covers(touch.dot)) and self._counts(touch, at)
+            change
+            for change in changes
+            if (context is None or context.covers(change.dot)) and self._counts(change, context)
         ]
 
-    def _owners_at(self, at: Context) -> set[str]:
+    def _owners_at(self, context: Context) -> set[str]:
         """The values of the newest owner writes as who had seen `at` knows them."""
-        writers = self._effective_at(self._owner_writes, at)
+        writers = self._effective_at(self._owner_writes, context)
         if writers and self._deletes:
-            deletes, _ = self._effective_deletes(at)
+            deletes, _ = self._effective_deletes(context)
             writers = _not_deleted(writers, deletes)
             if not writers:  # those who wrote after a delete that was to be accepted yet
-                left = _not_deleted(self._effective_at(self._writers, at), deletes)
-                return {touch.team for touch in left if writes_fields(touch)}
+                remaining = _not_deleted(self._effective_at(self._writers, context), deletes)
+                return {change.team for change in remaining if writes_fields(change)}
         if not writers:
             return set()
         first = self.result.initial_owners
@@ -137,35 +141,35 @@
         return {write.value for write in newest(named)}
 
     def _effective_deletes(
-        self, at: Context | None
+        self, context: Context | None
     ) -> tuple[list[RouteChange], list[tuple[RouteChange, list[RouteChange]]]]:
         """The deletes that count and have effect, and those that have none for the writes beside them."""
         effect: list[RouteChange] = []
         disputes: list[tuple[RouteChange, list[RouteChange]]] = []
         if not self._deletes:
             return effect, disputes
-        writers = self._effective_at(self._writers, at)
-        for delete in self._effective_at(self._deletes, at):
-            beside = [
+        writers = self._effective_at(self._writers, context)
+        for delete in self._effective_at(self._deletes, context):
+            concurrent = [
                 each
                 for each in writers
                 if each is not delete
                 and not delete.context.covers(each.dot)
                 and not each.context.covers(delete.dot)
             ]
-            if beside:
-                disputes.append((delete, beside))
+            if concurrent:
+                disputes.append((delete, concurrent))
             else:
                 effect.append(delete)
         return effect, disputes
 
 
-def _not_deleted(touches: Iterable[RouteChange], deletes: Sequence[RouteChange]) -> list[RouteChange]:
-    return [touch for touch in touches if not any(delete.context.covers(touch.dot) for delete in deletes)]
+def _not_deleted(changes: Iterable[RouteChange], deletes: Sequence[RouteChange]) -> list[RouteChange]:
+    return [change for change in changes if not any(delete.context.covers(change.dot) for delete in deletes)]
 
 
-def _named_owner(touch: RouteChange) -> str | None:
+def _named_owner(change: RouteChange) -> str | None:
     """The owner that a change names; a value that is no name does not hand a route over."""
-    if (value := touch.fields.get(OWNER)) is None:
+    if (value := change.fields.get(OWNER)) is None:
         return None
     return None if canonical_or_fault(OWNER, value)[1] else str(value)
--- a/cloverkeel/fleet/routes/part.py
+++ b/cloverkeel/fleet/routes/part.py
@@ -70,8 +70,8 @@
     async def _preload_plan(self) -> None:
         held = await asyncio.to_thread(read_payloads, self.ledger.keeper.directory, KIND)
         # What is published is in the ledger, too: nothing is judged by it meanwhile.
-        world = await GatewayEnvironment(self.gateway, self.settings.room).poll_changed()
-        merge = Merge(world or Environment())
+        environment = await GatewayEnvironment(self.gateway, self.settings.room).poll_changed()
+        merge = Merge(environment or Environment())
         await run_in_slices(preload(merge, held))
         if self.routes is None or self.routes.view is None:
             self.serve(merge.view)
@@ -190,8 +190,10 @@
 
     def _check(self, view: View, edits: tuple[Edit, ...]) -> None:
         """Raises ValueError."""
-        world = self.routes.environment if self.routes is not None else None
-        if found := edit_faults(view, edits, self.gateway.listed_hosts.values(), world or Environment()):
+        environment = self.routes.environment if self.routes is not None else None
+        if found := edit_faults(
+            view, edits, self.gateway.listed_hosts.values(), environment or Environment()
+        ):
             raise ValueError("\n".join(found[: files.FAULTS_MAX]))
 
     async def _commit(self, query: bytes, make: Callable[[View], Any]) -> Answer:
@@ -205,25 +207,25 @@
             if not edits and not accepts:
                 behind = files.outdated_routes(file, view) if file is not None else []
                 return _json_answer({"change": "", "confirmed": True, "edits": 0, "behind": behind})
-            change, answer = await routes.commit(team, edits, accepts, context, wait, LEVEL_TIMEOUT_S)
+            change, result = await routes.commit(team, edits, accepts, context, wait, LEVEL_TIMEOUT_S)
         except ValueError as error:
             return error_answer(400, error)
         except WriteRefused as error:
             return error_answer(503, error)
-        confirmed = isinstance(answer, Acknowledged)
-        said = {
+        confirmed = isinstance(result, Acknowledged)
+        body = {
             "change": key_of(change.dot),
             "team": team,
             "edits": len(edits),
             "confirmed": confirmed,
-            "held": answer.held if isinstance(answer, Acknowledged) else None,
-            "reason": "" if isinstance(answer, Acknowledged) else answer.reason,
+            "held": result.held if isinstance(result, Acknowledged) else None,
+            "reason": "" if isinstance(result, Acknowledged) else result.reason,
             **change_outcome(change.dot, routes.view or view),
         }
         if file is not None:
-            said["base"] = await asyncio.to_thread(files.base_after_commit, file, change)
-        return _json_answer(said, 200 if confirmed else 202)
+            body["base"] = await asyncio.to_thread(files.base_after_commit, file, change)
+        return _json_answer(body, 200 if confirmed else 202)
 
 
-def _json_answer(said: dict[str, Any], status: int = 200) -> Answer:
-    return Answer(status, json.dumps(said).encode(), JSON_CONTENT_TYPE)
+def _json_answer(body: dict[str, Any], status: int = 200) -> Answer:
+    return Answer(status, json.dumps(body).encode(), JSON_CONTENT_TYPE)
--- a/cloverkeel/fleet/routes/registers.py
+++ b/cloverkeel/fleet/routes/registers.py
@@ -36,9 +36,9 @@
     value: Any
 
 
-def causal_key(touch: RouteChange) -> tuple[int, Dot]:
+def causal_key(change: RouteChange) -> tuple[int, Dot]:
     """Causes come before effects; ties are the same everywhere."""
-    return touch.seen_count, touch.dot
+    return change.seen_count, change.dot
 
 
 def count_dots(context: Context) -> int:
@@ -51,12 +51,12 @@
 HasContext = TypeVar("HasContext", RouteChange, Write)
 
 
-def newest(rising: Sequence[HasContext]) -> list[HasContext]:
+def newest(ordered: Sequence[HasContext]) -> list[HasContext]:
     """Those, of some in rising order, that no other had seen; the one that had seen the most first."""
-    if len(rising) == 1:
-        return [rising[0]]
+    if len(ordered) == 1:
+        return [ordered[0]]
     live: list[HasContext] = []
-    for write in reversed(rising):
+    for write in reversed(ordered):
         if not any(each.context.covers(write.dot) for each in live):
             live.append(write)
     return live
@@ -67,14 +67,14 @@
     return len({canonical_bytes(canonical_or_fault(field, write.value)[0]) for write in writes}) < 2
 
 
-def agreed_write(field: str, rising: Sequence[Write], live: Sequence[Write]) -> Write | None:
+def agreed_write(field: str, ordered: Sequence[Write], live: Sequence[Write]) -> Write | None:
     """The newest write that all `live` ones had seen; where several stand side by side with different
     values, the newest that all of those had seen, and so on. None: there is none."""
     while True:
-        rising = [write for write in rising if all(each.context.covers(write.dot) for each in live)]
-        if not rising:
+        ordered = [write for write in ordered if all(each.context.covers(write.dot) for each in live)]
+        if not ordered:
             return None
-        live = newest(rising)
+        live = newest(ordered)
         if values_equal(field, live):
             return live[0]
 
--- a/cloverkeel/fleet/routes/resolution.py
+++ b/cloverkeel/fleet/routes/resolution.py
@@ -46,20 +46,20 @@
     return [] if conflict.kind not in ("field", "delete") else [""] * len(conflict.choices)
 
 
-def resolution_edits(conflict: Conflict, how: Resolution, view: View) -> tuple[Edit, ...]:
+def resolution_edits(conflict: Conflict, resolution: Resolution, view: View) -> tuple[Edit, ...]:
     """The edits that resolve it, once written under the view's context. Raises ValueError."""
     route = conflict.routes[0]
-    if how.way == "take":
-        return (_edit_for_side(conflict, how.take, view),)
-    if how.way == "value":
+    if resolution.way == "take":
+        return (_edit_for_side(conflict, resolution.take, view),)
+    if resolution.way == "value":
         if conflict.kind not in ("field", "shares", "unknown", "chain", "bad-value") or not conflict.field:
             raise ValueError(f"a {conflict.kind} conflict has no one value: apply a file that ends it")
-        return (Edit(route, conflict.field, _parse_value(conflict.field, how.value)),)
+        return (Edit(route, conflict.field, _parse_value(conflict.field, resolution.value)),)
     if len(conflict.routes) > 1:
-        raise ValueError(f"{how.way} is for a conflict of one route, not of {len(conflict.routes)}")
-    if how.way == "keep" and conflict.kind != "delete":
+        raise ValueError(f"{resolution.way} is for a conflict of one route, not of {len(conflict.routes)}")
+    if resolution.way == "keep" and conflict.kind != "delete":
         raise ValueError(f"keep is for a delete conflict, not for a {conflict.kind} conflict")
-    return (Edit(route, DELETED, how.way == "delete"),)
+    return (Edit(route, DELETED, resolution.way == "delete"),)
 
 
 def _edit_for_side(conflict: Conflict, number: int, view: View) -> Edit:
@@ -70,8 +70,8 @@
         raise ValueError(f"take is 1 to {count} for this conflict")
     if conflict.kind == "overlap":
         first, second = conflict.routes if number == 1 else conflict.routes[::-1]
-        known = view.routes.get(first)
-        before = known.values.get(BEFORE, ()) if known is not None else ()
+        current = view.routes.get(first)
+        before = current.values.get(BEFORE, ()) if current is not None else ()
         return Edit(first, BEFORE, sorted({*before, second}))
     value = conflict.choices[number - 1].value
     if conflict.kind == "delete":
@@ -90,19 +90,19 @@
 
 
 def edit_faults(
-    view: View, edits: Iterable[Edit], rows: Iterable[Mapping[str, Any]], world: Environment
+    view: View, edits: Iterable[Edit], rows: Iterable[Mapping[str, Any]], environment: Environment
 ) -> list[str]:
     """What is wrong with these edits whatever others write, a line each: values that would block their route
     by themselves, and a route that leaves a class without hosts. `rows`: hosts as discovery gave them."""
     edits = list(edits)
-    written = {(edit.route, edit.field) for edit in edits}
+    edited_fields = {(edit.route, edit.field) for edit in edits}
     found = []
     routes = _values_after(view, edits)
     for name, values in routes.items():
-        kept = {field: value for field, value in values.items() if value is not None}
-        made = RouteView(name, str(values.get("owner", "")), kept, {})
-        for conflict in () if values.get(DELETED) is True else route_conflicts(made, world):
-            if conflict.severity == "blocking" and (name, conflict.field) in written:
+        present = {field: value for field, value in values.items() if value is not None}
+        edited = RouteView(name, str(values.get("owner", "")), present, {})
+        for conflict in () if values.get(DELETED) is True else route_conflicts(edited, environment):
+            if conflict.severity == "blocking" and (name, conflict.field) in edited_fields:
                 found.append(f"route {conflict.why}")
     return found + _without_hosts(routes, list(rows))
 
@@ -111,8 +111,8 @@
     """The values of the routes that are edited, as the plan in service would have them."""
     routes: dict[str, dict[str, Any]] = {}
     for edit in edits:
-        known = view.routes.get(edit.route)
-        values = routes.setdefault(edit.route, dict(known.values) if known is not None else {})
+        current = view.routes.get(edit.route)
+        values = routes.setdefault(edit.route, dict(current.values) if current is not None else {})
         value, why = canonical_or_fault(edit.field, edit.value)
         values[edit.field] = None if why else value
     return routes
@@ -123,21 +123,21 @@
     found = []
     for name, values in routes.items():
         targets = values.get("targets")
-        narrow = values.get("callers") or (values.get("path") or "/") != "/"
-        if not rows or not targets or narrow or values.get(DELETED) is True:
+        partial = values.get("callers") or (values.get("path") or "/") != "/"
+        if not rows or not targets or partial or values.get(DELETED) is True:
             continue
-        rest = sum(target["share"] for target in targets) < 100
-        if not any(rest or any(_target_matches(target, row) for target in targets) for row in rows):
+        has_remainder = sum(target["share"] for target in targets) < 100
+        if not any(has_remainder or any(_target_matches(target, row) for target in targets) for row in rows):
             classes = ", ".join(values.get("classes") or ()) or "every class"
             found.append(f"route {name}: no listed host is in its targets: {classes} would be without hosts")
     return found
 
 
 def _target_matches(target: Mapping[str, Any], row: Mapping[str, Any]) -> bool:
-    has = {
+    host_names = {
         "types": {str(row.get("type", ""))},
         "groups": {str(row.get("group", 0))},
         "zones": {str(row.get("zone", ""))},
         "labels": labels_of(row),
     }
-    return all(not target.get(kind) or not has[kind].isdisjoint(target[kind]) for kind in has)
+    return all(not target.get(kind) or not host_names[kind].isdisjoint(target[kind]) for kind in host_names)
--- a/cloverkeel/fleet/routes/route_merge.py
+++ b/cloverkeel/fleet/routes/route_merge.py
@@ -29,10 +29,10 @@
 EMPTY_ROUTE = MergedRoute()
 
 
-def merge_route(name: str, rising: Sequence[RouteChange], world: Environment) -> MergedRoute:
+def merge_route(name: str, ordered: Sequence[RouteChange], environment: Environment) -> MergedRoute:
     """`rising`: all changes that touch the route, by `registers.order`."""
-    held = classify(rising)
-    registers = field_writes(held)
+    classification = classify(ordered)
+    registers = field_writes(classification)
     found: list[Conflict] = []
     values: dict[str, Any] = {}
     others: dict[str, Any] = {}
@@ -41,13 +41,13 @@
     owners: list[str] = []
     in_plan = any(field != DELETED for field in registers)
     for field in sorted(registers):
-        rising_writes = registers[field]
-        live = newest(rising_writes)
+        ordered_writes = registers[field]
+        live = newest(ordered_writes)
         chosen: Write | None = live[0]
         if field == DELETED:
-            found += _delete_conflicts(name, held, live)
+            found += _delete_conflicts(name, classification, live)
         elif len(live) > 1 and not values_equal(field, live):
-            chosen = agreed_write(field, rising_writes, live)
+            chosen = agreed_write(field, ordered_writes, live)
             found.append(_field_conflict(name, field, live, chosen))
         if field == OWNER:
             owners = sorted({str(write.value) for write in ([chosen] if chosen else live)})
@@ -65,29 +65,29 @@
             if (by := deciding.get(chosen.dot)) is None:
                 by = deciding[chosen.dot] = Decision(chosen.dot, chosen.team)
             decided[field] = by
-    waiting = tuple(_waiting_edits(name, held, registers, owners)) if held.pending else ()
+    waiting = tuple(_waiting_edits(name, classification, registers, owners)) if classification.pending else ()
     if not in_plan or not owners:
         return MergedRoute(None, 0, tuple(found), waiting) if found or waiting else EMPTY_ROUTE
     view = RouteView(name, owners[0], values, decided, others)
-    found += conflicts.route_conflicts(view, world)
+    found += conflicts.route_conflicts(view, environment)
     return MergedRoute(view, route_hash(name, values, others), tuple(found), waiting)
 
 
-def field_writes(held: Classification) -> dict[str, list[Write]]:
+def field_writes(classification: Classification) -> dict[str, list[Write]]:
     """The writes of each field that count and that no delete took away, in rising order."""
     registers: dict[str, list[Write]] = {}
-    for touch in held.counted:
-        gone = bool(held.deletes) and held.is_deleted(touch.dot)
-        for field, value in touch.fields.items():
-            if not gone or field == DELETED:
-                registers.setdefault(field, []).append(Write(touch.dot, touch.context, touch.team, value))
-        if not gone and (owner := held.initial_owners.get(touch.dot)) is not None:
-            registers.setdefault(OWNER, []).append(Write(touch.dot, touch.context, touch.team, owner))
+    for change in classification.counted:
+        deleted = bool(classification.deletes) and classification.is_deleted(change.dot)
+        for field, value in change.fields.items():
+            if not deleted or field == DELETED:
+                registers.setdefault(field, []).append(Write(change.dot, change.context, change.team, value))
+        if not deleted and (owner := classification.initial_owners.get(change.dot)) is not None:
+            registers.setdefault(OWNER, []).append(Write(change.dot, change.context, change.team, owner))
     if OWNER not in registers:  # it went with a delete that was accepted after these were written
-        for touch in held.counted:
-            if writes_fields(touch) and not held.is_deleted(touch.dot):
+        for change in classification.counted:
+            if writes_fields(change) and not classification.is_deleted(change.dot):
                 registers.setdefault(OWNER, []).append(
-                    Write(touch.dot, touch.context, touch.team, touch.team)
+                    Write(change.dot, change.context, change.team, change.team)
                 )
     return registers
 
@@ -96,47 +96,48 @@
     sides = [Choice(write.dot, write.team, write.value) for write in live]
     teams = " and ".join(conflicts.side_text(side) for side in sorted(sides, key=lambda side: side.dot))
     if chosen is not None:
-        stands = f"that of {chosen.team} ({conflicts.change_name(chosen.dot)}), which both had seen, stands"
+        outcome = f"that of {chosen.team} ({conflicts.change_name(chosen.dot)}), which both had seen, stands"
     elif field == OWNER:
-        stands = "with none agreed on, the route is not in service"
+        outcome = "with none agreed on, the route is not in service"
     else:
-        stands = f"with none agreed on, that of {conflicts.side_text(sides[0])} stands"
+        outcome = f"with none agreed on, that of {conflicts.side_text(sides[0])} stands"
     return conflicts.make_conflict(
-        "field", (name,), field, sides, f"{name}: {field} differs: {teams}; {stands}"
+        "field", (name,), field, sides, f"{name}: {field} differs: {teams}; {outcome}"
     )
 
 
-def _delete_conflicts(name: str, held: Classification, live: Sequence[Write]) -> list[Conflict]:
+def _delete_conflicts(name: str, classification: Classification, live: Sequence[Write]) -> list[Conflict]:
     """The conflict of deletes that nobody has resolved yet with what was written beside them."""
     dots = {write.dot for write in live}
-    disputes = [(delete, beside) for delete, beside in held.disputes if delete.dot in dots]
+    disputes = [(delete, concurrent) for delete, concurrent in classification.disputes if delete.dot in dots]
     if not disputes:
         return []
     sides = {delete.dot: Choice(delete.dot, delete.team, {DELETED: True}) for delete, _ in disputes}
-    for _, beside in disputes:
-        for touch in beside:
-            sides.setdefault(touch.dot, Choice(touch.dot, touch.team, dict(touch.fields)))
-    gone = " and ".join(
+    for _, concurrent in disputes:
+        for change in concurrent:
+            sides.setdefault(change.dot, Choice(change.dot, change.team, dict(change.fields)))
+    deleters = " and ".join(
         conflicts.side_text(sides[dot]) for dot in sorted(delete.dot for delete, _ in disputes)
     )
-    kept = conflicts.first_names(
-        conflicts.side_text(sides[dot]) for dot in {touch.dot for _, beside in disputes for touch in beside}
+    editors = conflicts.first_names(
+        conflicts.side_text(sides[dot])
+        for dot in {change.dot for _, concurrent in disputes for change in concurrent}
     )
-    why = f"{name}: deleted by {gone} beside edits by {kept}; the route stands"
+    why = f"{name}: deleted by {deleters} beside edits by {editors}; the route stands"
     return [conflicts.make_conflict("delete", (name,), DELETED, sides.values(), why)]
 
 
 def _waiting_edits(
-    name: str, held: Classification, registers: Mapping[str, Sequence[Write]], owners: Sequence[str]
+    name: str, classification: Classification, registers: Mapping[str, Sequence[Write]], owners: Sequence[str]
 ) -> list[WaitingEdits]:
     found: list[WaitingEdits] = []
-    for touch in held.pending:
+    for change in classification.pending:
         fields = {
             field: value
-            for field, value in touch.fields.items()
-            if not any(write.context.covers(touch.dot) for write in registers.get(field, ()))
+            for field, value in change.fields.items()
+            if not any(write.context.covers(change.dot) for write in registers.get(field, ()))
         }
-        if fields and not held.is_deleted(touch.dot):
-            owner = ", ".join(owners) or str(touch.fields.get(OWNER, ""))
-            found.append(WaitingEdits(touch.dot, touch.team, name, owner, fields))
+        if fields and not classification.is_deleted(change.dot):
+            owner = ", ".join(owners) or str(change.fields.get(OWNER, ""))
+            found.append(WaitingEdits(change.dot, change.team, name, owner, fields))
     return found
--- a/cloverkeel/fleet/routes/serving.py
+++ b/cloverkeel/fleet/routes/serving.py
@@ -39,9 +39,9 @@
     """What is left of 100 % goes to the hosts that no target names; a target without a share gets nothing."""
     values = route.values
     shares = [(compile_hosts(target, names), share_units(target)) for target in values.get("targets") or ()]
-    left = FULL_SHARE - sum(share for _, share in shares)
-    if shares and left > 0:
-        shares.append((HostSelector(none_of=tuple(hosts for hosts, _ in shares)), left))
+    remainder = FULL_SHARE - sum(share for _, share in shares)
+    if shares and remainder > 0:
+        shares.append((HostSelector(none_of=tuple(hosts for hosts, _ in shares)), remainder))
     return Route(
         tuple(Target(hosts, share / FULL_SHARE) for hosts, share in shares if share),
         max_attempts=values.get("attempts") or 0,
@@ -80,9 +80,9 @@
         """Serve by this view, which follows the one taken before it."""
         if self.building is not None:
             self.next_view = view
-            none = self.next_changed is None or view.changed_routes is None
+            unknown = self.next_changed is None or view.changed_routes is None
             self.next_changed = (
-                None if none else (self.next_changed or frozenset()) | (view.changed_routes or frozenset())
+                None if unknown else (self.next_changed or frozenset()) | (view.changed_routes or frozenset())
             )
         elif view.changed_routes is None or len(view.changed_routes) > INLINE_MAX or self.view is None:
             self._start_build(view)
@@ -99,9 +99,9 @@
         elif newest is not None:
             self.next_view, self.next_changed = newest, None
 
-    def set_traffic_split(self, over: tuple[Target, ...]) -> None:
+    def set_traffic_split(self, traffic_split: tuple[Target, ...]) -> None:
         """Split the requests of each route, and those of none, over these; empty: no longer."""
-        self.traffic_split = over
+        self.traffic_split = traffic_split
         if self.next_view is not None or self.view is not None or self.building is not None:
             self.reconfigure()
         else:
@@ -109,10 +109,10 @@
 
     # A few routes: in place
 
-    def _apply_inline(self, view: View, touched: frozenset[str]) -> None:
+    def _apply_inline(self, view: View, changed_names: frozenset[str]) -> None:
         plan = self.plan.copy()  # the module holds the other, which must not change under it
         self.index.set_precedence(view.precedes)
-        for name in touched:
+        for name in changed_names:
             route = view.routes.get(name)
             if route is None:
                 self.index.remove(name)
@@ -169,10 +169,10 @@
         if self.building is not None:
             self.building = None
             gc_pause.resume(freeze=True)
-        view, touched = self.next_view, self.next_changed
+        view, changed_names = self.next_view, self.next_changed
         self.next_view, self.next_changed = None, frozenset()
-        if view is not None and touched is not None and len(touched) <= INLINE_MAX:
-            self._apply_inline(view, touched)
+        if view is not None and changed_names is not None and len(changed_names) <= INLINE_MAX:
+            self._apply_inline(view, changed_names)
         elif view is not None:
             self._start_build(view)
 
--- a/cloverkeel/fleet/routes/settings.py
+++ b/cloverkeel/fleet/routes/settings.py
@@ -8,8 +8,8 @@
 
 from cloverkeel.errors import ConfigError
 
-Kind = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
-Room = Annotated[int, msgspec.Meta(ge=1, le=10**9)]
+HostType = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
+Capacity = Annotated[int, msgspec.Meta(ge=1, le=10**9)]
 
 
 class RoutesSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -17,7 +17,7 @@
     hold together."""
 
     size: Annotated[int, msgspec.Meta(ge=1, le=4096)]  # gateways that the fleet is made of
-    room: Annotated[dict[Kind, Room], msgspec.Meta(max_length=4096)] = {}
+    room: Annotated[dict[HostType, Capacity], msgspec.Meta(max_length=4096)] = {}
 
 
 def parse_routes(raw: object) -> RoutesSettings:
--- a/cloverkeel/fleet/routes/shell.py
+++ b/cloverkeel/fleet/routes/shell.py
@@ -47,7 +47,7 @@
 
     def drop(self, dot: Dot) -> None: ...
 
-    def set_environment(self, world: Environment) -> None: ...
+    def set_environment(self, environment: Environment) -> None: ...
 
     def settle(self) -> Iterator[None]: ...
 
@@ -64,14 +64,19 @@
     def __init__(
         self,
         ledger: LedgerService,
-        worlds: EnvironmentSource,
-        make: Callable[[], MergeCore],
-        take: Callable[[View], None],
+        environment_source: EnvironmentSource,
+        make_merge: Callable[[], MergeCore],
+        on_view: Callable[[View], None],
     ) -> None:
-        self.ledger, self.environment_source, self.make_merge, self.serve = ledger, worlds, make, take
+        self.ledger, self.environment_source, self.make_merge, self.serve = (
+            ledger,
+            environment_source,
+            make_merge,
+            on_view,
+        )
         self.membership = ledger.membership
         self.loop = asyncio.get_running_loop()
-        self.merge = make()
+        self.merge = make_merge()
         self.view: View | None = None  # in service; None: not merged yet
         self.ledger_settled = False  # the ledger has been, in this life
         self.unserved = False  # `view` is not the one that is served, yet
@@ -104,7 +109,7 @@
 
     def live_members(self) -> frozenset[str]:
         """The members that are there, this one included."""
-        names = {name for name, rumour in self.membership.view().items() if rumour.status in LIVE_STATUSES}
+        names = {name for name, update in self.membership.view().items() if update.status in LIVE_STATUSES}
         return frozenset(names | {self.membership.name})
 
     # Changes of this gateway's.
@@ -121,13 +126,13 @@
         change = Change(dot=dot, context=context, team=team, edits=edits, accepts=accepts)
         payload = encode(change)
         self.last_number += 1
-        answer = await self.ledger.write(KIND, key_of(dot), payload, Context(), wait, timeout_s)
+        result = await self.ledger.write(KIND, key_of(dot), payload, Context(), wait, timeout_s)
         self.counts["written"] += 1
         event("routes.committed", change=key_of(dot), team=team, edits=len(edits), accepts=len(accepts),
-              wait=wait.value, outcome=f"held by {answer.held}" if isinstance(answer, Acknowledged)
-              else answer.reason)  # fmt: skip
+              wait=wait.value, outcome=f"held by {result.held}" if isinstance(result, Acknowledged)
+              else result.reason)  # fmt: skip
         await self._wait_until_merged(dot)
-        return change, answer
+        return change, result
 
     def commit_context(self, base: Context, edits: Iterable[Edit]) -> Context:
         """What a change made from `base` may say that it has seen: all that is here, where that has nothing
@@ -152,9 +157,9 @@
 
     # Records in.
 
-    def _on_expose(self, shown: KeyChanged) -> None:
-        if shown.kind == KIND:
-            self.pending_records.append((shown.key, shown.records))
+    def _on_expose(self, changed: KeyChanged) -> None:
+        if changed.kind == KIND:
+            self.pending_records.append((changed.key, changed.records))
             self.merge_wanted.set()
 
     def _read_all(self) -> None:
@@ -165,10 +170,10 @@
     def _apply_records(self, key: str, records: Siblings) -> None:
         payloads = sorted(payload for _, payload in records if payload is not None)
         if not payloads:
-            if (gone := self.changes.pop(key, None)) is not None:
-                self.merge.drop(gone.dot)
-                for route in _routes_of(gone):
-                    self.dots_by_route[route].discard(gone.dot)
+            if (dropped := self.changes.pop(key, None)) is not None:
+                self.merge.drop(dropped.dot)
+                for route in _routes_of(dropped):
+                    self.dots_by_route[route].discard(dropped.dot)
             return
         if key in self.changes:
             return  # a change is written once
@@ -192,17 +197,17 @@
             if self.environment is None:
                 continue
             gc_pause.pause()  # one over all that a merge makes takes 0.2 s at 10,000 routes
-            many, failure = False, ""
+            many_changed, reason = False, ""
             try:
-                many = await self._settle()
+                many_changed = await self._settle()
             except Exception as error:
                 # One record that the merge cannot take must not end the plan that is in service.
                 log(f"the merge of routes failed\n{traceback.format_exc()}")
-                failure = f"{type(error).__name__}: {error}"
+                reason = f"{type(error).__name__}: {error}"
             finally:
-                gc_pause.resume(freeze=many)
-            if failure:
-                event("routes.merge_failed", reason=failure)
+                gc_pause.resume(freeze=many_changed)
+            if reason:
+                event("routes.merge_failed", reason=reason)
                 self.counts["merge_failures"] += 1
                 await asyncio.sleep(RETRY_S)
                 self._restart_merge()
@@ -216,8 +221,8 @@
 
     async def _settle(self) -> bool:
         """Whether many routes came of it."""
-        spent_us, most_us = await run_in_slices(self._merge_steps())
-        self.merge_us, self.longest_slice_us = spent_us, max(self.longest_slice_us, most_us)
+        spent_us, longest_us = await run_in_slices(self._merge_steps())
+        self.merge_us, self.longest_slice_us = spent_us, max(self.longest_slice_us, longest_us)
         self.counts["merges"] += 1
         view = self.merge.view
         self._publish_view(view)
@@ -234,9 +239,9 @@
         yield from self.merge.settle()
 
     def _publish_view(self, view: View) -> None:
-        before, self.view = self.view, view
-        self._serve(view, first=before is None)
-        if before is None or before.hash != view.hash:
+        previous, self.view = self.view, view
+        self._serve(view, first=previous is None)
+        if previous is None or previous.hash != view.hash:
             event("routes.plan", hash=view.hash, routes=len(view.routes), conflicts=len(view.conflicts),
                   waiting=len(view.waiting), held_back=len(view.held_back))  # fmt: skip
         for name, fields in self.conflict_log.update(view.conflicts, self.live_members()):
@@ -260,8 +265,8 @@
     async def _poll_loop(self) -> None:
         while True:
             try:
-                if (world := await self.environment_source.poll_changed()) is not None:
-                    self.environment = world
+                if (environment := await self.environment_source.poll_changed()) is not None:
+                    self.environment = environment
                     self.merge_wanted.set()
                 await self._drop_superseded()
                 if self.unserved and self.view is not None:
@@ -275,7 +280,7 @@
         merges = self.counts["merges"]
         if self.loop.time() - self.last_drop_s < DROP_INTERVAL_S or merges == self.last_drop_merges:
             return
-        states = {rumour.status for rumour in self.membership.view().values()}
+        states = {update.status for update in self.membership.view().values()}
         core = self.ledger.core
         if (
             core is None or not core.settling.settled or len(self.changes) <= DROP_MIN
@@ -297,15 +302,15 @@
 async def run_in_slices(steps: Iterator[None]) -> tuple[int, int]:
     """Play `steps` to their end, with a turn of the loop after each SLICE_S: the processor's microseconds,
     all together and of the longest slice."""
-    spent_s, most_s, begun_s, slice_s = 0.0, 0.0, time.perf_counter(), time.thread_time()
+    spent_s, longest_s, slice_start_s, slice_cpu_start_s = 0.0, 0.0, time.perf_counter(), time.thread_time()
     for _ in steps:
-        if time.perf_counter() - begun_s >= SLICE_S:
-            took_s = time.thread_time() - slice_s
-            spent_s, most_s = spent_s + took_s, max(most_s, took_s)
+        if time.perf_counter() - slice_start_s >= SLICE_S:
+            slice_cpu_s = time.thread_time() - slice_cpu_start_s
+            spent_s, longest_s = spent_s + slice_cpu_s, max(longest_s, slice_cpu_s)
             await asyncio.sleep(0)
-            begun_s, slice_s = time.perf_counter(), time.thread_time()
-    took_s = time.thread_time() - slice_s
-    return int((spent_s + took_s) * 1e6), int(max(most_s, took_s) * 1e6)
+            slice_start_s, slice_cpu_start_s = time.perf_counter(), time.thread_time()
+    slice_cpu_s = time.thread_time() - slice_cpu_start_s
+    return int((spent_s + slice_cpu_s) * 1e6), int(max(longest_s, slice_cpu_s) * 1e6)
 
 
 def decode_record(key: str, payload: bytes) -> Change:
@@ -316,9 +321,9 @@
     return change
 
 
-def preload(merge: MergeCore, held: Iterable[tuple[str, bytes]]) -> Iterator[None]:
+def preload(merge: MergeCore, records: Iterable[tuple[str, bytes]]) -> Iterator[None]:
     """Steps by which `merge` has the view of what another process's ledger holds, key and payload."""
-    for key, payload in held:
+    for key, payload in records:
         with contextlib.suppress(ValueError):  # the ledger's own process tells of it
             merge.add(decode_record(key, payload))
         yield
