--- a/cloverkeel/fleet/routes/__init__.py
+++ b/cloverkeel/fleet/routes/__init__.py
@@ -1,1 +1,4 @@
-"""Routes of many teams, merged over the ledger (docs/routes.md); imported only where configured."""
+"""Routing rules edited by many teams and merged over the ledger. docs/routes.md.
+
+Imported only where the configuration has a `routes` object.
+"""
--- a/cloverkeel/fleet/routes/command.py
+++ b/cloverkeel/fleet/routes/command.py
@@ -1,4 +1,4 @@
-"""`python -m cloverkeel routes apply | show | resolve | accept`: a gateway's operators' address is asked."""
+"""`python -m cloverkeel routes apply | show | resolve | accept`: calls to a gateway's operator address."""
 
 from __future__ import annotations
 
@@ -19,37 +19,41 @@
 )
 from cloverkeel.fleet.membership.command import CommandError, request_operator
 
-CONFIG_KEY = "routes"
-REQUEST_TIMEOUT_S = 22.0
+CONFIG_KEY = "routes"  # configuration object without which a gateway has no such calls
+REQUEST_TIMEOUT_S = 22.0  # for the download of a team's file
 
 
 def register(parts: Any) -> None:
-    """Add `routes` to the command line; each verb sets `run`, from the arguments to the exit code."""
-    top = parts.add_parser("routes", help="which requests go where, as teams edit it")
-    verbs = top.add_subparsers(dest="verb", required=True)
-    apply = verbs.add_parser("apply", help="commit what a team's TOML changes, as one change")
+    """Add `routes` to the command line; each subcommand sets `run`, which returns the exit code."""
+    routes_parser = parts.add_parser("routes", help="which requests go where, as teams edit it")
+    subcommands = routes_parser.add_subparsers(dest="verb", required=True)
+    apply = subcommands.add_parser("apply", help="commit the edits in a team's TOML file, as one change")
     apply.add_argument("file", metavar="TEAM.toml")
-    show = verbs.add_parser("show", help="the plan in service, who decided what, and what is in conflict")
-    show.add_argument("--team", help="what concerns one team")
+    show = subcommands.add_parser(
+        "show", help="show the plan in service, who decided each value, and the conflicts"
+    )
+    show.add_argument("--team", help="only what concerns this team")
     form = show.add_mutually_exclusive_group()
-    form.add_argument("--toml", action="store_true", help="the team's routes as the file that apply takes")
+    form.add_argument("--toml", action="store_true", help="the team's routes, as a file for apply")
     form.add_argument("--json", action="store_true", help="the gateway's answer as one JSON object")
-    resolve = verbs.add_parser("resolve", help="end a conflict, by a change that has seen all its sides")
-    resolve.add_argument("id", metavar="ID", help="of the conflict, as show has it")
-    ways = resolve.add_mutually_exclusive_group(required=True)
-    ways.add_argument("--take", type=int, metavar="N", help="one of the sides, by its number")
-    ways.add_argument("--value", metavar="TOML", help="a value of the field")
-    ways.add_argument("--delete", action="store_true", help="the route goes")
-    ways.add_argument("--keep", action="store_true", help="the route stays, though it was deleted")
-    accept = verbs.add_parser("accept", help="let another team's edit of a route of yours count")
-    accept.add_argument("change", metavar="CHANGE", help="as show has it: member/incarnation/number")
+    resolve = subcommands.add_parser(
+        "resolve", help="resolve a conflict, by a change that supersedes all its sides"
+    )
+    resolve.add_argument("id", metavar="ID", help="the id of the conflict, as in show")
+    choice = resolve.add_mutually_exclusive_group(required=True)
+    choice.add_argument("--take", type=int, metavar="N", help="take this side, by its number")
+    choice.add_argument("--value", metavar="TOML", help="set the field to this value")
+    choice.add_argument("--delete", action="store_true", help="delete the route")
+    choice.add_argument("--keep", action="store_true", help="keep the route, although it was deleted")
+    accept = subcommands.add_parser("accept", help="accept another team's edit of your route")
+    accept.add_argument("change", metavar="CHANGE", help="the change, as in show: member/incarnation/number")
     accept.add_argument("--route", required=True, metavar="R")
-    for verb in (resolve, accept):
-        verb.add_argument("--team", required=True, metavar="T", help="whose word this is")
-    for verb, run in ((apply, _apply), (show, _show), (resolve, _resolve), (accept, _accept)):
-        add_operator_option(verb, run)
-    for verb in (apply, resolve, accept):
-        add_wait_option(verb)
+    for subcommand in (resolve, accept):
+        subcommand.add_argument("--team", required=True, metavar="T", help="the team that decides")
+    for subcommand, run in ((apply, _apply), (show, _show), (resolve, _resolve), (accept, _accept)):
+        add_operator_option(subcommand, run)
+    for subcommand in (apply, resolve, accept):
+        add_wait_option(subcommand)
 
 
 def _apply(address: Address, arguments: argparse.Namespace) -> int:
@@ -58,7 +62,7 @@
     answer = request_json(address, f"/api/routes/apply?wait={arguments.wait}", source, lacks=CONFIG_KEY)
     if not answer["change"]:
         behind = answer["behind"]
-        more = f"; by now the plan has otherwise: {', '.join(behind[:5])}" if behind else ""
+        more = f"; the plan in service has since changed for: {', '.join(behind[:5])}" if behind else ""
         print(f"nothing differs from the plan that the file was made from{more}")
         return 0
     code = _print_outcome(answer, arguments.wait)
@@ -66,27 +70,27 @@
         _write_base(path, source.decode(), answer["base"])
     except (OSError, ValueError) as error:
         why = getattr(error, "strerror", None) or error
-        print(f"cloverkeel: {path}: export it anew before the next edit: its base is older than this change "
+        print(f"cloverkeel: {path}: export it again before the next edit: its base is older than this change "
               f"({why})", file=sys.stderr)  # fmt: skip
     else:
-        print(f"{path}: its base is this change now")
+        print(f"{path}: its base is now this change")
     return code
 
 
 def _write_base(path: str, text: str, base: str) -> None:
-    """Put the new base into the file, whole or not at all. Raises OSError, ValueError."""
+    """Replace the base in the file atomically. Raises OSError, ValueError."""
     from cloverkeel.fleet.routes.files import replace_base
 
-    made = replace_base(text, base)
+    content = replace_base(text, base)
     path = os.path.realpath(path)
-    fd, beside = tempfile.mkstemp(dir=os.path.dirname(path), prefix=".routes-")
+    fd, temporary = tempfile.mkstemp(dir=os.path.dirname(path), prefix=".routes-")
     try:
         with os.fdopen(fd, "w", encoding="utf-8", newline="") as file:
-            file.write(made)
-        os.chmod(beside, os.stat(path).st_mode & 0o777)
-        os.replace(beside, path)
+            file.write(content)
+        os.chmod(temporary, os.stat(path).st_mode & 0o777)
+        os.replace(temporary, path)
     except BaseException:
-        os.unlink(beside)
+        os.unlink(temporary)
         raise
 
 
@@ -110,16 +114,19 @@
 
 
 def _print_outcome(answer: dict[str, Any], wait: str) -> int:
-    """What became of a change, for people; 0: held as wished, 1: kept and not confirmed."""
-    what = answer["change"]
+    """Print the outcome of a change. Exit code 0: confirmed at the level waited for; 1: stored, not
+    confirmed."""
+    change = answer["change"]
     if not answer["confirmed"]:
-        print(f"cloverkeel: {what} is kept, and not confirmed at {wait}: {answer['reason']}", file=sys.stderr)
+        print(
+            f"cloverkeel: {change} is stored but not confirmed at {wait}: {answer['reason']}", file=sys.stderr
+        )
     else:
-        print(f"committed: {what}, held by {answer['held']}")
+        print(f"committed: {change}, held by {answer['held']}")
     if not answer["merged"]:
-        print("  not merged yet: show tells what becomes of it")
+        print("  not merged yet: `routes show` will have the outcome")
     elif answer["held_back"]:
-        print(f"  held back, for a blocking conflict; plan {answer['plan'][:12]} stays")
+        print(f"  held back by a blocking conflict; plan {answer['plan'][:12]} stays in service")
     else:
         print(f"  plan {answer['plan'][:12]} at this gateway")
     for each in answer["waiting"]:
@@ -132,11 +139,11 @@
 def _show(address: Address, arguments: argparse.Namespace) -> int:
     if arguments.toml:
         if not arguments.team:
-            raise CommandError("--toml makes one team's file: give --team")
+            raise CommandError("--toml exports one team's file: give --team")
         query = urlencode({"team": arguments.team, "form": "toml"})
         status, found = request_operator(*address, "GET", f"/api/routes?{query}", None, REQUEST_TIMEOUT_S)
         if status != 200:
-            request_json(address, f"/api/routes?{query}", lacks=CONFIG_KEY)  # for its error
+            request_json(address, f"/api/routes?{query}", lacks=CONFIG_KEY)  # raises the error of the call
         sys.stdout.write(found.decode())
         return 0
     query = f"?{urlencode({'team': arguments.team})}" if arguments.team else ""
@@ -146,19 +153,19 @@
 
 
 def plan_lines(answer: dict[str, Any]) -> list[str]:
-    """A plan for people: what is in conflict or waits first, then the routes."""
+    """The plan as lines of text: first conflicts, held back changes and waiting edits, then the routes."""
     if not {"hash", "member", "count", "routes", "conflicts", "waiting", "held_back"} <= answer.keys():
-        raise CommandError("the answer is no plan of routes")
+        raise CommandError("the gateway's answer is not a plan of routes")
     found = [
-        f"plan {answer['hash']} as {answer['member']} has it: routes {answer['count']}, "
-        f"conflicts {len(answer['conflicts'])}, edits that wait {len(answer['waiting'])}, "
+        f"plan {answer['hash']} at {answer['member']}: routes {answer['count']}, "
+        f"conflicts {len(answer['conflicts'])}, waiting edits {len(answer['waiting'])}, "
         f"changes held back {len(answer['held_back'])}"
     ]
     for each in answer["conflicts"]:
         found += conflict_lines(each)
     for each in answer["held_back"]:
-        found.append(f"held back for a blocking conflict: {each['change']} of {each['team']}, "
-                     f"of {', '.join(each['routes'])}")  # fmt: skip
+        found.append(f"held back by a blocking conflict: {each['change']} of {each['team']}, "
+                     f"routes {', '.join(each['routes'])}")  # fmt: skip
     for each in answer["waiting"]:
         fields = ", ".join(f"{key} = {_short(value)}" for key, value in each["fields"].items())
         found.append(f"waits for {each['owner']}: {each['change']} of {each['team']}, "
@@ -166,22 +173,23 @@
     for route in answer["routes"]:
         found.append(f"{route['name']} ({route['owner']})")
         for key, value in {**route["values"], **route["others"]}.items():
-            by = route["decided"].get(key)
-            said = f"  [{by['change']} of {by['team']}]" if by else ""
-            unknown = "" if key in route["values"] else "  (not known to this version)"
+            decision = route["decided"].get(key)
+            decided_text = f"  [{decision['change']} of {decision['team']}]" if decision else ""
+            unknown = "" if key in route["values"] else "  (unknown to this version)"
             if key != "owner":
-                found.append(f"  {key} = {_short(value)}{said}{unknown}")
+                found.append(f"  {key} = {_short(value)}{decided_text}{unknown}")
     return found
 
 
 def conflict_lines(conflict: dict[str, Any]) -> list[str]:
+    """One conflict as lines of text, with the sides that `resolve --take` chooses from."""
     found = [f"conflict {conflict['id']} ({conflict['kind']}, {conflict['severity']}): {conflict['why']}"]
     choices = conflict["choices"]
     for number, side in enumerate(conflict["sides"]):
-        said = side or (
+        text = side or (
             f"{_short(choices[number]['value'])}  [{choices[number]['change']} of {choices[number]['team']}]"
         )
-        found.append(f"  --take {number + 1}: {said}")
+        found.append(f"  --take {number + 1}: {text}")
     return found
 
 
--- a/cloverkeel/fleet/routes/compaction.py
+++ b/cloverkeel/fleet/routes/compaction.py
@@ -1,4 +1,4 @@
-"""Which changes the plan no longer needs. docs/routes.md, "Dropping"."""
+"""Finds superseded changes that can be deleted from the ledger. docs/routes.md, "Dropping"."""
 
 from __future__ import annotations
 
@@ -12,11 +12,14 @@
 from cloverkeel.fleet.routes.merged_routes import MergedRoutes
 
 
-def droppable(merged_routes: MergedRoutes, changes: Mapping[Dot, Change]) -> list[Dot]:
-    """The changes that say of their routes only what two single generations, one after the other, have
-    superseded, and without which each of those routes comes out as with them. By dot."""
+def droppable(routes: MergedRoutes, changes: Mapping[Dot, Change]) -> list[Dot]:
+    """Changes that can be deleted without changing the merged routes, sorted by dot.
+
+    All writes of such a change have been superseded by one write, and that one by another, and each route
+    that it touches merges to the same result without it.
+    """
     old: dict[str, set[Dot]] = {
-        name: set(_superseded(merged_routes.active_changes(name))) for name in merged_routes.many_changes
+        name: set(_superseded(routes.active_changes(name))) for name in routes.many_changes
     }
     candidates = {
         dot
@@ -27,11 +30,9 @@
     while todo:
         name = next(iter(todo))
         del todo[name]
-        ordered = merged_routes.active_changes(name)
+        ordered = routes.active_changes(name)
         kept = [change for change in ordered if change.dot not in candidates]
-        if len(kept) == len(ordered) or merge_route(
-            name, kept, merged_routes.environment
-        ) == merged_routes.merged(name):
+        if len(kept) == len(ordered) or merge_route(name, kept, routes.environment) == routes.merged(name):
             continue
         for change in ordered:
             if change.dot in candidates:
@@ -41,12 +42,12 @@
 
 
 def routes_of(change: Change) -> dict[str, None]:
-    """The routes that a change touches."""
+    """The routes that a change edits or accepts edits of, in order and each once."""
     return dict.fromkeys((*(edit.route for edit in change.edits), *(each.route for each in change.accepts)))
 
 
 def _superseded(ordered: list[RouteChange]) -> Iterator[Dot]:
-    """The changes all of whose writes of this route two later generations have superseded."""
+    """The changes of a route all of whose writes two successive later writes have superseded."""
     classification = classify(ordered)
     registers: dict[str, list[Write]] = {}
     for change in classification.counted:
@@ -70,7 +71,7 @@
     gone: set[Dot] = set()
     for change in ordered:
         fields = {*change.fields, *(("owner",) if change.dot in classification.initial_owners else ())}
-        # Someone who is kept had seen each, so that the context of the view covers it as before.
+        # A kept write has seen the change, so the context of the view still covers its dot.
         if (
             all(field in second and second[field].context.covers(change.dot) for field in fields)
             and all(dot in gone or dot not in present for dot in change.accepts)
--- a/cloverkeel/fleet/routes/conflicts.py
+++ b/cloverkeel/fleet/routes/conflicts.py
@@ -1,6 +1,7 @@
-"""What is wrong with a plan: conflicts by kind, their stable ids, and the line that says why.
+"""The conflicts of a plan: their kinds, stable ids and one-line explanations.
 
-Pure functions of routes as merged, and of the world; `overlaps.py` and `order.py` find those between routes.
+Pure functions of merged routes and the environment. `overlaps.py` and `order.py` find conflicts between
+routes.
 """
 
 from __future__ import annotations
@@ -24,8 +25,8 @@
     "room": "warning",
     "absent": "warning",
 }
-MATCH_FIELDS = ("owner", "classes", "callers", "path", "zones", "before")  # what an overlap rests on
-NAMES_SHOWN = 5  # names in one line
+MATCH_FIELDS = ("owner", "classes", "callers", "path", "zones", "before")  # fields that decide on an overlap
+NAMES_SHOWN = 5  # names listed in one explanation
 
 
 def make_conflict(
@@ -37,6 +38,8 @@
     owners: Iterable[str] = (),
     local: bool = False,
 ) -> Conflict:
+    """A conflict with its id, which is a hash of kind, routes, field and choices: the same at all
+    gateways."""
     names = tuple(sorted(routes))
     sides = tuple(sorted(choices, key=lambda choice: choice.dot))
     teams = tuple(sorted({*owners, *(side.team for side in sides)}))
@@ -46,24 +49,24 @@
 
 
 def side_text(choice: Choice) -> str:
-    """A side of a conflict, for people."""
+    """One side of a conflict, in an explanation: the team and its change."""
     return f"{choice.team} ({change_name(choice.dot)})"
 
 
 def change_name(dot: Dot) -> str:
-    """A change's name as people give it to `accept`: its key in the ledger."""
+    """The name of a change that `routes accept` takes: its ledger key."""
     return f"{dot.member}/{dot.incarnation:x}/{dot.counter}"
 
 
 def first_names(names: Iterable[str]) -> str:
-    """The first few names, and how many more."""
+    """The first NAMES_SHOWN names, and how many more there are."""
     ordered = sorted(names)
     more = len(ordered) - NAMES_SHOWN
     return ", ".join(ordered[:NAMES_SHOWN]) + (f" and {more} more" if more > 0 else "")
 
 
 def deciding_changes(view: RouteView, fields: Sequence[str]) -> list[Choice]:
-    """The changes that gave these fields of a route their values, once each."""
+    """The changes that decided the values of these fields, each once."""
     found = {
         view.decided[name].dot: Choice(view.decided[name].dot, view.decided[name].team)
         for name in fields
@@ -73,7 +76,7 @@
 
 
 def route_conflicts(view: RouteView, environment: Environment) -> Iterator[Conflict]:
-    """The plan conflicts of one route by itself."""
+    """Conflicts within one route: shares, unknown names, and headers written twice."""
     yield from _share_conflicts(view)
     yield from _unknown_name_conflicts(view, environment)
     yield from _chain_conflicts(view, environment)
@@ -121,7 +124,7 @@
         missing = set(values["transforms"]) - environment.transforms.keys()
         if missing:
             yield _single_route_conflict(
-                "unknown", view, "transforms", f"transforms that nobody published: {first_names(missing)}"
+                "unknown", view, "transforms", f"transforms that are not published: {first_names(missing)}"
             )
 
 
@@ -139,12 +142,12 @@
             "chain",
             view,
             "transforms",
-            f"transforms of one chain write the same header: {first_names(twice)}",
+            f"transforms of the same chain write the same header: {first_names(twice)}",
         )
 
 
 def absent_conflict(view: RouteView, environment: Environment) -> Conflict | None:
-    """Groups and labels that no host of this gateway's list has just now."""
+    """A warning if no host on this gateway's current list has a group or label that the route names."""
     none: set[str] = set()
     for target in view.values.get("targets", ()):
         for field, known in (("groups", environment.groups), ("labels", environment.labels)):
@@ -158,38 +161,43 @@
 
 
 def overlap_conflict(a: RouteView, b: RouteView) -> Conflict:
-    """Routes of two teams that match the same requests, with no order between them."""
+    """The conflict of two teams' routes that match the same requests and are not ordered by `before`."""
     first, second = sorted((a, b), key=lambda view: view.name)
     choices = {side.dot: side for view in (first, second) for side in deciding_changes(view, MATCH_FIELDS)}
     why = (
         f"{first.name} of {first.owner} and {second.name} of {second.owner} match the same requests; "
-        "say `before` in one of them"
+        "set `before` in one of them"
     )
     return make_conflict("overlap", (a.name, b.name), "", choices.values(), why, (a.owner, b.owner))
 
 
 def cycle_conflict(views: Sequence[RouteView]) -> Conflict:
+    """The conflict of routes whose `before` fields form a cycle."""
     choices = {side.dot: side for view in views for side in deciding_changes(view, ("before",))}
     names = [view.name for view in views]
-    why = f"each of {first_names(names)} comes before itself, through `before`"
+    why = f"the `before` fields of {first_names(names)} form a cycle"
     return make_conflict("cycle", names, "before", choices.values(), why, [view.owner for view in views])
 
 
 def capacity_conflict(
     team: str, kind: str, limits: Mapping[str, int], capacity: int, views: Mapping[str, RouteView]
 ) -> Conflict:
-    """`parts`: by route, the requests at once that its limit sends to hosts of this type, times the share."""
+    """A warning that a team's limits exceed the capacity of the hosts of one type.
+
+    `limits`: by route, its limit on concurrent requests times the share of this host type, in share units.
+    """
     choices = {side.dot: side for name in limits for side in deciding_changes(views[name], ("limit",))}
     total = sum(limits.values()) // (100 * UNITS_PER_PERCENT)
     why = (
         f"limits of {team}'s routes ({first_names(limits)}) sum to {total} "
-        f"on hosts of type {kind}, which have {capacity}"
+        f"on hosts of type {kind}, whose capacity is {capacity}"
     )
     return make_conflict("room", limits, f"limit:{kind}", choices.values(), why, (team,))
 
 
 def limits_by_type(view: RouteView) -> Iterator[tuple[str, int]]:
-    """For each type that a target names alone, its part of the route's limit, in the shares' unit."""
+    """For each target that names exactly one host type: the type, and its part of the route's limit in share
+    units."""
     if (limit := view.values.get("limit")) is None:
         return
     for target in view.values.get("targets", ()):
--- a/cloverkeel/fleet/routes/environment.py
+++ b/cloverkeel/fleet/routes/environment.py
@@ -1,5 +1,7 @@
-"""What the merge judges by beside the changes: the settings' names, the list of hosts at hand, and what has
-been published. docs/routes.md."""
+"""The environment that the merge validates routes against. docs/routes.md.
+
+It consists of the names in the settings, the current list of hosts, and the published transforms.
+"""
 
 from __future__ import annotations
 
@@ -14,22 +16,23 @@
     from cloverkeel.gateway import Gateway
     from cloverkeel.transforms.activation.parts import TransformParts
 
-PublishedHeaders = Mapping[str, frozenset[str]]
+PublishedHeaders = Mapping[str, frozenset[str]]  # by published transform: the headers that it may write
 
 
 def labels_of(row: Mapping[str, Any]) -> frozenset[str]:
-    """The labels of a host as discovery gave it."""
+    """The labels of a host, as listed by discovery."""
     labels = row.get("labels")
     return frozenset(map(str, labels)) if isinstance(labels, list) else frozenset()
 
 
 def environment_of(
     names: Names,
-    room: Mapping[str, int],
+    capacity: Mapping[str, int],
     rows: Iterable[Mapping[str, Any]],
     published: PublishedHeaders | None,
 ) -> Environment:
-    """`rows`: the listed hosts as discovery gave them; with none, groups and labels are not known."""
+    """The environment from its sources. `rows`: the hosts as listed by discovery; if none, groups and labels
+    are unknown."""
     rows = list(rows)
     return Environment(
         classes=frozenset(name.decode("utf-8", "replace") for name in names.classes),
@@ -37,38 +40,38 @@
         zones=frozenset(names.zones),
         types=frozenset(names.kinds),
         transforms=published,
-        capacity=room,
+        capacity=capacity,
         groups=frozenset(str(row.get("group", 0)) for row in rows) if rows else None,
         labels=frozenset().union(*map(labels_of, rows)) if rows else None,
     )
 
 
 class GatewayEnvironment:
-    """The world of one gateway, as it is now. `transforms`: None where the fleet publishes none."""
+    """Tracks the environment of one gateway. `transforms`: None if the fleet does not publish any."""
 
     def __init__(
-        self, gateway: Gateway, room: Mapping[str, int], transforms: TransformParts | None = None
+        self, gateway: Gateway, capacity: Mapping[str, int], transforms: TransformParts | None = None
     ) -> None:
-        self.gateway, self.capacity, self.transforms = gateway, room, transforms
-        self.headers_written: dict[str, frozenset[str]] = {}  # headers, by a version's id
+        self.gateway, self.capacity, self.transforms = gateway, capacity, transforms
+        self.headers_written: dict[str, frozenset[str]] = {}  # by version id
         self.last_state: object = None
 
     async def poll_changed(self) -> Environment | None:
-        """The world, where it may be another one than at the last call."""
+        """The environment, if it may have changed since the last call, else None."""
         gateway = self.gateway
         versions = await self._versions()
         listed = (gateway.discovery.index, gateway.discovery.epoch, len(gateway.listed_hosts))
-        now = (listed, gateway.names, versions)
-        if now == self.last_state:
+        state = (listed, gateway.names, versions)
+        if state == self.last_state:
             return None
-        self.last_state = now
+        self.last_state = state
         return environment_of(
             gateway.names, self.capacity, gateway.listed_hosts.values(), self._published(versions)
         )
 
     async def _versions(self) -> tuple[tuple[str, str], ...] | None:
-        """Name and id of each published version that is to be held, once its headers are known; None while
-        the ledger has not begun, or where nothing is published here."""
+        """Name and id of each published version that this gateway should have; also reads their headers. None
+        until the ledger has started, or if the fleet publishes no transforms."""
         activator = self.transforms.activator if self.transforms is not None else None
         if activator is None:
             return None
@@ -89,7 +92,7 @@
 
 
 def _headers_written(source: bytes) -> frozenset[str]:
-    """The headers that a transform may write; what cannot be parsed writes none."""
+    """The headers that a transform may write; none if the source cannot be parsed."""
     from cloverkeel.transforms.source import SourceError, parse
 
     try:
--- a/cloverkeel/fleet/routes/fields.py
+++ b/cloverkeel/fleet/routes/fields.py
@@ -1,4 +1,4 @@
-"""The fields of a route: which values each may have, and their canonical form. docs/routes.md."""
+"""The fields of a route: valid values and their canonical form. docs/routes.md."""
 
 from __future__ import annotations
 
@@ -10,29 +10,28 @@
 
 from cloverkeel.fleet.routes.changes import DELETED, NAME_MAX
 
-NAMES_MAX = 1_024  # of one list
-TARGETS_MAX, TRANSFORMS_MAX, BEFORE_MAX = 64, 32, 64
+NAMES_MAX = 1_024  # names in one list
+TARGETS_MAX, TRANSFORMS_MAX, BEFORE_MAX = 64, 32, 64  # items in the list of one route
 NOTE_MAX, PATH_MAX = 4_096, 1_024  # characters
-INTEGER_MAX = 2**31 - 1
-UNITS_PER_PERCENT = 1_000  # shares are counted in thousandths of a percent: sums are exact, in any order
-TARGET_SELECTORS = (
-    "types",
-    "groups",
-    "zones",
-    "labels",
-)  # of a target: hosts that have one of each kind named
+INTEGER_MAX = 2**31 - 1  # of attempts, deadline_ms and limit
+UNITS_PER_PERCENT = 1_000  # share units are integers, so that sums are exact in any order
+# Keys of a target that select hosts: a host must match at least one name under each key that is present.
+TARGET_SELECTORS = ("types", "groups", "zones", "labels")
 
 _ENCODER = msgspec.msgpack.Encoder(order="sorted")
 
 
 def canonical_bytes(value: Any) -> bytes:
-    """The one form of a plain value, whatever the order of its maps."""
+    """The canonical encoding of a plain value: equal maps give equal bytes, whatever their order."""
     return _ENCODER.encode(value)
 
 
 def canonical(field: str, value: Any) -> Any:
-    """`value` in the form in which equal ones are the same; None: as if it were not written. Lists that stand
-    for sets are sorted, once each. A field that is not known is passed as it is. Raises ValueError."""
+    """`value` in the form in which equal values compare equal. None means that the field is not set.
+
+    Lists that stand for sets are sorted, without duplicates. The value of an unknown field is returned as it
+    is. Raises ValueError if the field cannot have the value.
+    """
     if value is None and field != "owner":
         return None
     known = FIELDS.get(field)
@@ -40,7 +39,7 @@
 
 
 def canonical_or_fault(field: str, value: Any) -> tuple[Any, str]:
-    """The canonical form and an empty text, or the value as it is and why the field cannot have it."""
+    """The canonical form and "", or the value as it is and the reason why the field cannot have it."""
     try:
         return canonical(field, value), ""
     except ValueError as error:
@@ -48,19 +47,19 @@
 
 
 def share_units(target: Mapping[str, Any]) -> int:
-    """The share of a target in canonical form, in thousandths of a percent."""
+    """The share of a canonical target, in share units (thousandths of a percent)."""
     return int(round(target["share"] * UNITS_PER_PERCENT))
 
 
 def route_hash(name: str, values: Mapping[str, Any], others: Mapping[str, Any]) -> int:
-    """128 bits of one route of a plan."""
+    """The 128-bit hash of one route."""
     return int.from_bytes(
         hashlib.blake2b(canonical_bytes((name, values, others)), digest_size=16).digest(), "big"
     )
 
 
 def plan_hash(total: int) -> str:
-    """The name of a plan, from the sum of its routes' hashes modulo 2**128: 32 hex digits."""
+    """The hash that names a plan: 32 hex digits, from the sum of its routes' hashes modulo 2**128."""
     return hashlib.blake2b(total.to_bytes(16, "big"), digest_size=16).hexdigest()
 
 
@@ -70,14 +69,14 @@
     return value
 
 
-def _list(value: Any, most: int) -> list[Any]:
-    if not isinstance(value, list | tuple) or len(value) > most:
-        raise ValueError(f"a list of up to {most} is wanted, not {value!r:.40}")
+def _list(value: Any, max_items: int) -> list[Any]:
+    if not isinstance(value, list | tuple) or len(value) > max_items:
+        raise ValueError(f"a list of up to {max_items} items is required, not {value!r:.40}")
     return list(value)
 
 
 def _names(value: Any) -> list[str] | None:
-    if type(value) is list and len(value) == 1:  # most are
+    if type(value) is list and len(value) == 1:  # fast path: most lists have one name
         return [_name(value[0])]
     return sorted({_name(each) for each in _list(value, NAMES_MAX)}) or None
 
@@ -87,8 +86,8 @@
 
 
 def _groups(value: Any) -> list[str] | None:
-    every = _list(value, NAMES_MAX)
-    return _names([str(each) if type(each) is int else each for each in every])
+    items = _list(value, NAMES_MAX)
+    return _names([str(each) if type(each) is int else each for each in items])
 
 
 def _path(value: Any) -> str | None:
@@ -105,14 +104,10 @@
 def _share(value: Any) -> int | float:
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 <= value <= 100:
         raise ValueError(f"a share is 0 to 100 percent, not {value!r:.40}")
-    thousandths = int(round(value * UNITS_PER_PERCENT))
-    if abs(thousandths - value * UNITS_PER_PERCENT) > 1e-6:
+    units = int(round(value * UNITS_PER_PERCENT))
+    if abs(units - value * UNITS_PER_PERCENT) > 1e-6:
         raise ValueError(f"a share has up to three decimals, not {value!r:.40}")
-    return (
-        thousandths // UNITS_PER_PERCENT
-        if thousandths % UNITS_PER_PERCENT == 0
-        else thousandths / UNITS_PER_PERCENT
-    )
+    return units // UNITS_PER_PERCENT if units % UNITS_PER_PERCENT == 0 else units / UNITS_PER_PERCENT
 
 
 def _target(value: Any) -> dict[str, Any]:
@@ -129,35 +124,36 @@
 
 
 def _targets(value: Any) -> list[dict[str, Any]] | None:
-    every = [_target(each) for each in _list(value, TARGETS_MAX)]
-    return sorted(every, key=canonical_bytes) if len(every) > 1 else every or None
+    items = [_target(each) for each in _list(value, TARGETS_MAX)]
+    return sorted(items, key=canonical_bytes) if len(items) > 1 else items or None
 
 
 def _positive_int(value: Any) -> int:
     if type(value) is not int or not 1 <= value <= INTEGER_MAX:
-        raise ValueError(f"a whole number from 1 to {INTEGER_MAX} is wanted, not {value!r:.40}")
+        raise ValueError(f"a whole number from 1 to {INTEGER_MAX} is required, not {value!r:.40}")
     return value
 
 
 def _transforms(value: Any) -> list[str]:
     chain = [_name(each) for each in _list(value, TRANSFORMS_MAX)]
     if len(set(chain)) < len(chain):
-        raise ValueError("a transform stands twice in the chain")
+        raise ValueError("a transform appears twice in the chain")
     return chain
 
 
 def _note(value: Any) -> str | None:
     if not isinstance(value, str) or len(value) > NOTE_MAX:
-        raise ValueError(f"a note is a text of up to {NOTE_MAX} characters, not {value!r:.40}")
+        raise ValueError(f"a note is a string of up to {NOTE_MAX} characters, not {value!r:.40}")
     return value or None
 
 
 def _deleted(value: Any) -> bool:
     if type(value) is not bool:
-        raise ValueError(f"true or false is wanted, not {value!r:.40}")
+        raise ValueError(f"true or false is required, not {value!r:.40}")
     return value
 
 
+# Checks a value and returns its canonical form, by field; raises ValueError.
 FIELDS: Mapping[str, Callable[[Any], Any]] = {
     "classes": _names,
     "callers": _names,
--- a/cloverkeel/fleet/routes/files.py
+++ b/cloverkeel/fleet/routes/files.py
@@ -1,6 +1,6 @@
-"""A team's TOML: parsed, exported, and compared with the plan that it was exported from. docs/routes.md.
+"""A team's TOML file: parsing, export, and the edits since its export. docs/routes.md.
 
-`base` of a file is what its author had seen: the context of the plan and the values of the team's routes.
+The `base` in a file records what its author saw: the context of the plan and the team's routes in it.
 """
 
 from __future__ import annotations
@@ -21,16 +21,16 @@
 from cloverkeel.fleet.routes.fields import TARGET_SELECTORS, FIELDS, canonical, canonical_or_fault
 from cloverkeel.fleet.routes.interface import View
 
-FILE_MAX = 256 * 1024  # bytes of a file
+FILE_MAX = 256 * 1024  # bytes
 BASE_MAX = 4 * 1024 * 1024  # bytes of a base, decompressed
-DEPTH_MAX = 8  # of lists and maps in a value
-FAULTS_MAX = 20  # told of one file
+DEPTH_MAX = 8  # nesting of lists and maps in a value
+FAULTS_MAX = 20  # reported for one file
 OWNER = "owner"
 Fields = dict[str, Any]
 
 
 class Base(msgspec.Struct, frozen=True, array_like=True):
-    """`routes`: their fields, the owner among them."""
+    """What the author of a file saw. `routes`: the fields of the team's routes by name, with the owner."""
 
     context: Context
     routes: dict[str, Fields]
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TeamFile:
-    """`routes`: by name, the fields as they stand in the file. `base`: None in a new file."""
+    """A parsed file. `routes`: the fields of each route as written; `base`: None in a new file."""
 
     team: str
     routes: Mapping[str, Fields]
@@ -46,7 +46,7 @@
 
 
 class FileError(ValueError):
-    """The file is no team's file; a line for each fault."""
+    """The file is not a valid team file; the message has a line for each fault."""
 
     def __init__(self, faults: list[str]) -> None:
         more = [f"and {len(faults) - FAULTS_MAX} more"] if len(faults) > FAULTS_MAX else []
@@ -57,19 +57,19 @@
 
 
 def parse(data: bytes) -> TeamFile:
-    """Raises FileError."""
+    """Parse and check a team's file. Raises FileError."""
     if len(data) > FILE_MAX:
-        raise FileError([f"the file has {len(data)} bytes, over {FILE_MAX}"])
+        raise FileError([f"the file has {len(data)} bytes, over the limit of {FILE_MAX}"])
     try:
         top = tomllib.loads(data.decode())
     except UnicodeDecodeError as error:
         raise FileError([f"not UTF-8 at byte {error.start}"]) from None
     except tomllib.TOMLDecodeError as error:
         raise FileError([f"not TOML: {error}"]) from None
-    except (RecursionError, ValueError) as error:  # ValueError: a number of thousands of digits
+    except (RecursionError, ValueError) as error:  # ValueError: a number with thousands of digits
         raise FileError([f"not TOML: {type(error).__name__}: {error}"]) from None
     faults = [
-        f"{key!r:.40} is not known; a file has team, base and route"
+        f"{key!r:.40} is unknown; a file has team, base and route"
         for key in top.keys() - {"team", "base", "route"}
     ]
     team, routes = top.get("team"), top.get("route", {})
@@ -82,7 +82,7 @@
         except ValueError as error:
             faults.append(f"base: {error}")
     if not isinstance(routes, dict):
-        raise FileError([*faults, "route is no table: name each route, as [route.NAME]"])
+        raise FileError([*faults, "route is not a table: name each route, as [route.NAME]"])
     for name, fields in routes.items():
         faults += _route_faults(name, fields, base.routes.get(name, {}) if base is not None else {})
     if faults:
@@ -91,7 +91,7 @@
 
 
 def name_fault(name: object) -> str | None:
-    """Why this names no team, route or field, or None."""
+    """Why this is not a valid name of a team, route or field, or None."""
     if isinstance(name, str) and 0 < len(name) <= NAME_MAX and name.isprintable():
         return None
     return f"a name has 1 to {NAME_MAX} printable characters"
@@ -102,7 +102,7 @@
     if (why := name_fault(name)) is not None:
         return [f"{where}: {why}"]
     if not isinstance(fields, dict):
-        return [f"{where} is no table of fields"]
+        return [f"{where} is not a table of fields"]
     faults = []
     for key, value in fields.items():
         why = name_fault(key) or value_fault(value) or _field_fault(key, value, before)
@@ -114,12 +114,15 @@
 
 
 def _field_fault(key: str, value: Any, before: Fields) -> str:
-    """Why a field cannot have the value. What no version here knows has to be as the base has it: a later
-    version's, and no slip of the pen."""
+    """Why a field cannot have the value, or "".
+
+    An unknown field must have the value of the base: then a later version wrote it, and it is not a typing
+    error.
+    """
     if key in before and toml_equal(before[key], value):
         return ""
     if key not in FIELDS:
-        return f"no field; a route has {', '.join(name for name in FIELDS if name != DELETED)}"
+        return f"unknown field; a route has {', '.join(name for name in FIELDS if name != DELETED)}"
     _, why = canonical_or_fault(key, value)
     if not why and key == "targets":
         old = before.get(key) or []
@@ -131,7 +134,7 @@
 
 
 def value_fault(value: object, depth: int = 0) -> str | None:
-    """Why a change cannot carry this value, or None."""
+    """Why a change cannot hold this value, or None."""
     if depth > DEPTH_MAX:
         return f"nested over {DEPTH_MAX} deep"
     if isinstance(value, bool | str):
@@ -139,60 +142,64 @@
     if isinstance(value, int):
         return None if abs(value) < 2**63 else "a number over 63 bits"
     if isinstance(value, float):
-        return None if math.isfinite(value) else "no finite number"
+        return None if math.isfinite(value) else "not a finite number"
     if isinstance(value, list | dict):
         inner = value if isinstance(value, list) else value.values()
         return next((why for each in inner if (why := value_fault(each, depth + 1)) is not None), None)
-    return f"a {type(value).__name__} is no value of a field"
+    return f"a {type(value).__name__} is not a valid field value"
 
 
-# A base, packed and unpacked.
+# Encoding of the base.
 
 
 def pack_base(base: Base) -> str:
+    """The base as text for a file: msgpack, compressed, in base64."""
     return base64.b64encode(zlib.compress(msgspec.msgpack.encode(base), 9)).decode()
 
 
 def unpack_base(text: object) -> Base:
-    """Raises ValueError."""
+    """The base in the text of a file. Raises ValueError."""
     if not isinstance(text, str):
-        raise ValueError("not a text; `routes show --toml` makes it")
+        raise ValueError("not a string; `routes show --toml` writes it")
     try:
         stream = zlib.decompressobj()
         data = stream.decompress(base64.b64decode(text, validate=True), BASE_MAX)
         if stream.unconsumed_tail or not stream.eof or stream.unused_data:
-            raise ValueError("cut short or too long")
+            raise ValueError("truncated or too long")
         base = _BASE.decode(data)
     except (ValueError, zlib.error, msgspec.MsgspecError, RecursionError, TypeError) as error:
-        raise ValueError(f"not what `routes show --toml` made: {str(error)[:120]}") from None
+        raise ValueError(f"not as `routes show --toml` wrote it: {str(error)[:120]}") from None
     if (why := base.context.invalid_reason()) is not None:
         raise ValueError(why)
     return base
 
 
 def base_after_commit(file: TeamFile, change: Change) -> str:
-    """The base of a file that has been committed as this change: its author has seen that, and no more."""
+    """The new base of a file that has been committed as this change: the author has also seen that change."""
     context = change.context.add((change.dot,))
     return pack_base(Base(context, {name: _with_owner(file, name) for name in file.routes}))
 
 
-# What a file changes.
+# The edits in a file.
 
 
 def difference(file: TeamFile) -> tuple[Edit, ...]:
-    """What differs between a file and its base. A route that the file lacks and the base has is deleted, a
-    field removed is written as null; what is new names its owner. Raises FileError where that is too much."""
+    """The edits that turn a file's base into the file.
+
+    A route that is only in the base is deleted, a removed field is set to null, and a new route names its
+    owner. Raises FileError if there are more than EDITS_MAX edits.
+    """
     before = file.base.routes if file.base is not None else {}
     edits = []
     for name in sorted(file.routes):
-        was, now = before.get(name, {}), _with_owner(file, name)
-        for key in sorted(now.keys() | was.keys()):
+        old, new = before.get(name, {}), _with_owner(file, name)
+        for key in sorted(new.keys() | old.keys()):
             if (
-                key not in was
-                or key not in now
-                or not toml_equal(_canonical_or_raw(key, was[key]), _canonical_or_raw(key, now[key]))
+                key not in old
+                or key not in new
+                or not toml_equal(_canonical_or_raw(key, old[key]), _canonical_or_raw(key, new[key]))
             ):
-                edits.append(Edit(name, key, _canonical_or_raw(key, now[key]) if key in now else None))
+                edits.append(Edit(name, key, _canonical_or_raw(key, new[key]) if key in new else None))
     edits += [Edit(name, DELETED, True) for name in sorted(before.keys() - file.routes.keys())]
     if len(edits) > EDITS_MAX:
         raise FileError([f"{len(edits)} fields differ, over {EDITS_MAX} for one change: apply it in parts"])
@@ -200,7 +207,8 @@
 
 
 def _canonical_or_raw(key: str, value: Any) -> Any:
-    """In canonical form, where it has one: a base may be of another version."""
+    """The canonical form, or the value itself if it is invalid here: another version may have written the
+    base."""
     try:
         return canonical(key, value)
     except ValueError:
@@ -208,13 +216,13 @@
 
 
 def _with_owner(file: TeamFile, name: str) -> Fields:
-    """A route's fields; where its file names no owner it is the base's, and of a new route the team."""
+    """A route's fields with an owner: by default that of the base, or the file's team for a new route."""
     before = file.base.routes.get(name, {}) if file.base is not None else {}
     return {OWNER: before.get(OWNER, file.team), **file.routes[name]}
 
 
 def toml_equal(a: object, b: object) -> bool:
-    """Equal as TOML: 1 and true are not."""
+    """Whether two values are equal in TOML, where 1 and true differ."""
     if isinstance(a, dict) and isinstance(b, dict):
         return a.keys() == b.keys() and all(toml_equal(value, b[key]) for key, value in a.items())
     if isinstance(a, list) and isinstance(b, list):
@@ -223,8 +231,8 @@
 
 
 def outdated_routes(file: TeamFile, view: View) -> list[str]:
-    """The file's routes that are others by now in the plan in service, or in none."""
-    now = export_base(file.team, view).routes
+    """The file's routes that differ in the plan in service, or are not in it."""
+    current = export_base(file.team, view).routes
 
     def forms(fields: Fields) -> Fields:
         return {key: _canonical_or_raw(key, value) for key, value in fields.items()}
@@ -232,7 +240,7 @@
     return [
         name
         for name in sorted(file.routes)
-        if name not in now or not toml_equal(forms(now[name]), forms(_with_owner(file, name)))
+        if name not in current or not toml_equal(forms(current[name]), forms(_with_owner(file, name)))
     ]
 
 
@@ -240,7 +248,8 @@
 
 
 def export_base(team: str, view: View) -> Base:
-    """A team's routes as a file can hold them; a field that TOML cannot hold is left out, and stays."""
+    """A team's routes as a file can hold them. Fields that TOML cannot hold are left out, and stay in the
+    plan."""
     routes: dict[str, Fields] = {}
     for name, route in view.routes.items():
         if route.owner == team:
@@ -251,8 +260,8 @@
 
 
 def export(team: str, view: View, notes: Iterable[str] = ()) -> str:
-    """A team's file, with `notes` as comments at its head."""
-    import tomli_w  # at a gateway nobody else needs it
+    """The TOML text of a team's file, with `notes` as comments at the top."""
+    import tomli_w  # only needed here
 
     base = export_base(team, view)
     shown = {
@@ -265,7 +274,7 @@
 
 
 def to_plain(value: Any) -> Any:
-    """A value in canonical form as lists and dicts."""
+    """A canonical value as plain lists and dicts."""
     if isinstance(value, Mapping):
         return {key: to_plain(each) for key, each in value.items()}
     if isinstance(value, AbstractSet):
@@ -276,18 +285,18 @@
 
 
 def replace_base(text: str, base: str) -> str:
-    """A file's text with this base, all else as it is. Raises ValueError where that cannot be done."""
+    """A file's text with its base replaced or added, otherwise unchanged. Raises ValueError if it fails."""
     before = tomllib.loads(text)
     lines = text.splitlines(keepends=True)
-    for place, line in enumerate(lines):
+    for index, line in enumerate(lines):
         key = line.partition("=")[0].strip()
         if key == "base" and "base" in before:
-            lines[place] = f'base = "{base}"\n'
+            lines[index] = f'base = "{base}"\n'
             break
         if key == "team" and "base" not in before:
-            lines[place] = line.rstrip("\r\n") + f'\nbase = "{base}"\n'
+            lines[index] = line.rstrip("\r\n") + f'\nbase = "{base}"\n'
             break
-    made = "".join(lines)
-    if tomllib.loads(made) != before | {"base": base}:
-        raise ValueError("the place of its base is not found")
-    return made
+    updated = "".join(lines)
+    if tomllib.loads(updated) != before | {"base": base}:
+        raise ValueError("cannot find the place of its base")
+    return updated
--- a/cloverkeel/fleet/routes/gc_pause.py
+++ b/cloverkeel/fleet/routes/gc_pause.py
@@ -1,22 +1,25 @@
-"""Passes of the garbage collector held off while many objects that last are made: the merge and the index may
-be at it in turn. What such work makes is let go by count when it is replaced."""
+"""Pauses the cyclic garbage collector while many long-lived objects are created.
+
+The merge and the index may pause it at the same time. Reference counting frees their objects once they are
+replaced.
+"""
 
 from __future__ import annotations
 
 import gc
 
-_pauses = 0
+_pauses = 0  # calls of pause without a resume yet
 
 
 def pause() -> None:
-    """No pass until each `hold` has had its `release`."""
+    """Disable collection until each `pause` has been followed by a `resume`."""
     global _pauses
     _pauses += 1
     gc.disable()
 
 
 def resume(freeze: bool = False) -> None:
-    """`freeze`: what there is now is left out of all later passes."""
+    """End one pause. `freeze`: exclude all objects that exist now from later collections."""
     global _pauses
     if freeze:
         gc.freeze()
--- a/cloverkeel/fleet/routes/index.py
+++ b/cloverkeel/fleet/routes/index.py
@@ -1,6 +1,6 @@
-"""Which route a request takes: one prefix tree of whole path segments for each class and caller, or any.
+"""Finds the route of a request: a prefix tree of path segments for each pair of class and caller.
 
-The cost of a look-up follows the path's depth, not the number of routes. docs/routes.md, "Order".
+The cost of a look-up depends on the depth of the path, not on the number of routes. docs/routes.md, "Order".
 """
 
 from __future__ import annotations
@@ -17,31 +17,38 @@
 
 @dataclass(slots=True, frozen=True)
 class MatchedRoute:
-    """The route that a request takes: its number in the module's plan, and the transforms in the order in
-    which they run. `chain` None: as if there were no route."""
+    """The route of a request.
+
+    `number`: the route in the balancer's plan. `chain`: its transforms in the order in which they run; None:
+    the route names none, and the request gets those that it would get without a route.
+    """
 
     name: str
     number: int
     chain: tuple[str, ...] | None
-    names_zones: bool = False  # it names zones
+    names_zones: bool = False
 
 
-# What a prefix leads to: its routes in order, or the segments that go on, with its own routes under HERE.
-# Plain lists and dicts: among 10,000 routes a look-up mostly waits for memory, and these are least to touch.
+# A prefix maps to the sorted list of its routes or, if longer prefixes exist, to a dict of the next segments
+# with its own routes under OWN_ROUTES. Plain lists and dicts, as they touch the least memory: among 10,000
+# routes a look-up mostly waits for memory.
 _Node = dict[bytes, Any]
-OWN_ROUTES = b""
+OWN_ROUTES = b""  # no segment is empty
 
 
 class Index:
-    """`zone` is this gateway's own: routes of other zones are left out. `numbers` has the number of each
-    route by its name, before the route is put."""
+    """The routes of a plan, for look-up by class, caller and path.
+
+    `zone`: this gateway's; routes that name only other zones are left out. `numbers`: route numbers by name;
+    a route must have one before it is put.
+    """
 
     def __init__(self, zone: str, numbers: Mapping[str, int]) -> None:
         self.zone, self.numbers = zone, numbers
         self._trees: dict[ClassCaller, _Node] = {}
         self._entries: dict[str, tuple[tuple[ClassCaller, ...], list[bytes], MatchedRoute]] = {}
         self._precedes: Mapping[str, frozenset[str]] = {}
-        self._preceded_by: dict[str, set[str]] = {}  # the same by those that come after
+        self._preceded_by: dict[str, set[str]] = {}  # the inverse of _precedes
 
     def __len__(self) -> int:
         return len(self._entries)
@@ -50,7 +57,7 @@
         return name in self._entries
 
     def set_precedence(self, precedes: Mapping[str, frozenset[str]]) -> None:
-        """Go by this `View.behind` from now on."""
+        """Use this order (`View.precedes`) between overlapping routes."""
         if precedes is self._precedes:
             return
         self._precedes, self._preceded_by = precedes, {}
@@ -59,7 +66,7 @@
                 self._preceded_by.setdefault(other, set()).add(name)
 
     def put(self, route: RouteView) -> None:
-        """Take up a route, in place of the one of its name."""
+        """Add a route, or replace the one of the same name."""
         self.remove(route.name)
         values = route.values
         zones, chain = values.get("zones"), values.get("transforms")
@@ -75,7 +82,7 @@
         self._entries[route.name] = pairs, segments, match
 
     def remove(self, name: str) -> None:
-        """Forget a route; nothing where it is not there."""
+        """Remove a route, if it is in the index."""
         pairs, segments, match = self._entries.pop(name, ((), [], None))
         for pair in pairs:
             assert match is not None
@@ -84,7 +91,7 @@
                 del self._trees[pair]
 
     def find(self, klass: bytes, caller: bytes, path: bytes) -> MatchedRoute | None:
-        """The first in order of the routes that match; `path` is without its query."""
+        """The first of the matching routes in order, or None. `path` has no query."""
         trees, segments = self._trees, None
         for pair in ((klass, caller), (None, caller), (klass, None), (None, None)):
             node: Any = trees.get(pair)
@@ -111,25 +118,25 @@
         return None
 
     def _first_in_order(self, klass: bytes, caller: bytes, segments: list[bytes]) -> MatchedRoute:
-        """The most specific of those that match and that no other of them comes before."""
+        """The most specific of the matching routes that no other matching route precedes."""
         found = list(self._all_matches(klass, caller, segments))
         names = {match.name for match in found}
         free = (match for match in found if names.isdisjoint(self._preceded_by.get(match.name, ())))
-        return next(free, found[0])  # none is free in a cycle alone, and a plan with one is not in service
+        return next(free, found[0])  # found[0]: only in a cycle, and no plan in service has one
 
     def _all_matches(self, klass: bytes, caller: bytes, segments: list[bytes]) -> Iterator[MatchedRoute]:
-        """All that match, the most specific first."""
+        """All matching routes, the most specific first."""
         for pair in ((klass, caller), (None, caller), (klass, None), (None, None)):
             node: Any = self._trees.get(pair)
-            way: list[list[MatchedRoute]] = []
+            levels: list[list[MatchedRoute]] = []
             for segment in (*segments, OWN_ROUTES):
                 if not isinstance(node, dict):
                     break
-                way.append(node.get(OWN_ROUTES, []))
+                levels.append(node.get(OWN_ROUTES, []))
                 node = node.get(segment) if segment else None
             if isinstance(node, list):
-                way.append(node)
-            for routes in reversed(way):
+                levels.append(node)
+            for routes in reversed(levels):
                 yield from routes
 
 
@@ -147,7 +154,7 @@
 
 
 def _remove(node: _Node, segments: list[bytes], match: MatchedRoute) -> None:
-    """Take it out, and what holds nothing any more with it."""
+    """Remove a route from the tree, with the nodes that are then empty."""
     path_nodes = [node]
     for segment in segments:
         child = path_nodes[-1][segment]
@@ -168,12 +175,12 @@
 
 
 def _sort_key(match: MatchedRoute) -> tuple[bool, str]:
-    """A route's place among those of one prefix."""
+    """Order among routes of the same prefix: those that name zones first, then by name."""
     return not match.names_zones, match.name
 
 
 def path_segments(path: bytes) -> list[bytes]:
-    """Without empty ones: as the class of a request is read from its path."""
+    """The segments of a path, without empty ones, as for the class of a request."""
     return [segment for segment in path.split(b"/") if segment]
 
 
--- a/cloverkeel/fleet/routes/interface.py
+++ b/cloverkeel/fleet/routes/interface.py
@@ -1,4 +1,4 @@
-"""What goes into the merge beside changes, and what comes out of it: pure data. docs/routes.md."""
+"""Data types that the merge takes besides changes, and that it returns. docs/routes.md."""
 
 from __future__ import annotations
 
@@ -8,6 +8,7 @@
 
 from cloverkeel.fleet.ledger.dots import Context, Dot
 
+# blocking: the changes concerned are not in service; held: the last agreed value stays; warning: no effect.
 Severity = Literal["blocking", "held", "warning"]
 ConflictKind = Literal[
     "field", "delete", "overlap", "cycle", "shares", "unknown", "chain", "bad-value", "room", "absent"
@@ -16,22 +17,25 @@
 
 @dataclass(slots=True, frozen=True)
 class Environment:
-    """What the merge judges by beside the changes, equal at all gateways but for `groups` and `labels`. A set
-    that is None is not known, and nothing is judged by it."""
+    """What the merge validates routes against.
+
+    The same at all gateways, except for `groups` and `labels`. A set that is None is unknown and not checked.
+    """
 
     classes: frozenset[str] | None = None
     callers: frozenset[str] | None = None
     zones: frozenset[str] | None = None
     types: frozenset[str] | None = None
-    transforms: Mapping[str, frozenset[str]] | None = None  # name to the headers that it writes, lower case
-    capacity: Mapping[str, int] = field(default_factory=dict)  # requests at once, by type of host
-    groups: frozenset[str] | None = None  # of this gateway's list of hosts just now
-    labels: frozenset[str] | None = None
+    # By transform: the headers that it writes, in lower case.
+    transforms: Mapping[str, frozenset[str]] | None = None
+    capacity: Mapping[str, int] = field(default_factory=dict)  # concurrent requests, by host type
+    groups: frozenset[str] | None = None  # on this gateway's current list of hosts
+    labels: frozenset[str] | None = None  # likewise
 
 
 @dataclass(slots=True, frozen=True)
 class Decision:
-    """Which change gave a field its value."""
+    """The change that decided the value of a field, and its team."""
 
     dot: Dot
     team: str
@@ -39,8 +43,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RouteView:
-    """One route of the plan in service. `values`: the known fields, checked and in canonical form; `others`:
-    fields that this version does not know, kept and shown."""
+    """One route of the plan in service.
+
+    `values`: known fields, valid and in canonical form. `unknown_fields`: fields that this version does not
+    know; they are kept and shown. `decided`: by field.
+    """
 
     name: str
     owner: str
@@ -51,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Choice:
-    """One side of a conflict: a change, its team, and the value that it wants (None where there is none)."""
+    """One side of a conflict: a change, its team, and the value that it sets (None if there is none)."""
 
     dot: Dot
     team: str
@@ -60,8 +67,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Conflict:
-    """`id`: 16 hex digits of the hash of kind, routes, field and the choices' dots. `local`: rests on this
-    gateway's list of hosts, and may differ elsewhere."""
+    """Something wrong with the plan, which a team has to resolve, or a warning.
+
+    `id`: 16 hex digits of the hash of kind, routes, field and the choices' dots. `local`: depends on this
+    gateway's list of hosts and may differ at others.
+    """
 
     id: str
     kind: ConflictKind
@@ -70,13 +80,13 @@
     field: str
     teams: tuple[str, ...]
     choices: tuple[Choice, ...]
-    why: str  # one line for people
+    why: str  # one line that explains it to operators
     local: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class WaitingEdits:
-    """A change's edits of a route of another team, which wait for the owner."""
+    """Edits of another team's route, which wait until its owner accepts them."""
 
     dot: Dot
     team: str
@@ -87,15 +97,13 @@
 
 @dataclass(slots=True, frozen=True)
 class View:
-    """The outcome of a merge; never changed in place. `hash`: 32 hex digits that name the plan in service."""
+    """The result of a merge, never changed in place. `hash`: 32 hex digits that name the plan in service."""
 
     hash: str
     routes: Mapping[str, RouteView]
-    precedes: Mapping[str, frozenset[str]]  # name to all routes that it comes before, through others too
-    conflicts: tuple[Conflict, ...]  # by id
+    precedes: Mapping[str, frozenset[str]]  # by name: all routes that it comes before, transitively
+    conflicts: tuple[Conflict, ...]  # sorted by id
     waiting: tuple[WaitingEdits, ...]
-    held_back: tuple[Dot, ...]  # changes that are not in service, for a blocking conflict
-    context: Context  # to edit under: every dot taken in
-    changed_routes: frozenset[str] | None = (
-        None  # names of routes that differ from the view before; None: any may
-    )
+    held_back: tuple[Dot, ...]  # changes not in service because of a blocking conflict
+    context: Context  # all dots merged: the context of the next edit
+    changed_routes: frozenset[str] | None = None  # since the last view; None: any route may differ
--- a/cloverkeel/fleet/routes/merge.py
+++ b/cloverkeel/fleet/routes/merge.py
@@ -1,6 +1,7 @@
-"""Changes in, the plan in service out: the same for the same changes, whatever their order. docs/routes.md.
+"""Merges changes into the plan in service. docs/routes.md.
 
-Pure, without a clock. Each step of `settle` is bounded work, so that a gateway's loop can turn between two.
+The result depends only on the set of changes and the environment, not on the order of arrival. Pure, without
+a clock. Each step of `settle` is bounded work, so that the event loop can run between steps.
 """
 
 from __future__ import annotations
@@ -15,13 +16,13 @@
 from cloverkeel.fleet.routes.registers import SeenDots, RouteChange, count_dots
 from cloverkeel.fleet.routes.merged_routes import MergedRoutes
 
-STEP_ITEMS = 100  # small things done in one step
-STEP_CHANGES = 40  # changes taken in in one step
+STEP_ITEMS = 100  # small items handled in one step
+STEP_CHANGES = 40  # changes added in one step
 EMPTY_VIEW = View(plan_hash(0), {}, {}, (), (), (), Context())
 
 
 class Merge:
-    """`view`: of the last `settle` that was played to its end."""
+    """The incremental merge. `view`: the result of the last `settle` that was run to its end."""
 
     def __init__(self, environment: Environment) -> None:
         self.view = EMPTY_VIEW
@@ -30,30 +31,33 @@
         self._changes: dict[Dot, Change] = {}
         self._to_add: dict[Dot, Change] = {}
         self._to_remove: dict[Dot, None] = {}
-        self._adding: dict[Dot, Change] = {}  # what the settle under way has taken over from the two above
+        self._adding: dict[Dot, Change] = {}  # taken from the two above by the settle under way
         self._removing: dict[Dot, None] = {}
         self._seen = SeenDots()
         self._rebuild_seen = False
         self._first_settle = True
 
     def add(self, change: Change) -> None:
-        """A change of the ledger, for the next `settle`. One that is held already is passed over."""
+        """Add a change for the next `settle`. A change that is already merged is ignored."""
         self._to_remove.pop(change.dot, None)
         if change.dot not in self._changes or change.dot in self._removing:
             self._to_add[change.dot] = change
 
     def drop(self, dot: Dot) -> None:
-        """A change that was deleted from the ledger."""
+        """Remove a change that was deleted from the ledger, at the next `settle`."""
         self._to_add.pop(dot, None)
         if dot in self._changes or dot in self._adding:
             self._to_remove[dot] = None
 
     def set_environment(self, environment: Environment) -> None:
+        """Validate routes against this environment from the next `settle` on."""
         self._environment = environment
 
     def settle(self) -> Iterator[None]:
-        """Steps; when it is exhausted `view` is the outcome of what was added before it began. One that is
-        left off is gone on with by the next."""
+        """Merge in steps. At its end `view` has all that was added before it began.
+
+        If it is not run to its end, the next call continues the work.
+        """
         merged_routes = self._routes
         self._adding.update(self._to_add)
         self._removing.update(self._to_remove)
@@ -68,15 +72,14 @@
         while merged_routes.conflict_set.blocking:
             yield from self._exclude_blocking()
             yield from merged_routes.settle()
-            found |= {
-                each.id: each for each in merged_routes.conflict_set.all()
-            }  # what the older plan disputes, too
+            # Also the conflicts that the plan has without the excluded changes.
+            found |= {each.id: each for each in merged_routes.conflict_set.all()}
             yield
         conflicts = tuple(found[id] for id in sorted(found))
         yield from self._publish_view(conflicts, tuple(self._all_waiting()))
 
     def droppable(self) -> list[Dot]:
-        """Changes that may be deleted from the ledger; without them the view is the same."""
+        """Superseded changes that can be deleted from the ledger without changing the plan."""
         if self._routes.excluded or self._to_add or self._adding or self._to_remove or self._removing:
             return []
         return droppable(self._routes, self._changes)
@@ -115,7 +118,7 @@
             self._seen, self._rebuild_seen = seen, False
 
     def _set_excluded(self, dots: Iterable[Dot]) -> Iterator[None]:
-        """Have these and no others taken out."""
+        """Exclude exactly these changes from the plan."""
         new = set(dots)
         for dot in sorted(new ^ self._routes.excluded):
             self._routes.invalidate(routes_of(self._changes[dot]))
@@ -123,14 +126,14 @@
         self._routes.excluded = new
 
     def _exclude_blocking(self) -> Iterator[None]:
-        """Take out the newest of the changes that touched what is in a blocking conflict, and what rests on
-        them: a later change of one of their routes would leave half a route in service."""
+        """Exclude the newest changes of the routes in a blocking conflict, and all later changes that have
+        seen them and touch the same routes: a later change alone would leave half a route in service."""
         excluded: set[Dot] = set()
         for conflict in list(self._routes.conflict_set.blocking.values()):
             excluded.update(route_change.dot for route_change in self._routes.newest_changes(conflict.routes))
             yield
         if not excluded:
-            raise AssertionError("a blocking conflict of no change")
+            raise AssertionError("a blocking conflict without a change")
         todo = sorted(excluded)
         while todo:
             dot = todo.pop()
@@ -171,7 +174,7 @@
 
 
 def merge_all(changes: Iterable[Change], environment: Environment) -> View:
-    """The same from nothing."""
+    """The view of these changes, merged from scratch."""
     merge = Merge(environment)
     for change in changes:
         merge.add(change)
@@ -181,6 +184,7 @@
 
 
 def _route_changes(change: Change) -> list[tuple[str, RouteChange]]:
+    """The parts of a change, by the route that they concern."""
     fields: dict[str, dict[str, object]] = {name: {} for name in routes_of(change)}
     accepts: dict[str, tuple[Dot, ...]] = {}
     for edit in change.edits:
--- a/cloverkeel/fleet/routes/merged_routes.py
+++ b/cloverkeel/fleet/routes/merged_routes.py
@@ -1,7 +1,7 @@
-"""All routes as merged from the changes held, without those taken out, and what is wrong between them.
+"""All routes as merged from the changes, without the excluded ones, and the conflicts of the plan.
 
-Kept under edits: what a change touches is worked out anew, and no more. The outcome is a function of the
-changes, of those taken out, and of the world.
+Updated incrementally: a change costs only the work on the routes that it touches. The result is a function of
+the changes, the excluded changes and the environment.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 from cloverkeel.fleet.routes.route_merge import EMPTY_ROUTE, MergedRoute, merge_route
 
 HASH_MODULUS = 2**128
-STEP_ROUTES = 8  # routes resolved in one step
-STEP_CONFLICTS = 100  # conflicts looked at in one step
-Cause = tuple[str, ...]  # what a conflict is kept under: its route, pair or cycle
+STEP_ROUTES = 8  # routes merged in one step
+STEP_CONFLICTS = 100  # possible conflicts checked in one step
+Cause = tuple[str, ...]  # key of conflicts with one cause: a route, a pair or a cycle
 
 
 class ConflictSet:
-    """The conflicts there are, by cause, and in the order of their ids."""
+    """The current conflicts, by cause and sorted by id."""
 
     def __init__(self) -> None:
         self.blocking: dict[str, Conflict] = {}
@@ -36,6 +36,7 @@
         self._ids: list[str] = []
 
     def put(self, cause: Cause, found: Iterable[Conflict] = ()) -> None:
+        """Replace the conflicts of this cause."""
         for each in self._by_cause.pop(cause, ()):
             del self._by_id[each.id], self._ids[bisect_left(self._ids, each.id)]
             self.blocking.pop(each.id, None)
@@ -48,12 +49,13 @@
                 self.blocking[each.id] = each
 
     def all(self) -> tuple[Conflict, ...]:
+        """All conflicts, sorted by id."""
         return tuple(map(self._by_id.__getitem__, self._ids))
 
 
 class MergedRoutes:
-    """`views`: the routes; `total`: the sum of their hashes; `changed`: names whose view is another since the
-    caller cleared it."""
+    """The routes of the plan. `views`: by name; `hash_sum`: the sum of their hashes; `changed`: names of
+    routes whose view changed since the caller cleared it; `excluded`: changes that are left out."""
 
     def __init__(self, environment: Environment) -> None:
         self.conflict_set = ConflictSet()
@@ -64,19 +66,21 @@
         self.excluded: set[Dot] = set()
         self.environment = environment
         self.order = RouteOrder()
-        self.many_changes: dict[str, None] = {}  # routes that over two changes touch
+        self.many_changes: dict[str, None] = {}  # routes that more than two changes touch
         self._route_changes: dict[str, list[RouteChange]] = {}
         self._merged: dict[str, MergedRoute] = {}
         self._overlaps = Overlaps(self.order)
         self._dirty: dict[str, None] = {}
         self._cycles: dict[str, tuple[str, ...]] = {}
         self._cycles_dirty = False
-        self._limits: dict[tuple[str, str], dict[str, int]] = {}  # owner and type, to the parts of its routes
-        self._list_dependent: dict[str, None] = {}  # routes whose targets name groups or labels
-        self._list_dirty: dict[str, None] = {}  # those to be held against the list anew
-        self._capacity_dirty: dict[tuple[str, str], None] = {}  # whose conflict is to be worked out
+        # By owner and host type: for each route, its part of the limit in share units.
+        self._limits: dict[tuple[str, str], dict[str, int]] = {}
+        self._list_dependent: dict[str, None] = {}  # routes that name groups or labels
+        self._list_dirty: dict[str, None] = {}  # routes to check against the list
+        self._capacity_dirty: dict[tuple[str, str], None] = {}  # to check for excess
 
     def add_change(self, name: str, change: RouteChange) -> None:
+        """Add what a change says of a route; ignored if it is already there."""
         changes = self._route_changes.setdefault(name, [])
         index = bisect_left(changes, causal_key(change), key=causal_key)
         if index == len(changes) or changes[index].dot != change.dot:
@@ -86,6 +90,7 @@
                 self.many_changes[name] = None
 
     def remove_change(self, name: str, dot: Dot) -> None:
+        """Remove what a change says of a route."""
         changes = [each for each in self._route_changes.get(name, ()) if each.dot != dot]
         self._dirty[name] = None
         if len(changes) <= 2:
@@ -96,11 +101,12 @@
             self._route_changes.pop(name, None)
 
     def invalidate(self, names: Iterable[str]) -> None:
-        """Work these routes out anew."""
+        """Merge these routes again at the next `settle`."""
         self._dirty.update(dict.fromkeys(names))
 
     def set_environment(self, environment: Environment) -> None:
-        """Judge by another world: all routes anew, or those alone that name groups and labels of the list."""
+        """Use another environment: checks all routes again, or only those with groups and labels if no more
+        changed."""
         old, self.environment = self.environment, environment
         if replace(old, groups=None, labels=None) != replace(environment, groups=None, labels=None):
             self.invalidate(self._route_changes)
@@ -109,15 +115,16 @@
             self._list_dirty.update(self._list_dependent)
 
     def active_changes(self, name: str) -> list[RouteChange]:
-        """What touches a route and is not taken out, by `registers.order`."""
+        """The changes of a route that are not excluded, sorted by `registers.causal_key`."""
         changes = self._route_changes.get(name, [])
         return [change for change in changes if change.dot not in self.excluded] if self.excluded else changes
 
     def merged(self, name: str) -> MergedRoute:
+        """The route as last merged."""
         return self._merged.get(name, EMPTY_ROUTE)
 
     def settle(self) -> Iterator[None]:
-        """Steps. Left off, it goes on with the next call."""
+        """Update in steps. If it is not run to its end, the next call continues."""
         for index, name in enumerate(list(self._dirty)):
             ordered = self.active_changes(name)
             self._store(name, merge_route(name, ordered, self.environment) if ordered else EMPTY_ROUTE)
@@ -141,16 +148,16 @@
             if index % STEP_CONFLICTS == STEP_CONFLICTS - 1:
                 yield
         self._settle_cycles()
-        for (
-            owner_and_type
-        ) in self._capacity_dirty:  # all first: a route that went to another owner has one id with both
+        # Clear all of them first: a conflict keeps its id when a route goes to another owner.
+        for owner_and_type in self._capacity_dirty:
             self.conflict_set.put(("room", "", *owner_and_type))
         for owner_and_type in self._capacity_dirty:
             self._update_capacity(*owner_and_type)
         self._capacity_dirty.clear()
 
     def newest_changes(self, names: Iterable[str]) -> list[RouteChange]:
-        """Of the changes that count or accept on these routes, those that no other of them had seen."""
+        """Of the changes that take effect on these routes or accept others there, those that no other has
+        seen."""
         moving_changes: dict[Dot, RouteChange] = {}
         for name in names:
             classified = classify(ordered := self.active_changes(name))
--- a/cloverkeel/fleet/routes/order.py
+++ b/cloverkeel/fleet/routes/order.py
@@ -1,28 +1,28 @@
-"""The order that `before` gives: which routes each comes before, through others too, and its cycles.
+"""The order of routes by their `before` fields: its transitive closure and its cycles.
 
-Kept under edits: only the closures of what leads to a route that changed are worked out anew.
+Updated incrementally: only the closures of routes that lead to a changed route are computed again.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterator, Sequence
 
-STEP_ROUTES = 100  # routes of one step
+STEP_ROUTES = 100  # routes handled in one step
 
 
 class RouteOrder:
-    """`behind`: name to all routes that it comes before; where there are none, it has no entry."""
+    """`precedes`: by name, all routes that it comes before, transitively; no entry if there are none."""
 
     def __init__(self) -> None:
         self.precedes: dict[str, frozenset[str]] = {}
-        self.cycles: dict[str, tuple[str, ...]] = {}  # each route of a cycle to all of its routes
-        self.changed: dict[str, None] = {}  # routes whose `behind` is another since the caller cleared this
-        self._before: dict[str, Sequence[str]] = {}  # of the routes that there are
-        self._named_by: dict[str, dict[str, None]] = {}  # name to the routes that name it
+        self.cycles: dict[str, tuple[str, ...]] = {}  # by each route of a cycle: all its routes
+        self.changed: dict[str, None] = {}  # routes whose `precedes` changed since the caller cleared this
+        self._before: dict[str, Sequence[str]] = {}  # by existing route: its `before` field
+        self._named_by: dict[str, dict[str, None]] = {}  # by name: the routes whose `before` names it
         self._dirty: dict[str, None] = {}
 
     def put(self, name: str, before: Sequence[str] | None) -> None:
-        """None: there is no such route."""
+        """Set the `before` field of a route. None: the route does not exist."""
         old = self._before.get(name)
         if old == before:
             return
@@ -40,7 +40,7 @@
             self._dirty[name] = None
 
     def settle(self) -> Iterator[None]:
-        """Steps. Left off, it begins again with the next call."""
+        """Update in steps. If it is not run to its end, the next call starts again."""
         if not self._dirty:
             return
         reached = list(self._dirty)
@@ -76,11 +76,11 @@
         self._dirty.clear()
 
     def are_ordered(self, a: str, b: str) -> bool:
-        """Whether one of them is before the other."""
+        """Whether one of the routes comes before the other."""
         return b in self.precedes.get(a, ()) or a in self.precedes.get(b, ())
 
     def _closure(self, name: str, pending: dict[str, None]) -> frozenset[str]:
-        """What `name` comes before; the closures of routes in `left` are not known yet."""
+        """All routes that `name` comes before; the closures of routes in `pending` are not up to date."""
         found: set[str] = set()
         todo = list(self._before.get(name, ()))
         while todo:
--- a/cloverkeel/fleet/routes/overlaps.py
+++ b/cloverkeel/fleet/routes/overlaps.py
@@ -1,7 +1,7 @@
-"""Routes of two teams that match the same requests: found through an index, never pairwise over all.
+"""Finds routes of different teams that match the same requests, without comparing all pairs.
 
-A route is held under its path for each (class, caller) that it names, and under `ALL` in place of either.
-Those whose path is a prefix of another's are looked up by its prefixes; those below a path through a tree.
+A route is stored under its path for each pair of class and caller that it names, and also with `ALL` in place
+of either. Routes at prefixes of a path are found by its prefixes, routes below it through a tree.
 """
 
 from __future__ import annotations
@@ -13,16 +13,18 @@
 from cloverkeel.fleet.routes.interface import RouteView
 from cloverkeel.fleet.routes.order import RouteOrder
 
-ANY, ALL, WIDE = "", "\x00all", "\x00wide"  # names are printable and not empty, so that these are none
-WIDE_MIN_PAIRS = 64  # pairs of class and caller: a route with more is held once, and judged at each look-up
-STEP_ROUTES = 200  # routes looked at in one step
-BucketKey = tuple[str, str, str]
+ANY, ALL, WIDE = "", "\x00all", "\x00wide"  # not valid names, which are printable and not empty
+WIDE_MIN_PAIRS = 64  # a route with more pairs of class and caller is stored once and checked at each look-up
+STEP_ROUTES = 200  # routes examined in one step
+BucketKey = tuple[str, str, str]  # class, caller, path
 
 
 @dataclass(slots=True, frozen=True)
 class MatchRule:
-    """Which requests a route matches, and whose it is. Empty sets: any. `paths`: its path's prefixes, with
-    itself last; the first is that of any path."""
+    """Which requests a route matches, and its owner. An empty set matches any.
+
+    `paths`: the prefixes of its path, from "", which matches any path, to the path itself.
+    """
 
     owner: str
     classes: frozenset[str]
@@ -31,7 +33,7 @@
     paths: tuple[str, ...]
 
     def may_overlap(self, other: MatchRule) -> bool:
-        """Whether they are of two teams and both match some request, but for what their paths say."""
+        """Whether both could match the same request, paths aside, and have different owners."""
         return (
             self.owner != other.owner
             and not (self.classes and other.classes and self.classes.isdisjoint(other.classes))
@@ -41,6 +43,7 @@
 
 
 def match_rule(view: RouteView) -> MatchRule:
+    """The rule by which a route matches requests."""
     values = view.values
     paths = [""]
     for segment in values.get("path", "").split("/")[1:]:
@@ -51,19 +54,20 @@
 
 @dataclass(slots=True)
 class _Node:
-    count: int = 0  # routes here and below
+    """A path in the tree of routes."""
+
+    count: int = 0  # routes at this path and below
     names: dict[str, None] = field(default_factory=dict)
     children: dict[str, _Node] = field(default_factory=dict)  # by path
 
 
 class Overlaps:
-    """`pairs`: each route to those that it overlaps with no order between them."""
+    """`pairs`: by route, the routes that it overlaps without an order between them."""
 
     def __init__(self, order: RouteOrder) -> None:
         self.pairs: dict[str, set[str]] = {}
-        self.changed: dict[
-            tuple[str, str], None
-        ] = {}  # pairs that came or went, until the caller clears this
+        # Pairs that were added or removed since the caller cleared this.
+        self.changed: dict[tuple[str, str], None] = {}
         self._order = order
         self._rules: dict[str, MatchRule] = {}
         self._buckets: dict[BucketKey, dict[str, None]] = {}
@@ -71,7 +75,7 @@
         self._dirty: dict[str, None] = {}
 
     def put(self, name: str, rule: MatchRule | None) -> None:
-        """None: there is no such route."""
+        """Set the match rule of a route. None: the route does not exist."""
         old = self._rules.get(name)
         if old == rule:
             return
@@ -90,11 +94,11 @@
             self._rules[name] = rule
 
     def invalidate(self, names: dict[str, None]) -> None:
-        """Their order to others may be another."""
+        """Check these routes again: their order relative to others may have changed."""
         self._dirty.update(names)
 
     def settle(self) -> Iterator[None]:
-        """Steps. Left off, it goes on with the next call."""
+        """Update in steps. If it is not run to its end, the next call continues."""
         cost = 0
         for index, name in enumerate(list(self._dirty)):
             cost += self._count_below(self._rules[name]) if name in self._rules else 0
@@ -116,7 +120,8 @@
             yield
 
     def _find_all(self) -> Iterator[None]:
-        """All pairs, each found from the longer path; cheaper than a look below each of many short ones."""
+        """Find all pairs, each from its longer path: cheaper than searching below each of many short
+        paths."""
         pairs: dict[str, set[str]] = {}
         examined = 0
         for name, rule in self._rules.items():
@@ -162,7 +167,7 @@
             todo += node.children.values()
 
     def _at_prefixes(self, rule: MatchRule) -> Iterator[str]:
-        """Those that may match the same class and caller, by a path that is a prefix of this, or this."""
+        """Routes at this path or a prefix of it that may match the same class and caller."""
         pairs = _lookup_pairs(rule)
         for path in rule.paths:
             for klass, caller in pairs:
--- a/cloverkeel/fleet/routes/owners.py
+++ b/cloverkeel/fleet/routes/owners.py
@@ -1,8 +1,9 @@
-"""Which changes of a route count: those of its owner as they had seen it, and those that an owner accepted.
+"""Which changes of a route take effect: those by its owner, and those that an owner accepted.
 
-The first change of a route names its owner; where it names none it is its team. Each change is judged by what
-its own context covers, so that the outcome is the same whatever came first. Which deletes have effect is
-judged here too, since a route made anew after a delete may have another owner.
+The first change of a route names its owner; by default it is the change's team. Whether a change is by the
+owner is decided by what its own context covers, so that the result does not depend on the order of arrival.
+Which deletes take effect is decided here too, since a route that is created again after a delete may have
+another owner.
 """
 
 from __future__ import annotations
@@ -20,31 +21,34 @@
 
 @dataclass(slots=True)
 class Classification:
-    """Of one route, in rising order. `first`: the owner that a change gave by being the first."""
+    """The changes of one route by their effect, in causal order.
+
+    `counted`: take effect; `pending`: wait for an owner's acceptance. `initial_owners`: the owner that a
+    change sets without naming one, because it creates the route.
+    """
 
     counted: list[RouteChange] = field(default_factory=list)
     pending: list[RouteChange] = field(default_factory=list)
-    accepts: list[RouteChange] = field(default_factory=list)  # those by an owner
+    accepts: list[RouteChange] = field(default_factory=list)  # acceptances by an owner
     initial_owners: dict[Dot, str] = field(default_factory=dict)
-    deletes: list[RouteChange] = field(default_factory=list)  # in effect
-    disputes: list[tuple[RouteChange, list[RouteChange]]] = field(
-        default_factory=list
-    )  # deletes, the writes concurrent
+    deletes: list[RouteChange] = field(default_factory=list)  # that take effect
+    # Deletes without effect, each with the writes concurrent to it.
+    disputes: list[tuple[RouteChange, list[RouteChange]]] = field(default_factory=list)
 
     def is_deleted(self, dot: Dot) -> bool:
-        """Whether a delete took away what this change wrote."""
+        """Whether an effective delete has removed what this change wrote."""
         return any(delete.context.covers(dot) for delete in self.deletes)
 
 
 def classify(ordered: Sequence[RouteChange]) -> Classification:
-    """`rising`: all that touch the route, by `registers.order`."""
+    """Classify the changes of a route, which are sorted by `registers.causal_key`."""
     if len(ordered) == 1 and ordered[0].fields and DELETED not in ordered[0].fields:
         return _classify_single(ordered[0])
     return _Classifier(ordered).result
 
 
 def _classify_single(change: RouteChange) -> Classification:
-    """What `_Judge` finds where there is one change, and no delete in it."""
+    """The result of `_Classifier` for a single change without a delete, faster."""
     if _named_owner(change) not in (None, change.team):
         return Classification(pending=[change])
     return Classification(
@@ -53,18 +57,21 @@
 
 
 def writes_route(change: RouteChange) -> bool:
-    """Whether it says more than that the route is to be gone."""
+    """Whether the change does more than delete the route."""
     return any(name != DELETED or value is not True for name, value in change.fields.items())
 
 
 def writes_fields(change: RouteChange) -> bool:
+    """Whether the change writes a field of the route."""
     return any(name != DELETED for name in change.fields)
 
 
 class _Classifier:
+    """Classifies the changes of one route, in causal order; `result` is complete after the constructor."""
+
     def __init__(self, ordered: Sequence[RouteChange]) -> None:
         self._by_dot = {change.dot: change for change in ordered}
-        self._accepted: dict[Dot, list[RouteChange]] = {}  # by an owner
+        self._accepted: dict[Dot, list[RouteChange]] = {}  # by dot: the owners' acceptances of that change
         self._by_owner: set[Dot] = set()
         self._owner_writes: list[RouteChange] = []
         self._deletes: list[RouteChange] = []
@@ -92,7 +99,7 @@
         deletes = change.fields.get(DELETED) is True
         if own:
             self._by_owner.add(change.dot)
-        # The first of a route, or one that deletes it and makes it anew.
+        # A change that creates the route, or deletes it and creates it again.
         first = deletes or (own and not owners)
         if first and OWNER not in change.fields and len(change.fields) > (DELETED in change.fields):
             named = self.result.initial_owners[change.dot] = change.team
@@ -123,12 +130,12 @@
         ]
 
     def _owners_at(self, context: Context) -> set[str]:
-        """The values of the newest owner writes as who had seen `at` knows them."""
+        """The owners of the route as known in this context: more than one if owner writes are concurrent."""
         writers = self._effective_at(self._owner_writes, context)
         if writers and self._deletes:
             deletes, _ = self._effective_deletes(context)
             writers = _not_deleted(writers, deletes)
-            if not writers:  # those who wrote after a delete that was to be accepted yet
+            if not writers:  # teams that wrote after a delete that was not accepted yet
                 remaining = _not_deleted(self._effective_at(self._writers, context), deletes)
                 return {change.team for change in remaining if writes_fields(change)}
         if not writers:
@@ -143,7 +150,8 @@
     def _effective_deletes(
         self, context: Context | None
     ) -> tuple[list[RouteChange], list[tuple[RouteChange, list[RouteChange]]]]:
-        """The deletes that count and have effect, and those that have none for the writes beside them."""
+        """The deletes that take effect, and those that do not because of concurrent writes, with these
+        writes."""
         effect: list[RouteChange] = []
         disputes: list[tuple[RouteChange, list[RouteChange]]] = []
         if not self._deletes:
@@ -169,7 +177,7 @@
 
 
 def _named_owner(change: RouteChange) -> str | None:
-    """The owner that a change names; a value that is no name does not hand a route over."""
+    """The owner that a change names, or None; an invalid name does not transfer the route."""
     if (value := change.fields.get(OWNER)) is None:
         return None
     return None if canonical_or_fault(OWNER, value)[1] else str(value)
--- a/cloverkeel/fleet/routes/part.py
+++ b/cloverkeel/fleet/routes/part.py
@@ -1,4 +1,4 @@
-"""Routes beside one gateway: the merge over the ledger, and what operators may call of it. docs/routes.md."""
+"""The routes of one gateway: starts the merge and handles operators' calls. docs/routes.md."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
     from cloverkeel.gateway import Gateway
     from cloverkeel.transforms.activation.parts import TransformParts
 
-FIRST_PLAN_WAIT_S = 1.0
+FIRST_PLAN_WAIT_S = 1.0  # longest wait for the first plan at the start
 TOML_CONTENT_TYPE = (b"Content-Type", b"application/toml")
-PIECES_PER_TURN = 64  # of an answer, between turns of the loop
+PIECES_PER_TURN = 64  # pieces of an answer encoded between turns of the event loop
 ChangeContent = tuple[str, tuple[Edit, ...], tuple[Accept, ...], Context]  # team, edits, acceptances, context
 
 
 class RoutesPart:
-    """`start` after the ledger's part has; `close` before it closes."""
+    """Start it after the ledger's part, and close it before."""
 
     def __init__(
         self,
@@ -56,20 +56,24 @@
         self.environment_source = GatewayEnvironment(gateway, settings.room, transforms)
         self.routes: RoutesService | None = None
         self.start_task: asyncio.Task[None] | None = None
-        self.first_plan_task: asyncio.Task[None] | None = None  # of the tasks, that which has the first plan
+        self.first_plan_task: asyncio.Task[None] | None = None  # the task that provides the first plan
 
     async def start(self, take_over: bool) -> None:
-        """Takes part once the ledger does. The first plan is waited for up to FIRST_S, so that the first
-        clients find it: in an upgrade (`take_over`), where the process before holds the ledger until it ends,
-        the plan of what its file has now."""
+        """Start merging once the ledger has started.
+
+        Waits up to FIRST_PLAN_WAIT_S for the first plan, so that it applies to the first clients. In an
+        upgrade (`take_over`) the predecessor holds the ledger until it ends, so the first plan is read from
+        its file.
+        """
         loop = asyncio.get_running_loop()
         self.start_task = loop.create_task(self._start_merging())
         self.first_plan_task = loop.create_task(self._preload_plan()) if take_over else self.start_task
         await asyncio.wait([self.first_plan_task], timeout=FIRST_PLAN_WAIT_S)
 
     async def _preload_plan(self) -> None:
+        """Serve the plan in the predecessor's ledger file, unless this process has merged one already."""
         held = await asyncio.to_thread(read_payloads, self.ledger.keeper.directory, KIND)
-        # What is published is in the ledger, too: nothing is judged by it meanwhile.
+        # Published transforms are in the ledger as well: until it starts, they are not checked.
         environment = await GatewayEnvironment(self.gateway, self.settings.room).poll_changed()
         merge = Merge(environment or Environment())
         await run_in_slices(preload(merge, held))
@@ -83,6 +87,7 @@
         await self.routes.merge_done.wait()
 
     def close(self) -> None:
+        """Stop merging."""
         for task in (self.start_task, self.first_plan_task):
             if task is not None:
                 task.cancel()
@@ -90,11 +95,12 @@
             self.routes.close()
 
     def counters(self) -> dict[str, int]:
-        """For telemetry."""
+        """Counters for telemetry, by name."""
         counts = self.routes.counts if self.routes is not None else {}
         return {f"routes_{name}_total": number for name, number in counts.items()}
 
     def gauges(self) -> dict[str, int]:
+        """Gauges for telemetry, by name; none before the first merge."""
         routes = self.routes
         if routes is None or routes.view is None:
             return {}
@@ -108,17 +114,17 @@
             "routes_slice_most_us": routes.longest_slice_us,
         }
 
-    # Operators' calls.
+    # Calls by operators.
 
     async def show(self, query: bytes) -> Answer:
-        """The plan as JSON: all of it, of one `team`, or (`form=brief`) without its routes. With `form=toml`
-        a team's file."""
+        """The plan as JSON: all of it, that of one `team`, or without its routes (`form=brief`). With
+        `form=toml`: a team's file."""
         if (routes := self.routes) is None or (view := routes.view) is None:
             return LEDGER_NOT_STARTED
         try:
             team, form = query_value(query, "team", "*"), query_value(query, "form", "json")
             if form not in ("json", "brief", "toml") or (form == "toml" and team == "*"):
-                raise ValueError("form is json, brief, or toml with a team")
+                raise ValueError("form must be json, brief, or toml with a team")
         except ValueError as error:
             return error_answer(400, error)
         if form == "toml":
@@ -133,7 +139,7 @@
         return Answer(200, b"".join(made), JSON_CONTENT_TYPE)
 
     async def apply(self, query: bytes, body: bytes) -> Answer:
-        """A team's TOML in the body; `wait` in the query."""
+        """Commit the edits in a team's file. Body: the file; query: `wait`."""
         if (routes := self.routes) is None:
             return LEDGER_NOT_STARTED
 
@@ -147,8 +153,8 @@
         return await self._commit(query, make)
 
     async def resolve(self, query: bytes, body: bytes) -> Answer:
-        """`id`, `team`, `way` (take, value, delete, keep), `take` and `wait` in the query; a value as TOML in
-        the body."""
+        """Resolve a conflict. Query: `id`, `team`, `way` (take, value, delete, keep), `take` and `wait`;
+        body: the value, as TOML."""
 
         async def make(view: View) -> tuple[ChangeContent, None]:
             id, team, take = (
@@ -158,9 +164,9 @@
             )
             way = query_value(query, "way")
             if way not in ("take", "value", "delete", "keep"):
-                raise ValueError("way is take, value, delete or keep")
+                raise ValueError("way must be take, value, delete or keep")
             if not take.isascii() or not take.isdigit() or len(take) > 9:
-                raise ValueError("take is the number of a side")
+                raise ValueError("take must be the number of a side")
             found = next((conflict for conflict in view.conflicts if conflict.id == id), None)
             if found is None:
                 raise ValueError(f"there is no conflict {id:.40}")
@@ -171,7 +177,7 @@
         return await self._commit(query, make)
 
     async def accept(self, query: bytes, body: bytes) -> Answer:
-        """`change`, `route`, `team` and `wait` in the query."""
+        """Accept another team's edits of a route. Query: `change`, `route`, `team` and `wait`."""
 
         async def make(view: View) -> tuple[ChangeContent, None]:
             dot, route, team = (
@@ -181,7 +187,7 @@
             )
             found = next((each for each in view.waiting if (each.dot, each.route) == (dot, route)), None)
             if found is None:
-                raise ValueError(f"no edit of {route:.140} by {key_of(dot):.160} waits")
+                raise ValueError(f"no edit of {route:.140} by {key_of(dot):.160} is waiting")
             if team not in found.owner.split(", "):
                 raise ValueError(f"{route:.140} is owned by {found.owner}: {team:.140} cannot accept for it")
             return (team, (), (Accept(route, dot),), view.context), None
@@ -189,7 +195,7 @@
         return await self._commit(query, make)
 
     def _check(self, view: View, edits: tuple[Edit, ...]) -> None:
-        """Raises ValueError."""
+        """Raises ValueError with a line for each fault of the edits."""
         environment = self.routes.environment if self.routes is not None else None
         if found := edit_faults(
             view, edits, self.gateway.listed_hosts.values(), environment or Environment()
@@ -197,7 +203,10 @@
             raise ValueError("\n".join(found[: files.FAULTS_MAX]))
 
     async def _commit(self, query: bytes, make: Callable[[View], Any]) -> Answer:
-        """Write what `make` makes of the view. Bad input is answered with 400 and nothing is written."""
+        """Write the change that `make` returns for the current view.
+
+        Invalid input is answered with 400, a refused write with 503; nothing is written then.
+        """
         routes = self.routes
         if routes is None or (view := routes.view) is None:
             return LEDGER_NOT_STARTED
--- a/cloverkeel/fleet/routes/registers.py
+++ b/cloverkeel/fleet/routes/registers.py
@@ -1,8 +1,9 @@
-"""Multi-value registers over the dots of changes: which writes of a field are live, and the value agreed on.
+"""Multi-value registers: which writes of a field are live, and which value stands while they conflict.
 
-A write is superseded by one whose context covers its dot. Contexts are transitive (a reader's covers what
-its sources had seen), so that a write that had seen another weighs more than it: one pass from the heaviest
-finds the live ones, and depends on neither the order of arrival nor a gap.
+A write is superseded by a write whose context covers its dot. Contexts are transitive (a reader's context
+covers what its sources had seen), so that a write has seen more dots than any write that it has seen.
+Therefore one pass from the write that has seen the most finds the live ones, whatever the order of arrival
+and despite gaps.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 class RouteChange(msgspec.Struct, frozen=True, eq=False):
-    """What one change says of one route. `weight`: how many dots its context covers."""
+    """What one change says of one route. `seen_count`: the number of dots that its context covers."""
 
     dot: Dot
     context: Context
@@ -28,7 +29,7 @@
 
 
 class Write(msgspec.Struct, frozen=True, eq=False):
-    """One value of a field, by one change."""
+    """One value written to a field by one change."""
 
     dot: Dot
     context: Context
@@ -37,11 +38,12 @@
 
 
 def causal_key(change: RouteChange) -> tuple[int, Dot]:
-    """Causes come before effects; ties are the same everywhere."""
+    """Sort key by which a change comes after all that it has seen; ties are broken alike at all gateways."""
     return change.seen_count, change.dot
 
 
 def count_dots(context: Context) -> int:
+    """The number of dots that a context covers."""
     return sum(
         runs[1] - runs[0] + 1 if len(runs) == 2 else sum(runs[1::2]) - sum(runs[::2]) + len(runs) // 2
         for runs in context.runs.values()
@@ -52,7 +54,8 @@
 
 
 def newest(ordered: Sequence[HasContext]) -> list[HasContext]:
-    """Those, of some in rising order, that no other had seen; the one that had seen the most first."""
+    """The items that no other has seen, of items in causal order; the one that has seen the most comes
+    first."""
     if len(ordered) == 1:
         return [ordered[0]]
     live: list[HasContext] = []
@@ -63,13 +66,16 @@
 
 
 def values_equal(field: str, writes: Iterable[Write]) -> bool:
-    """Whether all have one value."""
+    """Whether all writes have the same canonical value."""
     return len({canonical_bytes(canonical_or_fault(field, write.value)[0]) for write in writes}) < 2
 
 
 def agreed_write(field: str, ordered: Sequence[Write], live: Sequence[Write]) -> Write | None:
-    """The newest write that all `live` ones had seen; where several stand side by side with different
-    values, the newest that all of those had seen, and so on. None: there is none."""
+    """The newest write that all `live` writes have seen, or None.
+
+    Where several such writes are concurrent and differ, the newest write that all of these have seen, and so
+    on.
+    """
     while True:
         ordered = [write for write in ordered if all(each.context.covers(write.dot) for each in live)]
         if not ordered:
@@ -80,17 +86,20 @@
 
 
 class SeenDots:
-    """Every dot taken in so far, kept in place: a change costs what its own context costs."""
+    """All dots merged so far. Updated in place, so that adding a change costs no more than its own
+    context."""
 
     def __init__(self) -> None:
         self._runs: dict[Actor, Runs] = {}
 
     def add(self, dot: Dot, context: Context) -> None:
+        """Add a change's dot and all that its context covers."""
         for actor, theirs in context.runs.items():
             self._join(actor, theirs)
         self._join(dot.actor, (dot.counter, dot.counter))
 
     def context(self) -> Context:
+        """A copy of the dots as a context."""
         return Context(dict(self._runs))
 
     def _join(self, actor: Actor, theirs: Runs) -> None:
--- a/cloverkeel/fleet/routes/resolution.py
+++ b/cloverkeel/fleet/routes/resolution.py
@@ -1,4 +1,4 @@
-"""What a team's word on a conflict writes, and which edits are refused before they are written. Pure."""
+"""The edits that resolve a conflict, and the checks on edits before they are written. Pure."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Resolution(NamedTuple):
-    """One of `routes resolve`'s ways. `take`: the number, from 1, of a side as `show` lists them."""
+    """How `routes resolve` ends a conflict. `take`: the number of a side, from 1, as `show` lists them."""
 
     way: str  # take, value, delete or keep
     take: int = 0
@@ -27,19 +27,23 @@
 
 
 def parse_change_name(text: str) -> Dot:
-    """A change's name, as shown: member/incarnation/number, the middle one in hex. Raises ValueError."""
+    """The dot of a change by its name, member/incarnation/number; the incarnation is in hex. Raises
+    ValueError."""
     try:
         member, incarnation, counter = text.rsplit("/", 2)
         dot = Dot(member, int(incarnation, 16), int(counter))
     except ValueError:
-        raise ValueError(f"{text!r:.80} names no change: member/incarnation/number, as shown") from None
+        raise ValueError(
+            f"{text!r:.80} is not the name of a change: member/incarnation/number, as in show"
+        ) from None
     if not 0 < len(member) <= MEMBER_MAX or dot.incarnation < 1 or dot.counter < 1:
-        raise ValueError(f"{text!r:.80} names no change")
+        raise ValueError(f"{text!r:.80} is not the name of a change: a part is out of range")
     return dot
 
 
 def side_labels(conflict: Conflict) -> list[str]:
-    """What `take` chooses among, a line each; none where a conflict is resolved otherwise."""
+    """The sides that `take` chooses from, a line each; empty if the conflict has to be resolved in another
+    way."""
     if conflict.kind == "overlap":
         first, second = conflict.routes
         return [f"{first} before {second}", f"{second} before {first}"]
@@ -47,13 +51,13 @@
 
 
 def resolution_edits(conflict: Conflict, resolution: Resolution, view: View) -> tuple[Edit, ...]:
-    """The edits that resolve it, once written under the view's context. Raises ValueError."""
+    """The edits that resolve a conflict when they are written with the view's context. Raises ValueError."""
     route = conflict.routes[0]
     if resolution.way == "take":
         return (_edit_for_side(conflict, resolution.take, view),)
     if resolution.way == "value":
         if conflict.kind not in ("field", "shares", "unknown", "chain", "bad-value") or not conflict.field:
-            raise ValueError(f"a {conflict.kind} conflict has no one value: apply a file that ends it")
+            raise ValueError(f"a {conflict.kind} conflict has no single value: apply a file that resolves it")
         return (Edit(route, conflict.field, _parse_value(conflict.field, resolution.value)),)
     if len(conflict.routes) > 1:
         raise ValueError(f"{resolution.way} is for a conflict of one route, not of {len(conflict.routes)}")
@@ -92,8 +96,11 @@
 def edit_faults(
     view: View, edits: Iterable[Edit], rows: Iterable[Mapping[str, Any]], environment: Environment
 ) -> list[str]:
-    """What is wrong with these edits whatever others write, a line each: values that would block their route
-    by themselves, and a route that leaves a class without hosts. `rows`: hosts as discovery gave them."""
+    """Faults of these edits that do not depend on other teams, a line each.
+
+    These are values that are a blocking conflict by themselves, and routes that leave a class without hosts.
+    `rows`: hosts as listed by discovery.
+    """
     edits = list(edits)
     edited_fields = {(edit.route, edit.field) for edit in edits}
     found = []
@@ -108,7 +115,7 @@
 
 
 def _values_after(view: View, edits: Iterable[Edit]) -> dict[str, dict[str, Any]]:
-    """The values of the routes that are edited, as the plan in service would have them."""
+    """The values of the edited routes, if the edits were applied to the plan in service."""
     routes: dict[str, dict[str, Any]] = {}
     for edit in edits:
         current = view.routes.get(edit.route)
@@ -119,7 +126,8 @@
 
 
 def _without_hosts(routes: Mapping[str, Mapping[str, Any]], rows: list[Mapping[str, Any]]) -> list[str]:
-    """Routes that all requests of a class take and that name no listed host; none with no list."""
+    """A fault for each route that matches all requests of a class but no listed host; none if no hosts are
+    listed."""
     found = []
     for name, values in routes.items():
         targets = values.get("targets")
--- a/cloverkeel/fleet/routes/route_merge.py
+++ b/cloverkeel/fleet/routes/route_merge.py
@@ -1,4 +1,4 @@
-"""One route as merged: a pure function of the changes that touch it, and of the world."""
+"""Merges one route: a pure function of the changes that touch it, and the environment."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 @dataclass(slots=True, frozen=True)
 class MergedRoute:
-    """`view`: None where the route is deleted, has no owner agreed on, or a value that it cannot have.
-    `hash`: 0 then."""
+    """The result for one route. `view`: None if the route is deleted, has no agreed owner or has an invalid
+    value; `hash` is then 0."""
 
     view: RouteView | None = None
     hash: int = 0
@@ -30,14 +30,14 @@
 
 
 def merge_route(name: str, ordered: Sequence[RouteChange], environment: Environment) -> MergedRoute:
-    """`rising`: all changes that touch the route, by `registers.order`."""
+    """Merge the changes that touch the route, which are sorted by `registers.causal_key`."""
     classification = classify(ordered)
     registers = field_writes(classification)
     found: list[Conflict] = []
     values: dict[str, Any] = {}
     others: dict[str, Any] = {}
     decided: dict[str, Decision] = {}
-    deciding: dict[Dot, Decision] = {}  # one for each change, not for each field
+    deciding: dict[Dot, Decision] = {}  # shared by all fields that a change decided
     owners: list[str] = []
     in_plan = any(field != DELETED for field in registers)
     for field in sorted(registers):
@@ -54,7 +54,7 @@
             in_plan = in_plan and chosen is not None
         chosen = chosen or live[0]
         value, why = canonical_or_fault(field, chosen.value)
-        if why:  # the route is judged no further: without the value it would match what it was not meant to
+        if why:  # the route is left out: without this value it could match requests that it should not
             in_plan = False
             side = Choice(chosen.dot, chosen.team, value)
             found.append(
@@ -74,7 +74,7 @@
 
 
 def field_writes(classification: Classification) -> dict[str, list[Write]]:
-    """The writes of each field that count and that no delete took away, in rising order."""
+    """The effective writes of each field that no delete has removed, in causal order."""
     registers: dict[str, list[Write]] = {}
     for change in classification.counted:
         deleted = bool(classification.deletes) and classification.is_deleted(change.dot)
@@ -83,7 +83,7 @@
                 registers.setdefault(field, []).append(Write(change.dot, change.context, change.team, value))
         if not deleted and (owner := classification.initial_owners.get(change.dot)) is not None:
             registers.setdefault(OWNER, []).append(Write(change.dot, change.context, change.team, owner))
-    if OWNER not in registers:  # it went with a delete that was accepted after these were written
+    if OWNER not in registers:  # removed by a delete that was accepted after these changes were written
         for change in classification.counted:
             if writes_fields(change) and not classification.is_deleted(change.dot):
                 registers.setdefault(OWNER, []).append(
@@ -96,18 +96,18 @@
     sides = [Choice(write.dot, write.team, write.value) for write in live]
     teams = " and ".join(conflicts.side_text(side) for side in sorted(sides, key=lambda side: side.dot))
     if chosen is not None:
-        outcome = f"that of {chosen.team} ({conflicts.change_name(chosen.dot)}), which both had seen, stands"
+        outcome = f"that of {chosen.team} ({conflicts.change_name(chosen.dot)}), which both had seen, stays"
     elif field == OWNER:
-        outcome = "with none agreed on, the route is not in service"
+        outcome = "without an agreed owner, the route is not in service"
     else:
-        outcome = f"with none agreed on, that of {conflicts.side_text(sides[0])} stands"
+        outcome = f"without an agreed value, that of {conflicts.side_text(sides[0])} is used"
     return conflicts.make_conflict(
         "field", (name,), field, sides, f"{name}: {field} differs: {teams}; {outcome}"
     )
 
 
 def _delete_conflicts(name: str, classification: Classification, live: Sequence[Write]) -> list[Conflict]:
-    """The conflict of deletes that nobody has resolved yet with what was written beside them."""
+    """The conflict between live deletes and the writes concurrent to them; empty if there is none."""
     dots = {write.dot for write in live}
     disputes = [(delete, concurrent) for delete, concurrent in classification.disputes if delete.dot in dots]
     if not disputes:
@@ -123,13 +123,14 @@
         conflicts.side_text(sides[dot])
         for dot in {change.dot for _, concurrent in disputes for change in concurrent}
     )
-    why = f"{name}: deleted by {deleters} beside edits by {editors}; the route stands"
+    why = f"{name}: deleted by {deleters}, with concurrent edits by {editors}; the route stays"
     return [conflicts.make_conflict("delete", (name,), DELETED, sides.values(), why)]
 
 
 def _waiting_edits(
     name: str, classification: Classification, registers: Mapping[str, Sequence[Write]], owners: Sequence[str]
 ) -> list[WaitingEdits]:
+    """The edits of pending changes that no later write has superseded."""
     found: list[WaitingEdits] = []
     for change in classification.pending:
         fields = {
--- a/cloverkeel/fleet/routes/serving.py
+++ b/cloverkeel/fleet/routes/serving.py
@@ -1,4 +1,4 @@
-"""From the merged view to what a gateway serves by: the index that matches requests, the module's plan."""
+"""Applies merged views at a gateway: the index that matches requests, and the balancer's plan."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     from cloverkeel.gateway import Gateway
 
 FULL_SHARE = 100 * UNITS_PER_PERCENT
-INLINE_MAX = 32  # routes that are compiled in one turn: a millisecond's work; more are built aside, in slices
-SLICE_S = 0.001
-NO_ROUTE = 0  # the number that requests without a route name
+INLINE_MAX = 32  # routes that are compiled in one turn, which takes about 1 ms; more are built in slices
+SLICE_S = 0.001  # longest run of a build without a turn of the event loop
+NO_ROUTE = 0  # the route number of requests without a route
 
 
 def compile_hosts(target: dict[str, Any], names: Names) -> HostSelector:
-    """Hosts as the list will number them; names that the settings do not have are numbered all the same."""
+    """The selector of a target's hosts. Names that the settings do not have are numbered as in the list."""
     return HostSelector(
         frozenset(name_id(name, names.kinds) for name in target.get("types", ())),
         frozenset(number for name in target.get("groups", ()) for number in group_ids(name)),
@@ -36,7 +36,8 @@
 
 
 def compile_route(route: RouteView, names: Names) -> Route:
-    """What is left of 100 % goes to the hosts that no target names; a target without a share gets nothing."""
+    """The balancer's form of a route. The remainder to 100 % goes to hosts that no target names; a target
+    with share 0 gets nothing."""
     values = route.values
     shares = [(compile_hosts(target, names), share_units(target)) for target in values.get("targets") or ()]
     remainder = FULL_SHARE - sum(share for _, share in shares)
@@ -51,19 +52,24 @@
 
 
 class RouteTable:
-    """`take` each view of the merge, in order. A request sees the index and the module the plan of one view:
-    both change in one turn of the loop, where many routes differ some turns later."""
+    """The routes in service at one gateway; call `update` with each view of the merge, in order.
+
+    The index and the balancer's plan always belong to the same view: both change in one turn of the event
+    loop. If many routes changed, this happens some turns after `update`.
+    """
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
-        self.numbers: dict[str, int] = {}  # of each route's name, as long as the route lasts
+        self.numbers: dict[str, int] = {}  # by route name; kept as long as the route exists
         self.last_number = 0
         self.plan: dict[int, Route] = {}
         self.view: View | None = None  # in service
-        self.next_view: View | None = None  # to be in service once what is being built is
-        self.next_changed: frozenset[str] | None = frozenset()  # by views since the one that is being built
-        self.building: Iterator[None] | None = None
-        self.traffic_split: tuple[Target, ...] = ()  # what divides all requests, whatever their route
+        self.next_view: View | None = None  # newest view that arrived during a build
+        self.next_changed: frozenset[str] | None = (
+            frozenset()
+        )  # changed since the view being built; None: any
+        self.building: Iterator[None] | None = None  # the remaining steps of the build under way
+        self.traffic_split: tuple[Target, ...] = ()  # applies to all requests, whatever their route
         self._configure()
         self.index = Index(self.zone, self.numbers)
 
@@ -73,11 +79,11 @@
         self.zone: str = zones.get(self.gateway.settings.zone, "")
 
     def find(self, klass: bytes, caller: bytes, path: bytes) -> MatchedRoute | None:
-        """The route of a request; see Index.find."""
+        """The route of a request, or None; see Index.find."""
         return self.index.find(klass, caller, path)
 
     def update(self, view: View) -> None:
-        """Serve by this view, which follows the one taken before it."""
+        """Put this view in service; it must follow the last one."""
         if self.building is not None:
             self.next_view = view
             unknown = self.next_changed is None or view.changed_routes is None
@@ -90,7 +96,7 @@
             self._apply_inline(view, view.changed_routes)
 
     def reconfigure(self) -> None:
-        """The gateway goes by another configuration, and names may have other numbers: compile all anew."""
+        """Compile all routes again: with another configuration names may have other numbers."""
         self._configure()
         newest = self.next_view or self.view
         self.next_view, self.next_changed = None, frozenset()
@@ -100,17 +106,17 @@
             self.next_view, self.next_changed = newest, None
 
     def set_traffic_split(self, traffic_split: tuple[Target, ...]) -> None:
-        """Split the requests of each route, and those of none, over these; empty: no longer."""
+        """Split the requests of each route, and those without one, over these targets. Empty: no split."""
         self.traffic_split = traffic_split
         if self.next_view is not None or self.view is not None or self.building is not None:
             self.reconfigure()
         else:
             self._post_plan({})
 
-    # A few routes: in place
+    # Few changed routes: update in place.
 
     def _apply_inline(self, view: View, changed_names: frozenset[str]) -> None:
-        plan = self.plan.copy()  # the module holds the other, which must not change under it
+        plan = self.plan.copy()  # the balancer still uses the old one, which must not change
         self.index.set_precedence(view.precedes)
         for name in changed_names:
             route = view.routes.get(name)
@@ -129,7 +135,7 @@
         if route.name in index:
             plan[self.numbers[route.name]] = split_route(compile_route(route, self.names), self.traffic_split)
         else:
-            plan.pop(self.numbers[route.name], None)  # of other zones
+            plan.pop(self.numbers[route.name], None)  # the route is for other zones
 
     def _activate(self, view: View, index: Index, plan: dict[int, Route]) -> None:
         self.view, self.index = view, index
@@ -143,15 +149,15 @@
         event = Plan(plan)
         self.gateway.post(lambda: event)
 
-    # Many: aside, then at once
+    # Many changed routes: build in slices, then switch.
 
     def _start_build(self, view: View) -> None:
-        gc_pause.pause()  # a pass over all that is built holds up every request: 0.1 s at 10,000 routes
+        gc_pause.pause()  # a collection over the built objects stalls all requests: 0.1 s at 10,000 routes
         self.building = self._build(view)
         self._run_slice()
 
     def _run_slice(self) -> None:
-        """One slice; the loop goes round before the next."""
+        """Run one slice of the build, and schedule the next or, at its end, the newest waiting view."""
         if self.gateway.closed:
             self.building = None
             gc_pause.resume()
@@ -163,7 +169,7 @@
                     self.gateway.loop.call_soon(self._run_slice)
                     return
         except Exception:
-            self.building = None  # a later view is not held up by one that could not be compiled
+            self.building = None  # a later view can still be built
             gc_pause.resume()
             raise
         if self.building is not None:
@@ -177,6 +183,7 @@
             self._start_build(view)
 
     def _build(self, view: View) -> Iterator[None]:
+        """Build index and plan in steps, and put them in service."""
         index, plan = Index(self.zone, self.numbers), dict[int, Route]()
         index.set_precedence(view.precedes)
         for route in view.routes.values():
--- a/cloverkeel/fleet/routes/settings.py
+++ b/cloverkeel/fleet/routes/settings.py
@@ -1,4 +1,4 @@
-"""The configuration's `routes` object, checked strictly: an unknown key is refused by its name."""
+"""The configuration's `routes` object. Unknown keys are refused, with their name."""
 
 from __future__ import annotations
 
@@ -13,15 +13,17 @@
 
 
 class RoutesSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Equal at all gateways of the cluster; docs/routes.md. `room`: requests at once that all hosts of a type
-    hold together."""
+    """Must be the same at all gateways of the cluster; docs/routes.md.
 
-    size: Annotated[int, msgspec.Meta(ge=1, le=4096)]  # gateways that the fleet is made of
+    `room`: concurrent requests that all hosts of a type can serve together.
+    """
+
+    size: Annotated[int, msgspec.Meta(ge=1, le=4096)]  # number of gateways in the fleet
     room: Annotated[dict[HostType, Capacity], msgspec.Meta(max_length=4096)] = {}
 
 
 def parse_routes(raw: object) -> RoutesSettings:
-    """Raises ConfigError: one line that names the key."""
+    """The settings in the `routes` object. Raises ConfigError with one line that names the key."""
     try:
         return msgspec.convert(raw, RoutesSettings)
     except msgspec.ValidationError as error:
--- a/cloverkeel/fleet/routes/shell.py
+++ b/cloverkeel/fleet/routes/shell.py
@@ -1,6 +1,6 @@
-"""Routes in a gateway: the merge joined to the ledger, to what serves the plan, and to the log.
+"""Connects the merge of routes to the ledger, to the gateway's route table and to the log.
 
-The merge runs in slices of SLICE_S between turns of the loop, so that requests go on beside it.
+The merge runs in slices of SLICE_S between turns of the event loop, so that requests are served meanwhile.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 from cloverkeel.fleet.routes.conflict_log import ConflictLog
 from cloverkeel.http1 import log
 
-SLICE_S = 0.001
-POLL_S = 1.0  # between two looks at the world
-DROP_INTERVAL_S = 30.0  # between two looks at what may be dropped, and with no merge meanwhile none
-RETRY_S = 5.0  # after a merge that failed
-DROP_MIN, DROP_BATCH = 64, 256  # droppable changes that may stay; dropped at one look
-FREEZE_MIN_ROUTES = (
-    1_000  # routes that are new with one plan, from which on they are kept out of garbage collection
-)
-MERGE_WAIT_S = 2.0  # for a change written here to be merged
+SLICE_S = 0.001  # longest run of the merge without a turn of the event loop
+POLL_S = 1.0  # between checks for a changed environment
+DROP_INTERVAL_S = 30.0  # between deletions of superseded changes; none if there was no merge since the last
+RETRY_S = 5.0  # from a failed merge to the next
+# Superseded changes are deleted if there are more than DROP_MIN, at most DROP_BATCH at one time.
+DROP_MIN, DROP_BATCH = 64, 256
+# A merge that changes at least this many routes is followed by gc.freeze: its objects are long-lived.
+FREEZE_MIN_ROUTES = 1_000
+MERGE_WAIT_S = 2.0  # longest wait until a change written here has been merged
 
 
 class MergeCore(Protocol):
-    """The core (merge.py)."""
+    """The protocol core that merges changes (merge.py)."""
 
     @property
     def view(self) -> View: ...
@@ -55,71 +55,78 @@
 
 
 class EnvironmentSource(Protocol):
+    """Returns the environment when it may have changed, else None."""
+
     async def poll_changed(self) -> Environment | None: ...
 
 
 class RoutesService:
-    """`ledger` has started; `take` is handed each new view. `close` before the ledger closes."""
+    """Merges the ledger's changes and commits new ones.
+
+    `ledger` must have started; `on_view` is called with each new view to serve. Call `close` before the
+    ledger closes.
+    """
 
     def __init__(
         self,
         ledger: LedgerService,
-        environment_source: EnvironmentSource,
+        source: EnvironmentSource,
         make_merge: Callable[[], MergeCore],
         on_view: Callable[[View], None],
     ) -> None:
         self.ledger, self.environment_source, self.make_merge, self.serve = (
             ledger,
-            environment_source,
+            source,
             make_merge,
             on_view,
         )
         self.membership = ledger.membership
         self.loop = asyncio.get_running_loop()
         self.merge = make_merge()
-        self.view: View | None = None  # in service; None: not merged yet
-        self.ledger_settled = False  # the ledger has been, in this life
-        self.unserved = False  # `view` is not the one that is served, yet
-        self.last_number = 0  # of the last change written in this life
-        self.changes: dict[str, Change] = {}  # by the merge; by key in the ledger
-        self.dots_by_route: collections.defaultdict[str, set[Dot]] = collections.defaultdict(set)  # by route
+        self.view: View | None = None  # the last merged; None: not merged yet
+        self.ledger_settled = False  # whether the ledger has settled since this process started
+        self.unserved = False  # whether `view` is not served yet
+        self.last_number = 0  # counter of the last change that this process wrote
+        self.changes: dict[str, Change] = {}  # given to the merge, by ledger key
+        self.dots_by_route: collections.defaultdict[str, set[Dot]] = collections.defaultdict(set)
         self.pending_records: collections.deque[tuple[str, Siblings]] = collections.deque()
-        self.environment: Environment | None = None  # as last looked at, and as the merge has it
-        self.merge_environment: Environment | None = None
+        self.environment: Environment | None = None  # as last polled
+        self.merge_environment: Environment | None = None  # as the merge has it
         self.merge_wanted, self.merge_done = asyncio.Event(), asyncio.Event()
         self.conflict_log = ConflictLog(self.membership.name)
         self.counts: collections.Counter[str] = collections.Counter()
-        self.last_drop_s, self.last_drop_merges = (
-            self.loop.time(),
-            0,
-        )  # the last look at what may go, and its merge
-        self.merge_us = self.longest_slice_us = (
-            0  # of the processor: the last merge, and the longest slice ever
-        )
+        # Time of the last deletion of superseded changes, and the number of merges then.
+        self.last_drop_s, self.last_drop_merges = self.loop.time(), 0
+        self.merge_us = self.longest_slice_us = 0  # CPU time of the last merge; of the longest slice so far
         self.tasks: list[asyncio.Task[None]] = []
 
     def start(self) -> None:
-        self.ledger.on_key_changed(self._on_expose)
+        """Start merging, with all changes that the ledger has."""
+        self.ledger.on_key_changed(self._on_key_changed)
         self._read_all()
         self.tasks = [self.loop.create_task(self._merge_loop()), self.loop.create_task(self._poll_loop())]
 
     def close(self) -> None:
+        """Stop merging."""
         for task in self.tasks:
             task.cancel()
 
     def live_members(self) -> frozenset[str]:
-        """The members that are there, this one included."""
+        """The names of the live members, including this one."""
         names = {name for name, update in self.membership.view().items() if update.status in LIVE_STATUSES}
         return frozenset(names | {self.membership.name})
 
-    # Changes of this gateway's.
+    # Changes written by this gateway.
 
     async def commit(
         self, team: str, edits: tuple[Edit, ...], accepts: tuple[Accept, ...], context: Context,
         wait: Level, timeout_s: float,
     ) -> tuple[Change, WriteResult]:  # fmt: skip
-        """Write one change. Raises ValueError where it is none, WriteRefused where the ledger did not keep
-        it; a number that was refused is not used again."""
+        """Write one change and wait until it has been merged.
+
+        Raises ValueError if it is invalid, WriteRefused if the ledger did not store it; the counter of a
+        refused change is not used again.
+        """
         core = self.ledger.core
         assert core is not None, "the ledger has started"
         dot = Dot(self.membership.name, core.incarnation, self.last_number + 1)
@@ -135,9 +142,12 @@
         return change, result
 
     def commit_context(self, base: Context, edits: Iterable[Edit]) -> Context:
-        """What a change made from `base` may say that it has seen: all that is here, where that has nothing
-        of its routes that the base lacks. Else it would be beside the others' last changes, and a conflict
-        with them would take those out of service, too."""
+        """The context of a change that was made from `base`.
+
+        It is all that was merged here, unless that includes changes of the edited routes that the base has
+        not seen. With the base alone the change would be concurrent to unrelated changes since, and a
+        conflict with them would exclude those from service, too.
+        """
         if self.view is None:
             return base
         unseen = (
@@ -146,7 +156,7 @@
         return base if next(unseen, None) is not None else base.merge(self.view.context)
 
     async def _wait_until_merged(self, dot: Dot) -> None:
-        """Until the view has taken it in, so that its writer may be told what became of it."""
+        """Wait until the view includes the change, so that the outcome can be reported to its writer."""
         try:
             async with asyncio.timeout(MERGE_WAIT_S):
                 while self.view is None or not self.view.context.covers(dot):
@@ -155,9 +165,9 @@
         except TimeoutError:
             return
 
-    # Records in.
+    # Ledger records.
 
-    def _on_expose(self, changed: KeyChanged) -> None:
+    def _on_key_changed(self, changed: KeyChanged) -> None:
         if changed.kind == KIND:
             self.pending_records.append((changed.key, changed.records))
             self.merge_wanted.set()
@@ -176,7 +186,7 @@
                     self.dots_by_route[route].discard(dropped.dot)
             return
         if key in self.changes:
-            return  # a change is written once
+            return  # changes are immutable
         try:
             change = decode_record(key, payloads[0])
         except ValueError as error:
@@ -196,13 +206,13 @@
             self.merge_wanted.clear()
             if self.environment is None:
                 continue
-            gc_pause.pause()  # one over all that a merge makes takes 0.2 s at 10,000 routes
+            gc_pause.pause()  # a collection over the objects of a merge takes 0.2 s at 10,000 routes
             many_changed, reason = False, ""
             try:
                 many_changed = await self._settle()
             except Exception as error:
-                # One record that the merge cannot take must not end the plan that is in service.
-                log(f"the merge of routes failed\n{traceback.format_exc()}")
+                # The plan stays in service if the merge fails, for example on one record.
+                log(f"routes: merge failed; plan in service stays, merge restarts\n{traceback.format_exc()}")
                 reason = f"{type(error).__name__}: {error}"
             finally:
                 gc_pause.resume(freeze=many_changed)
@@ -220,7 +230,7 @@
         self._read_all()
 
     async def _settle(self) -> bool:
-        """Whether many routes came of it."""
+        """Run the merge and publish its view. Returns whether FREEZE_MIN_ROUTES or more routes changed."""
         spent_us, longest_us = await run_in_slices(self._merge_steps())
         self.merge_us, self.longest_slice_us = spent_us, max(self.longest_slice_us, longest_us)
         self.counts["merges"] += 1
@@ -249,18 +259,21 @@
         self.merge_done.set()
 
     def _serve(self, view: View, first: bool = False) -> None:
-        """What the disk had is served at once. What comes until the ledger is settled comes in any order, and
-        a change without the one that it rests on is half a plan: it is served once all is here."""
+        """Serve the view, or keep it back until the ledger has settled.
+
+        The first view, from disk, is served at once. Until the ledger has settled, changes arrive in any
+        order, and a change without one that it depends on would give an incomplete plan.
+        """
         core = self.ledger.core
         self.ledger_settled = self.ledger_settled or (core is not None and core.settling.settled)
         if not (first or self.ledger_settled):
             self.unserved = True
             return
-        # After some views were not served, any route may be another.
+        # If views were skipped, any route may have changed.
         self.serve(dataclasses.replace(view, changed_routes=None) if self.unserved else view)
         self.unserved = False
 
-    # The world, and what is superseded.
+    # Polling the environment, and deletion of superseded changes.
 
     async def _poll_loop(self) -> None:
         while True:
@@ -272,11 +285,11 @@
                 if self.unserved and self.view is not None:
                     self._serve(self.view)
             except Exception:
-                log(f"a look at what routes rest on failed\n{traceback.format_exc()}")
+                log(f"routes: poll of the environment failed; trying again\n{traceback.format_exc()}")
             await asyncio.sleep(POLL_S)
 
     async def _drop_superseded(self) -> None:
-        """Delete superseded changes, where this is the first live member and none is dead."""
+        """Delete superseded changes, if this is the first live member by name and no member is dead."""
         merges = self.counts["merges"]
         if self.loop.time() - self.last_drop_s < DROP_INTERVAL_S or merges == self.last_drop_merges:
             return
@@ -300,8 +313,10 @@
 
 
 async def run_in_slices(steps: Iterator[None]) -> tuple[int, int]:
-    """Play `steps` to their end, with a turn of the loop after each SLICE_S: the processor's microseconds,
-    all together and of the longest slice."""
+    """Run `steps` to their end, with a turn of the event loop after each SLICE_S.
+
+    Returns the CPU time in microseconds: in total, and of the longest slice.
+    """
     spent_s, longest_s, slice_start_s, slice_cpu_start_s = 0.0, 0.0, time.perf_counter(), time.thread_time()
     for _ in steps:
         if time.perf_counter() - slice_start_s >= SLICE_S:
@@ -314,17 +329,17 @@
 
 
 def decode_record(key: str, payload: bytes) -> Change:
-    """The change under a key of the ledger. Raises ValueError."""
+    """The change in a ledger record. Raises ValueError if it is invalid or belongs to another key."""
     change = decode(payload)
     if key_of(change.dot) != key:
-        raise ValueError("its dot is another key's")
+        raise ValueError("its dot does not match its ledger key")
     return change
 
 
 def preload(merge: MergeCore, records: Iterable[tuple[str, bytes]]) -> Iterator[None]:
-    """Steps by which `merge` has the view of what another process's ledger holds, key and payload."""
+    """Merge, in steps, the records (key and payload) that were read from another process's ledger."""
     for key, payload in records:
-        with contextlib.suppress(ValueError):  # the ledger's own process tells of it
+        with contextlib.suppress(ValueError):  # the process that owns the ledger reports it
             merge.add(decode_record(key, payload))
         yield
     yield from merge.settle()
--- a/cloverkeel/fleet/routes/status.py
+++ b/cloverkeel/fleet/routes/status.py
@@ -1,4 +1,4 @@
-"""What `routes show` says of a view, as JSON in pieces. Pure."""
+"""The JSON answers about a view, for `routes show` and for committed changes. Pure."""
 
 from __future__ import annotations
 
@@ -19,8 +19,11 @@
 def json_pieces(
     view: View, changes: Mapping[str, Change], member: str, team: str, brief: bool
 ) -> Iterator[bytes]:
-    """One JSON object: hash, member, count, conflicts, waiting, held back, and the routes unless `brief`.
-    `team`: of whom routes, conflicts and waiting edits are told, "*" of all; `changes`: by their names."""
+    """One JSON object in pieces: hash, member, count, held_back, conflicts, waiting, and routes unless
+    `brief`.
+
+    `team`: whose routes, conflicts and waiting edits are included; "*" for all. `changes`: by ledger key.
+    """
 
     def concerns(*teams: str) -> bool:
         return team == "*" or team in teams
@@ -42,7 +45,7 @@
 
 
 def _held_back(name: str, changes: Mapping[str, Change]) -> dict[str, Any]:
-    change = changes.get(name)  # None: deleted meanwhile
+    change = changes.get(name)  # None: deleted from the ledger meanwhile
     routes = sorted({edit.route for edit in change.edits}) if change is not None else []
     return {"change": name, "team": change.team if change is not None else "", "routes": routes}
 
@@ -82,8 +85,8 @@
 
 
 def change_outcome(dot: Dot, view: View) -> dict[str, Any]:
-    """Of a change: the plan that took it in, what holds it back, the conflicts it is in, the owners it waits
-    for. `merged` is false where the view does not know it yet."""
+    """The outcome of a change: the plan, whether it is held back, its conflicts, and the owners it waits for.
+    `merged` is false if the view does not include it yet."""
     return {
         "plan": view.hash,
         "merged": view.context.covers(dot),
@@ -96,7 +99,8 @@
 
 
 def file_notes(team: str, view: View) -> list[str]:
-    """Lines for the head of a team's file: what its reader has to know, for an edit of it follows them."""
+    """Comments for the top of a team's file: its conflicts and waiting edits, which an edit of the file
+    supersedes."""
     found = [
         f"conflict {each.id} ({each.kind}, {each.severity}): {each.why}"
         for each in view.conflicts
--- a/cloverkeel/fleet/routes/traffic_split.py
+++ b/cloverkeel/fleet/routes/traffic_split.py
@@ -1,4 +1,4 @@
-"""One division of all requests, laid over the targets of each route: pure."""
+"""Applies one split of all traffic, as of a rollout, to the targets of each route. Pure."""
 
 from __future__ import annotations
 
@@ -8,8 +8,11 @@
 
 
 def split_route(route: Route, over: tuple[Target, ...]) -> Route:
-    """The route with each of its targets split by `over`. A part in which no host is serves nothing: the
-    module uses the target with the greatest share in its place."""
+    """The route with each of its targets split by `over`.
+
+    A part that no host matches gets no requests; the balancer uses the target with the greatest share
+    instead.
+    """
     if not over:
         return route
     if not route.targets:
@@ -24,5 +27,5 @@
 
 
 def intersect(one: HostSelector, other: HostSelector) -> HostSelector:
-    """Hosts that are in both: of the one, and not of those that are not of the other."""
+    """The hosts that both selectors match: those of `one`, except those that `other` does not match."""
     return replace(one, none_of=(*one.none_of, HostSelector(none_of=(other,))))
--- a/tests/test_routes_process.py
+++ b/tests/test_routes_process.py
@@ -119,7 +119,7 @@
             file.write_text(file.read_text().replace(f'"{PATH}"', '"/fr"'))  # made from the plan before
             code, out, _ = await routes("apply", str(file), operator=one)
             assert code == 0 and "--take 1" in out
-            assert "otherwise: eu" in (await routes("apply", str(file), operator=one))[1]
+            assert "since changed for: eu" in (await routes("apply", str(file), operator=one))[1]
             both = [await shown(port, conflicts=1) for port in (one, other)]
             (conflict,) = both[0]["conflicts"]
             assert conflict == both[1]["conflicts"][0] and conflict["teams"] == ["pay"]
@@ -132,7 +132,9 @@
 
 
 BAD = {
-    'team = "pay"\n[route.a]\nclases = ["search"]': "route 'a': 'clases': no field; a route has classes,",
+    'team = "pay"\n[route.a]\nclases = ["search"]': (
+        "route 'a': 'clases': unknown field; a route has classes,"
+    ),
     'team = "pay"\n[route.a]\ntargets = [{group = ["3"]}]': "route 'a': 'targets': a target has types,",
     'team = "pay"\n[route.a]\nlimit = "7"': "route 'a': 'limit': a whole number from 1",
     'team = "pay"\n[route.a': "not TOML: Expected ']' at the end of a table declaration",
@@ -153,9 +155,9 @@
             assert errors.startswith(f"cloverkeel: 127.0.0.1:{one}: {line}"), errors
         for words, line in (
             (("resolve", "c0", "--keep", "--team", "pay"), "there is no conflict c0"),
-            (("accept", "g1/1/1", "--route", "a", "--team", "pay"), "no edit of a by g1/1/1 waits"),
-            (("accept", "g1", "--route", "a", "--team", "pay"), "'g1' names no change"),
-            (("show", "--toml"), "--toml makes one team's file: give --team"),
+            (("accept", "g1/1/1", "--route", "a", "--team", "pay"), "no edit of a by g1/1/1 is waiting"),
+            (("accept", "g1", "--route", "a", "--team", "pay"), "'g1' is not the name of a change"),
+            (("show", "--toml"), "--toml exports one team's file: give --team"),
         ):
             code, out, errors = await routes(*words, operator=one)
             assert (code, out) == (1, "") and errors.count("\n") == 1, errors
--- a/tests/test_routes_shell.py
+++ b/tests/test_routes_shell.py
@@ -227,7 +227,7 @@
             Resolution("delete"),
             "delete is for a conflict of one route",
         ),
-        (conflict("room", "a", "b", field="limit:m"), Resolution("value", value="1"), "has no one value"),
+        (conflict("room", "a", "b", field="limit:m"), Resolution("value", value="1"), "has no single value"),
         (conflict("cycle", "a", "b", field="before"), Resolution("take", 1), "has no sides"),
     ],
 )  # fmt: skip
@@ -244,7 +244,7 @@
     dot = Dot("a/b", 0xFEED, 12)
     assert parse_change_name(key_of(dot)) == dot
     for text in ("", "a", "a/1", "a/x/y/z", "/1/1", "a/0/1", "a/1/0", "a/1/-1"):
-        with pytest.raises(ValueError, match="names no change"):
+        with pytest.raises(ValueError, match="is not the name of a change"):
             parse_change_name(text)
 
 
