--- a/tests/routes_histories.py
+++ b/tests/routes_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of teams that commit changes of routes on gateways which hear of each other at times."""
+"""Random histories: teams commit changes of routes at gateways that exchange them at random times."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from cloverkeel.fleet.routes.interface import View, Environment
 from cloverkeel.fleet.routes.merge import Merge
 
-WORLD = Environment(
+ENVIRONMENT = Environment(
     classes=frozenset({"read", "write"}),
     types=frozenset({"m1", "m2"}),
     transforms={"t1": frozenset({"x-a"}), "t2": frozenset({"x-a", "x-b"}), "t3": frozenset({"x-c"})},
@@ -41,7 +41,8 @@
 
 @dataclass
 class History:
-    """`changes`, each committed under all that its gateway knew. `known`: by gateway, dots of changes."""
+    """`changes`: each committed with the context that its gateway had. `known`: by gateway, its changes by
+    dot."""
 
     changes: list[Change] = field(default_factory=list)
     known: list[dict[Dot, Change]] = field(default_factory=lambda: [{} for _ in range(GATEWAYS)])
@@ -65,9 +66,9 @@
 
 
 @st.composite
-def histories(draw: st.DrawFn, most: int = 12) -> History:
+def histories(draw: st.DrawFn, max_commits: int = 12) -> History:
     history = History()
-    for _ in range(draw(st.integers(1, most))):
+    for _ in range(draw(st.integers(1, max_commits))):
         gateway = draw(st.integers(0, GATEWAYS - 1))
         if draw(st.booleans()):
             history.hear(gateway, draw(st.integers(0, GATEWAYS - 1)))
@@ -94,5 +95,5 @@
 
 
 def plain(view: View) -> View:
-    """All of it that two gateways must have alike."""
+    """The view without the field that may differ between gateways."""
     return replace(view, changed_routes=None)
--- a/tests/test_routes_files.py
+++ b/tests/test_routes_files.py
@@ -1,4 +1,4 @@
-"""A team's file: its faults, what it changes, and that an export changes nothing."""
+"""A team's TOML file: reported faults, the edits in it, and exports without edits."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     return View("0" * 32, made, {}, (), (), (), SEEN)
 
 
-def test_an_export_changes_nothing_and_an_edit_of_it_is_that_edit_alone() -> None:
+def test_an_export_has_no_edits_and_an_edited_export_only_those_made() -> None:
     text = export("payments", view(pay=PAY, other=PAY | {"owner": "cards"}), ["conflict\x00 one", "two"])
     assert text.startswith("# conflict  one\n# two\nteam = ") and "other" not in text
     file = parse(text.encode())
@@ -94,7 +94,7 @@
         (b'team = "t"\n#' + b"x" * 256 * 1024, ["the file has 262156 bytes"]),
     ],
 )  # fmt: skip
-def test_each_fault_is_a_line_that_names_its_place(text: bytes, lines: list[str]) -> None:
+def test_each_fault_is_one_line_that_names_its_place(text: bytes, lines: list[str]) -> None:
     with pytest.raises(FileError) as found:
         parse(text)
     said = str(found.value).split("\n")
@@ -116,7 +116,7 @@
         packed(msgspec.msgpack.encode([Context({("m", 1): (3, 2)}), {}])),
     ],
 )
-def test_a_base_that_is_none_is_refused_in_a_line(base: str) -> None:
+def test_an_invalid_base_is_refused_with_one_line(base: str) -> None:
     with pytest.raises(FileError, match=r"^base: [^\n]+$"):
         parse(f'team = "t"\nbase = "{base}"'.encode())
 
@@ -133,7 +133,7 @@
 
 
 @given(routes)
-def test_whatever_a_plan_holds_its_export_is_a_file_that_changes_nothing(found: dict[str, Any]) -> None:
+def test_the_export_of_any_plan_has_no_edits(found: dict[str, Any]) -> None:
     named = {
         name: {key: value for key, value in fields.items() if key not in (DELETED, "owner")}
         for name, fields in found.items()
@@ -150,7 +150,7 @@
 
 
 @given(st.binary(max_size=200) | st.text(max_size=200).map(str.encode))
-def test_no_file_makes_another_error(data: bytes) -> None:
+def test_any_input_parses_or_raises_file_error(data: bytes) -> None:
     try:
         parse(data)
     except FileError as error:
--- a/tests/test_routes_found.py
+++ b/tests/test_routes_found.py
@@ -1,4 +1,4 @@
-"""What the storm of routes found: the cases as it came to them, by hand."""
+"""Regression tests for faults that the storm of routes found, as minimal histories."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def change(number: int, team: str, seen: tuple[Change, ...] = (), *accepts: Change, **fields: Any) -> Change:
-    """Of route r alone."""
+    """A change that only concerns route r."""
     context = Context()
     for each in seen:
         context = context.merge(each.context).add((each.dot,))
@@ -26,7 +26,7 @@
     )  # fmt: skip
 
 
-def test_a_dispute_whose_resolution_is_held_back_is_told() -> None:
+def test_a_conflict_whose_resolution_is_held_back_is_still_reported() -> None:
     red, blue = change(1, "red", owner="red", note="a"), change(2, "blue", owner="blue", path="/b")
     both = change(3, "red", (red, blue), owner="red", targets=OVER)
     view = merge_all([red, blue, both], Environment())
@@ -43,7 +43,7 @@
     assert [(w.dot, dict(w.fields)) for w in view.waiting] == [(blue.dot, {"note": "from blue"})]
 
 
-def test_edits_between_a_delete_and_its_acceptance_make_the_route_anew_as_their_team_s() -> None:
+def test_edits_between_a_delete_and_its_acceptance_create_the_route_again_for_their_team() -> None:
     red = change(1, "red", owner="red", path="/a")
     gone = change(2, "blue", (red,), **{DELETED: True})
     edit = change(3, "red", (red, gone), note="after")
@@ -54,22 +54,22 @@
     assert dict(view.routes["r"].values) == {"owner": "red", "note": "after", "limit": 3}
 
 
-def test_a_crowded_route_that_goes_to_another_owner_keeps_its_conflict() -> None:
+def test_a_route_over_capacity_that_goes_to_another_owner_keeps_its_conflict() -> None:
     world, targets = Environment(capacity={"m": 1}), [{"types": ["m"], "share": 100}]
     merge = Merge(world)
-    made = change(1, "red", owner="red", path="/r", limit=5, targets=targets)
+    first = change(1, "red", owner="red", path="/r", limit=5, targets=targets)
     other = replaced(change(2, "blue", owner="blue", path="/q", limit=5, targets=targets), "q")
     moved, gone = (
-        change(3, "red", (made,), owner="blue"),
+        change(3, "red", (first,), owner="blue"),
         replaced(change(4, "blue", (other,), limit=None), "q"),
     )
-    for together in ((made, other), (gone, moved)):
+    for together in ((first, other), (gone, moved)):
         for each in together:
             merge.add(each)
         for _ in merge.settle():
             pass
     (crowded,) = merge.view.conflicts
-    assert crowded.kind == "room" and crowded == merge_all([made, other, moved, gone], world).conflicts[0]
+    assert crowded.kind == "room" and crowded == merge_all([first, other, moved, gone], world).conflicts[0]
 
 
 def replaced(change: Change, route: str) -> Change:
--- a/tests/test_routes_index.py
+++ b/tests/test_routes_index.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, against a search of all; views to the index and the module's plan."""
+"""The route index against a linear search, and the step from views to index and balancer plan."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 
 
 def view(
-    *routes: RouteView, touched: set[str] | None = None, behind: Mapping[str, frozenset[str]] | None = None
+    *routes: RouteView, touched: set[str] | None = None, precedes: Mapping[str, frozenset[str]] | None = None
 ) -> View:
     by_name = {each.name: each for each in routes}
     named = frozenset(touched) if touched is not None else None
-    return View("", by_name, behind or {}, (), (), (), Context(), named)
+    return View("", by_name, precedes or {}, (), (), (), Context(), named)
 
 
 def filled(*routes: RouteView, zone: str = "z1") -> Index:
@@ -60,10 +60,11 @@
 )
 
 
-def slowly(
+def search_all(
     routes: list[RouteView], before: Mapping[str, frozenset[str]], klass: str, caller: str, path: str
 ) -> str | None:
-    """Of all routes that match, those that none of them comes before; of these the most specific."""
+    """The expected route, by linear search: the most specific of the matching routes that no other
+    precedes."""
     asked = path_segments(path.encode())
 
     def prefix(each: RouteView) -> list[bytes]:
@@ -93,21 +94,21 @@
     st.sampled_from(("k1", "k2", "k3")),
     st.sampled_from(("k1", "k2", "")),
 )
-def test_the_index_finds_what_a_search_of_all_finds(
-    drawn: list[Any], pairs: set[tuple[int, int]], gone: set[int], path: str, klass: str, caller: str
+def test_the_index_finds_the_same_route_as_a_linear_search(
+    drawn: list[Any], pairs: set[tuple[int, int]], removed: set[int], path: str, klass: str, caller: str
 ) -> None:
     routes = [
         route(f"r{n}", classes=c, callers=who, path=p, zones=z) for n, (c, who, p, z) in enumerate(drawn)
     ]
-    behind: dict[str, frozenset[str]] = {}
-    for first in range(7, -1, -1):  # by number alone: no cycles; what is behind the next is behind it too
+    precedes: dict[str, frozenset[str]] = {}
+    for first in range(7, -1, -1):  # only lower numbers precede higher ones, so no cycles; transitive
         nexts = [f"r{after}" for before, after in pairs if before == first < after]
-        behind[f"r{first}"] = frozenset(nexts).union(*(behind[name] for name in nexts))
-    index = filled(*routes, *routes)  # put twice
-    index.set_precedence(behind)
-    left = [each for n, each in enumerate(routes) if n not in gone]
-    expected = slowly(left, behind, klass, caller, path)
-    for number in gone:
+        precedes[f"r{first}"] = frozenset(nexts).union(*(precedes[name] for name in nexts))
+    index = filled(*routes, *routes)  # the second put replaces the first
+    index.set_precedence(precedes)
+    left = [each for n, each in enumerate(routes) if n not in removed]
+    expected = search_all(left, precedes, klass, caller, path)
+    for number in removed:
         index.remove(f"r{number}")
     assert name_of(index.find(klass.encode(), caller.encode(), path.encode())) == expected
     for each in left:
@@ -115,7 +116,7 @@
     assert not index._trees and not len(index)
 
 
-def test_a_prefix_is_of_whole_segments_and_the_longest_counts() -> None:
+def test_a_prefix_matches_whole_segments_and_the_longest_wins() -> None:
     index = filled(route("short", path="/pay"), route("long", path="/pay/eu/"), route("b", callers=["b"]))
     for path, name in (("/pay", "short"), ("/pay/eu", "long"), ("/pay/eu/9", "long"), ("/pay/euro", "short")):
         assert name_of(index.find(b"pay", b"a", path.encode())) == name
@@ -123,7 +124,7 @@
     assert name_of(index.find(b"pay", b"a", b"//pay//eu")) == "long" and index.find(b"x", b"", b"/x") is None
 
 
-def test_a_route_in_numbers_names_the_hosts_that_the_list_numbers() -> None:
+def test_a_compiled_route_selects_hosts_by_the_numbers_of_the_list() -> None:
     compiled = compile_route(
         route(
             "r",
@@ -148,7 +149,7 @@
     assert none_there == Route((Target(HostSelector(none_of=(third,))),))
 
 
-def test_labels_of_an_entry_are_texts() -> None:
+def test_labels_of_an_entry_are_strings() -> None:
     raw = {"name": "h", "address": "127.0.0.1:1", "status": "SERVING"}
     assert (
         parse_entry(raw, NAMES).listed_server.labels
@@ -160,7 +161,8 @@
 
 
 class Gateway(SimpleNamespace):
-    """As much of one as `Serving` uses; keeps the plans that were posted, and what the index said by then."""
+    """The parts of a gateway that `RouteTable` uses; records each posted plan and the index size at that
+    time."""
 
     def __init__(self) -> None:
         settings = SimpleNamespace(zone=0)
@@ -168,9 +170,9 @@
         super().__init__(names=NAMES, settings=settings, loop=loop, closed=False, plans=[], seen=[])
 
     def post(self, event: Any) -> None:
-        told: Event = event()
-        assert isinstance(told, Plan)
-        self.plans.append(told.routes)
+        plan: Event = event()
+        assert isinstance(plan, Plan)
+        self.plans.append(plan.routes)
         self.seen.append(len(self.serving.index))
 
 
@@ -181,20 +183,20 @@
 
 
 @on_loop
-async def test_views_follow_each_other_and_a_route_keeps_its_number() -> None:
+async def test_a_route_keeps_its_number_from_view_to_view() -> None:
     gateway, served = serving()
     first = view(route("a", classes=["pay"]), route("b", path="/b"), route("far", zones=["z2"]))
     served.update(first)
     a, b = served.find(b"pay", b"", b"/pay"), served.find(b"x", b"", b"/b")
     assert a is not None and b is not None and set(gateway.plans[-1]) == {a.number, b.number}
     other = route("a", classes=["pay"], attempts=1, transforms=[])
-    was = gateway.plans[-1]
+    before_plan = gateway.plans[-1]
     served.update(view(other, route("c", path="/c"), touched={"a", "b", "c"}))
     again, c = served.find(b"pay", b"", b"/pay"), served.find(b"x", b"", b"/c/d")
     assert again is not None and again.number == a.number and (a.chain, again.chain) == (None, ())
-    assert c is not None and c.number not in was and served.find(b"x", b"", b"/b") is None
+    assert c is not None and c.number not in before_plan and served.find(b"x", b"", b"/b") is None
     assert gateway.plans[-1] == {a.number: Route(max_attempts=1), c.number: Route()}
-    assert set(was) == {a.number, b.number}  # what the module held did not change under it
+    assert set(before_plan) == {a.number, b.number}  # the plan that the balancer held did not change
     gateway.settings.zone = 1
     served.reconfigure()
     assert set(served.numbers) == {"a", "c"} and gateway.plans[-1] == gateway.plans[-2]
@@ -203,13 +205,13 @@
 
 
 @on_loop
-async def test_many_routes_are_built_aside_and_come_into_service_at_once() -> None:
+async def test_many_changed_routes_are_built_in_slices_and_enter_service_together() -> None:
     gateway, served = serving()
     many = [route(f"r{n:04}", path=f"/p/{n}", targets=[{"groups": [str(n)]}]) for n in range(4_000)]
     served.update(view(*many))
     assert served.building is not None and served.find(b"x", b"", b"/p/7") is None and not gateway.plans
     more = [*many, route("new", path="/new")]
-    served.update(view(*more, touched={"new"}))  # while the first is being built
+    served.update(view(*more, touched={"new"}))  # arrives during the first build
     served.update(view(*more[1:], touched={"r0000"}))
     await until(lambda: len(gateway.plans) == 2)
     assert gateway.seen == [4_000, 4_000] and [len(plan) for plan in gateway.plans] == gateway.seen
@@ -226,6 +228,6 @@
     monkeypatch.setattr(lookups, "SIZES", (10, 100))
     monkeypatch.setattr(lookups, "ASKED", 50)
     assert main(["lookups", "--rounds", "2", "--json"]) == 0
-    told = json.loads(capsys.readouterr().out)
-    assert set(told["lookup_us"]) == {"10", "100"} and set(told["read_us"]) == {"off", "empty", "full"}
-    assert told["index_mb"] > 0 and told["serving_ms"]["build_turns"] >= 1
+    plan = json.loads(capsys.readouterr().out)
+    assert set(plan["lookup_us"]) == {"10", "100"} and set(plan["read_us"]) == {"off", "empty", "full"}
+    assert plan["index_mb"] > 0 and plan["serving_ms"]["build_turns"] >= 1
--- a/tests/test_routes_lab.py
+++ b/tests/test_routes_lab.py
@@ -1,5 +1,7 @@
-"""Routes on real gateways behind the lab's relay, with two clocks ten minutes off; the cases share one fleet,
-in order."""
+"""Routes on real gateways behind the lab's relay, with two clocks ten minutes off.
+
+The tests share one fleet and run in order.
+"""
 
 from __future__ import annotations
 
@@ -54,7 +56,8 @@
 
 
 async def parted(fleet: Routed, *edits: tuple[str, str, dict[str, Any], str]) -> dict[str, Any]:
-    """Each edit (at, team, routes, base) on its side of two; the status that all agree on after the heal."""
+    """Apply edits (gateway, team, routes, base) during a partition; returns the status all agree on
+    afterwards."""
     few, most = fleet.names[:1], fleet.names[1:]
     fleet.relay.cut(few, most)
     said = [await fleet.apply(at, team, routes, base, "local") for at, team, routes, base in edits]
@@ -64,7 +67,7 @@
     return await agreement(fleet, AGREED_S)
 
 
-def test_teams_that_commit_at_once_are_merged_alike(case: Case) -> None:
+def test_concurrent_commits_of_teams_merge_to_the_same_plan_everywhere(case: Case) -> None:
     async def steps(fleet: Routed) -> None:
         files = {f"team-{n}": {f"own-{n}": {"path": f"/transfer/{n}"}} for n in range(4)}
         said = await asyncio.gather(
@@ -89,7 +92,7 @@
     case(steps)
 
 
-def test_two_sides_edit_delete_and_overlap_and_resolve_after_the_heal(case: Case) -> None:
+def test_conflicts_from_both_sides_of_a_partition_are_resolved_after_it(case: Case) -> None:
     async def steps(fleet: Routed) -> None:
         base, routes = await fleet.export("m0", "team-1")
         other, theirs = await fleet.export("m3", "team-2")
@@ -117,7 +120,7 @@
     case(steps)
 
 
-def test_resolutions_that_race_with_an_edit_and_with_each_other_lose_none(case: Case) -> None:
+def test_no_edit_is_lost_by_concurrent_resolutions(case: Case) -> None:
     async def steps(fleet: Routed) -> None:
         base, routes = await fleet.export("m0", "team-0")
         mine, other = routes["own-0"] | {"note": "a"}, routes["own-0"] | {"note": "b"}
@@ -139,7 +142,7 @@
 
 
 def later(context: Context) -> Change:
-    """What a gateway of a version to come has written: a field that no other knows."""
+    """A change written by a later version, with a field that this version does not know."""
     edits = (Edit("own-3", "colour", {"shade": 3}), Edit("own-3", "attempts", 1))
     return Change(dot=Dot("m3", 77, 1), context=context, team="team-3", edits=edits, version=9)
 
--- a/tests/test_routes_merge.py
+++ b/tests/test_routes_merge.py
@@ -7,7 +7,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from tests.routes_histories import WORLD, History, histories, plain, play
+from tests.routes_histories import ENVIRONMENT, History, histories, plain, play
 
 from cloverkeel.fleet.ledger.dots import Dot
 from cloverkeel.fleet.routes.interface import View
@@ -16,28 +16,28 @@
 
 @settings(max_examples=100, deadline=None)
 @given(histories(), st.randoms(use_true_random=False))
-def test_no_order_repetition_or_gap_that_closed_changes_the_outcome(
-    history: History, chance: random.Random
+def test_the_result_does_not_depend_on_order_repetition_or_interruptions(
+    history: History, rng: random.Random
 ) -> None:
-    merge, changes = Merge(WORLD), history.changes * 2
-    chance.shuffle(changes)
+    merge, changes = Merge(ENVIRONMENT), history.changes * 2
+    rng.shuffle(changes)
     for change in changes:
         merge.add(change)
-        if chance.random() < 0.4:
-            for _ in islice(merge.settle(), chance.randrange(12)):  # some are left off half-way
+        if rng.random() < 0.4:
+            for _ in islice(merge.settle(), rng.randrange(12)):  # not always run to the end
                 pass
-    assert plain(play(merge)) == plain(merge_all(history.changes, WORLD))
+    assert plain(play(merge)) == plain(merge_all(history.changes, ENVIRONMENT))
 
 
 @settings(max_examples=60, deadline=None)
 @given(histories())
-def test_each_edit_merged_in_gives_what_the_rebuild_gives_and_says_what_it_touched(history: History) -> None:
-    merge = Merge(WORLD)
+def test_incremental_merges_equal_a_merge_from_scratch_and_report_changed_routes(history: History) -> None:
+    merge = Merge(ENVIRONMENT)
     before = play(merge)
     for at, change in enumerate(history.changes):
         merge.add(change)
         after = play(merge)
-        assert plain(after) == plain(merge_all(history.changes[: at + 1], WORLD))
+        assert plain(after) == plain(merge_all(history.changes[: at + 1], ENVIRONMENT))
         names = {*before.routes, *after.routes}
         assert after.changed_routes == frozenset(
             each for each in names if before.routes.get(each) != after.routes.get(each)
@@ -46,7 +46,8 @@
 
 
 def lost(history: History, view: View) -> list[tuple[str, str, Dot]]:
-    """Writes that are in no plan, conflict, list of what waits or is held back, and that nobody had seen."""
+    """Writes that are lost: not in the plan, a conflict, waiting or held back, nor superseded by a later
+    change."""
     gone = []
     shown = {
         (route, each.dot)
@@ -71,7 +72,7 @@
                 continue
             route = view.routes.get(edit.route)
             if route is None and ((edit.route, "owner") in disputed or edit.route in held):
-                continue  # shown as not in service, or what ended that is held back
+                continue  # reported as not in service, or its resolution is held back
             values = {} if route is None else {**route.unknown_fields, **route.values}
             if edit.field == "deleted":
                 made_anew = any(e.route == edit.route and e.field != "deleted" for e in change.edits)
@@ -85,15 +86,15 @@
 
 @settings(max_examples=100, deadline=None)
 @given(histories())
-def test_an_edit_is_never_gone(history: History) -> None:
-    view = merge_all(history.changes, WORLD)
+def test_no_edit_is_lost(history: History) -> None:
+    view = merge_all(history.changes, ENVIRONMENT)
     assert lost(history, view) == []
 
 
 @settings(max_examples=100, deadline=None)
 @given(histories())
 def test_no_side_of_a_field_conflict_had_seen_another(history: History) -> None:
-    view, by_dot = merge_all(history.changes, WORLD), {change.dot: change for change in history.changes}
+    view, by_dot = merge_all(history.changes, ENVIRONMENT), {change.dot: change for change in history.changes}
     for conflict in view.conflicts:
         sides = [by_dot[choice.dot] for choice in conflict.choices if conflict.kind == "field"]
         assert not any(one.context.covers(two.dot) for one in sides for two in sides)
@@ -102,9 +103,9 @@
 
 @settings(max_examples=100, deadline=None)
 @given(histories())
-def test_a_change_is_in_service_whole_or_not_at_all(history: History) -> None:
-    view = merge_all(history.changes, WORLD)
-    kept = merge_all([change for change in history.changes if change.dot not in view.held_back], WORLD)
+def test_a_change_is_in_service_completely_or_not_at_all(history: History) -> None:
+    view = merge_all(history.changes, ENVIRONMENT)
+    kept = merge_all([change for change in history.changes if change.dot not in view.held_back], ENVIRONMENT)
     assert (kept.hash, kept.routes, kept.precedes, kept.held_back) == (
         view.hash,
         view.routes,
@@ -115,9 +116,9 @@
 
 
 @settings(max_examples=40, deadline=None)
-@given(histories(most=30))
-def test_dropping_changes_nothing(history: History) -> None:
-    merge = Merge(WORLD)
+@given(histories(max_commits=30))
+def test_dropping_superseded_changes_keeps_the_view(history: History) -> None:
+    merge = Merge(ENVIRONMENT)
     for change in history.changes:
         merge.add(change)
     before = play(merge)
@@ -125,6 +126,6 @@
     for dot in dots:
         merge.drop(dot)
     assert plain(play(merge)) == plain(before)
-    assert plain(merge_all([each for each in history.changes if each.dot not in dots], WORLD)) == plain(
+    assert plain(merge_all([each for each in history.changes if each.dot not in dots], ENVIRONMENT)) == plain(
         before
     )
--- a/tests/test_routes_passes.py
+++ b/tests/test_routes_passes.py
@@ -1,4 +1,4 @@
-"""Garbage collection stays off until the last of those that hold it off is done."""
+"""Garbage collection stays paused until the last pause has ended."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from cloverkeel.fleet.routes import gc_pause
 
 
-def test_passes_are_off_until_the_last_release() -> None:
+def test_collection_is_paused_until_the_last_resume() -> None:
     assert gc.isenabled()
     gc_pause.pause()
     gc_pause.pause()
--- a/tests/test_routes_process.py
+++ b/tests/test_routes_process.py
@@ -1,4 +1,5 @@
-"""Routes in real gateway processes: applied at one, in service at the other, and conflicts alike at both."""
+"""Routes in real gateway processes: applied at one, in service at the other, with the same conflicts at
+both."""
 
 from __future__ import annotations
 
@@ -37,7 +38,7 @@
 )
 from tests.test_membership_process import table_with
 
-PATH = "/search/7f3a9c21e0b4d655"  # of tests' requests
+PATH = "/search/7f3a9c21e0b4d655"  # path of the requests that tests send
 NEW = f"""# ours
 team = "pay"
 
@@ -59,7 +60,7 @@
 
 
 async def shown(operator: int, **has: object) -> dict[str, Any]:
-    """The plan at a gateway, once it has this many of what is named."""
+    """The plan at a gateway, once its named entries have these values or lengths."""
     while True:
         code, out, errors = await routes("show", "--json", operator=operator)
         if code == 0:
@@ -73,7 +74,7 @@
 
 @asynccontextmanager
 async def two(tmp_path: Path, *hosts: dict[str, object]) -> AsyncIterator[tuple[list[int], list[int]]]:
-    """Two gateways of a fleet: their operators' ports, and their clients'."""
+    """Runs a fleet of two gateways; gives their operator ports and their client ports."""
     operators = [free_port(), free_port()]
     binds = [f"127.0.0.1:{free_port()}" for _ in operators]
     configs = []
@@ -116,14 +117,14 @@
             code, out, _ = await routes("show", "--team", "pay", "--toml", operator=other)
             exported.write_text(out.replace(f'"{PATH}"', '"/de"'))
             assert (await routes("apply", str(exported), operator=other))[0] == 0
-            file.write_text(file.read_text().replace(f'"{PATH}"', '"/fr"'))  # made from the plan before
+            file.write_text(file.read_text().replace(f'"{PATH}"', '"/fr"'))  # its base is the previous plan
             code, out, _ = await routes("apply", str(file), operator=one)
             assert code == 0 and "--take 1" in out
             assert "since changed for: eu" in (await routes("apply", str(file), operator=one))[1]
             both = [await shown(port, conflicts=1) for port in (one, other)]
             (conflict,) = both[0]["conflicts"]
             assert conflict == both[1]["conflicts"][0] and conflict["teams"] == ["pay"]
-            assert both[1]["routes"][0]["values"]["path"] == PATH  # the agreed one
+            assert both[1]["routes"][0]["values"]["path"] == PATH  # the last agreed value
             words = ("resolve", conflict["id"], "--team", "pay", "--value")
             assert (await routes(*words, '"no path"', operator=other))[0] == 1
             assert (await routes(*words, '"/at"', operator=other))[0] == 0
@@ -144,7 +145,7 @@
 
 
 @on_loop
-async def test_bad_words_are_one_line_each_and_write_nothing(tmp_path: Path) -> None:
+async def test_invalid_commands_are_refused_with_one_line_and_write_nothing(tmp_path: Path) -> None:
     async with two(tmp_path, endpoint("s-0", "127.0.0.1:1", group=3)) as ((one, other), _):
         await shown(one, count=0)
         file = tmp_path / "bad.toml"
@@ -178,7 +179,7 @@
         ({"transforms": {"fleet": {"size": 3}}}, "transforms.fleet.size is 3 and routes.size is 2"),
     ],
 )
-def test_a_configuration_that_cannot_be_used_is_refused_in_a_line(
+def test_an_invalid_configuration_is_refused_with_one_line(
     tmp_path: Path, changes: dict[str, Any], line: str
 ) -> None:
     config = configuration() | {"routes": {"size": 2}, "state_dir": str(tmp_path)}
@@ -192,10 +193,10 @@
 
 
 @on_loop
-async def test_the_new_process_of_an_upgrade_routes_by_the_old_one_s_plan_while_that_drains(
+async def test_in_an_upgrade_the_new_process_uses_the_predecessor_s_plan_while_that_drains(
     tmp_path: Path,
 ) -> None:
-    """The ledger is the old process's until it ends: without its plan the new one sent requests anywhere."""
+    """The old process holds the ledger until it ends; without its plan the new process ignored the routes."""
 
     def script(exchange: Exchange) -> None:
         if exchange.message.first.startswith("GET"):
@@ -218,7 +219,7 @@
                 old.seen.clear()
                 canary.seen.clear()
                 async with program(tmp_path, config, operators[1], held):
-                    process.send_signal(signal.SIGTERM)  # it waits for the answer that does not come
+                    process.send_signal(signal.SIGTERM)  # it drains: one request is never answered
                     while await ask(operators[0], OPERATORS_READY) == 200:
                         await asyncio.sleep(0.01)
                     for _ in range(20):
--- a/tests/test_routes_shell.py
+++ b/tests/test_routes_shell.py
@@ -1,4 +1,4 @@
-"""Routes joined to real ledgers: one plan and one set of conflicts everywhere, told to the log once."""
+"""Routes on real ledgers: the same plan and conflicts at all members, and each conflict logged once."""
 
 from __future__ import annotations
 
@@ -29,21 +29,21 @@
 from tests.test_ledger_shell import fleet
 
 
-class Fixed:
-    """A world that is told once."""
+class FixedEnvironment:
+    """An environment source that never changes."""
 
-    def __init__(self, world: Environment) -> None:
-        self.world: Environment | None = world
+    def __init__(self, environment: Environment) -> None:
+        self.environment: Environment | None = environment
 
     async def poll_changed(self) -> Environment | None:
-        world, self.world = self.world, None
-        return world
+        environment, self.environment = self.environment, None
+        return environment
 
 
 @asynccontextmanager
 async def merging(tmp_path: Path) -> AsyncIterator[tuple[list[RoutesService], list[LedgerService]]]:
     async with fleet(tmp_path) as services:
-        made = [begun(service) for service in services]
+        made = [started(service) for service in services]
         try:
             await until(lambda: all(each.view is not None for each in made))
             yield made, services
@@ -52,8 +52,10 @@
                 each.close()
 
 
-def begun(service: LedgerService, world: Environment = Environment()) -> RoutesService:  # noqa: B008
-    made = RoutesService(service, Fixed(world), lambda: Merge(Environment()), lambda view: None)
+def started(service: LedgerService, environment: Environment = Environment()) -> RoutesService:  # noqa: B008
+    made = RoutesService(
+        service, FixedEnvironment(environment), lambda: Merge(Environment()), lambda view: None
+    )
     made.start()
     return made
 
@@ -64,16 +66,20 @@
     return change
 
 
-def at(routes: RoutesService) -> View:
+def view_of(routes: RoutesService) -> View:
     assert routes.view is not None
     return routes.view
 
 
-async def agreed(all_: list[RoutesService], *dots: Dot) -> View:
-    """The view, once all have taken in these changes and have the same plan and conflicts."""
-    await until(lambda: all(at(each).context.covers(dot) for each in all_ for dot in dots))
-    assert len({(at(each).hash, tuple(c.id for c in at(each).conflicts)) for each in all_}) == 1
-    return at(all_[0])
+async def agreed(route_services: list[RoutesService], *dots: Dot) -> View:
+    """The view, once all have merged these changes; checks that plan and conflicts are the same
+    everywhere."""
+    await until(lambda: all(view_of(each).context.covers(dot) for each in route_services for dot in dots))
+    assert (
+        len({(view_of(each).hash, tuple(c.id for c in view_of(each).conflicts)) for each in route_services})
+        == 1
+    )
+    return view_of(route_services[0])
 
 
 def new(route: str, team: str, **fields: Any) -> tuple[Edit, ...]:
@@ -81,21 +87,23 @@
 
 
 @on_loop
-async def test_what_a_newcomer_has_heard_so_far_is_not_served_until_its_ledger_is_settled(
+async def test_a_view_from_an_incomplete_ledger_is_not_served_until_it_has_settled(
     tmp_path: Path,
 ) -> None:
     async with fleet(tmp_path) as services:
         served: list[View] = []
-        routes = RoutesService(services[0], Fixed(Environment()), lambda: Merge(Environment()), served.append)
+        routes = RoutesService(
+            services[0], FixedEnvironment(Environment()), lambda: Merge(Environment()), served.append
+        )
         settling = services[0].core.settling  # type: ignore[union-attr]
         await until(lambda: settling.settled)
         settling.settled = False
         routes.start()
         await until(lambda: routes.view is not None)
-        assert len(served) == 1  # what the disk had
+        assert len(served) == 1  # the view from disk
         settling.settled = False
         await write(routes, "pay", Context(), *new("r", "pay", limit=1))
-        assert "r" in at(routes).routes and len(served) == 1
+        assert "r" in view_of(routes).routes and len(served) == 1
         settling.settled = True
         await until(lambda: len(served) == 2)
         assert "r" in served[1].routes and served[1].changed_routes is None
@@ -103,43 +111,46 @@
 
 
 @on_loop
-async def test_a_conflict_is_the_same_everywhere_told_once_and_gone_once_resolved(
+async def test_a_conflict_is_the_same_everywhere_and_logged_once_until_resolved(
     tmp_path: Path, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(logging.getLogger("cloverkeel.fleet"), "propagate", True)
     caplog.set_level(logging.INFO, "cloverkeel.fleet")
-    async with merging(tmp_path) as (all_, services):
-        first, second, third = all_
+    async with merging(tmp_path) as (route_services, services):
+        first, second, third = route_services
         made = await write(first, "pay", Context(), *new("r", "pay", limit=1))
         assert (made.dot.member, made.dot.counter) == ("m0", 1)
-        seen = (await agreed(all_, made.dot)).context
+        seen = (await agreed(route_services, made.dot)).context
         one = await write(first, "pay", seen, Edit("r", "limit", 2))
         two = await write(second, "pay", seen, Edit("r", "limit", 3), Edit("r", "note", "more"))
-        view = await agreed(all_, one.dot, two.dot)
+        view = await agreed(route_services, one.dot, two.dot)
         assert dict(view.routes["r"].values) == {"limit": 1, "note": "more", "owner": "pay"}
         (conflict,) = view.conflicts
         edits = resolution_edits(conflict, Resolution("take", 2), view)
         assert edits == (Edit("r", "limit", conflict.choices[1].value),)
         last = await write(third, "pay", view.context, *edits)
-        assert (await agreed(all_, last.dot)).conflicts == ()
+        assert (await agreed(route_services, last.dot)).conflicts == ()
 
-        told = [(r.getMessage(), vars(r)["fields"].get("id")) for r in caplog.records]
-        assert [each for each in told if each[1]] == [
+        logged = [(r.getMessage(), vars(r)["fields"].get("id")) for r in caplog.records]
+        assert [each for each in logged if each[1]] == [
             ("routes.conflict", conflict.id), ("routes.resolved", conflict.id),
         ]  # fmt: skip
         await services[0].write(KIND, "m9/1/1", b"\xc1", Context(), Level.ALL)
         await services[0].write(KIND, "m9/1/2", encode(last), Context(), Level.ALL)
-        await until(lambda: all(each.counts["malformed"] == 2 for each in all_))
-        again = begun(services[1])  # from what its disk holds
+        await until(lambda: all(each.counts["malformed"] == 2 for each in route_services))
+        again = started(services[1])  # from disk
         await until(lambda: again.view is not None)
-        assert (at(again).hash, at(again).context) == (at(second).hash, at(second).context)
+        assert (view_of(again).hash, view_of(again).context) == (
+            view_of(second).hash,
+            view_of(second).context,
+        )
         again.close()
 
 
 @on_loop
-async def test_a_change_is_beside_another_s_only_where_that_touched_its_routes(tmp_path: Path) -> None:
-    async with merging(tmp_path) as (all_, _):
-        first = all_[0]
+async def test_a_change_is_concurrent_only_to_unseen_changes_of_its_own_routes(tmp_path: Path) -> None:
+    async with merging(tmp_path) as (route_services, _):
+        first = route_services[0]
         made = await write(first, "pay", Context(), *new("r", "pay", limit=1))
         fresh = new("other", "cards", limit=1)
         assert first.commit_context(Context(), fresh).covers(made.dot)
@@ -150,14 +161,14 @@
 
 
 @on_loop
-async def test_a_merge_that_fails_is_begun_anew_and_the_plan_stays(
+async def test_a_failed_merge_restarts_and_the_plan_stays(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(routes_shell, "RETRY_S", 0.01)
-    async with merging(tmp_path) as (all_, _):
-        first = all_[0]
+    async with merging(tmp_path) as (route_services, _):
+        first = route_services[0]
         made = await write(first, "pay", Context(), *new("r", "pay", limit=1))
-        before = at(first)
+        before = view_of(first)
 
         def fails() -> Iterator[None]:
             yield
@@ -165,33 +176,33 @@
 
         monkeypatch.setattr(first.merge, "settle", fails)
         change, _ = await first.commit("pay", (Edit("r", "limit", 2),), (), before.context, Level.LOCAL, 5.0)
-        await until(lambda: first.counts["merge_failures"] and at(first).context.covers(change.dot))
-        assert at(first).routes["r"].values["limit"] == 2 and before.context.covers(made.dot)
+        await until(lambda: first.counts["merge_failures"] and view_of(first).context.covers(change.dot))
+        assert view_of(first).routes["r"].values["limit"] == 2 and before.context.covers(made.dot)
 
 
 @on_loop
-async def test_what_is_superseded_twice_is_dropped_by_the_first_member_and_the_plan_stays(
+async def test_the_first_member_drops_twice_superseded_changes_and_the_plan_stays(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(routes_shell, "DROP_INTERVAL_S", 0.0)
     monkeypatch.setattr(routes_shell, "POLL_S", 0.01)
     monkeypatch.setattr(routes_shell, "DROP_MIN", 2)
-    async with merging(tmp_path) as (all_, services):
-        first, second, _ = all_
+    async with merging(tmp_path) as (route_services, services):
+        first, second, _ = route_services
         made = await write(first, "pay", Context(), *new("r", "pay", limit=1))
         for limit in range(2, 9):
-            made = await write(second, "pay", at(second).context, Edit("r", "limit", limit))
+            made = await write(second, "pay", view_of(second).context, Edit("r", "limit", limit))
         await until(lambda: first.counts["dropped"])
-        await until(lambda: all(len(each.changes) <= 5 for each in all_))
-        view = await agreed(all_, made.dot)
+        await until(lambda: all(len(each.changes) <= 5 for each in route_services))
+        view = await agreed(route_services, made.dot)
         assert view.routes["r"].values["limit"] == 8 and not second.counts["dropped"]
-        again = begun(services[2])
+        again = started(services[2])
         await until(lambda: again.view is not None)
-        assert at(again).hash == view.hash
+        assert view_of(again).hash == view.hash
         again.close()
 
 
-WORLD = Environment(classes=frozenset({"transfer"}))
+ENVIRONMENT = Environment(classes=frozenset({"transfer"}))
 SIDES = (Choice(Dot("a", 1, 1), "pay", 5), Choice(Dot("b", 1, 1), "pay", 7))
 
 
@@ -231,7 +242,7 @@
         (conflict("cycle", "a", "b", field="before"), Resolution("take", 1), "has no sides"),
     ],
 )  # fmt: skip
-def test_a_word_on_a_conflict_is_an_edit_or_a_line(found: Conflict, how: Resolution, edits: Any) -> None:
+def test_a_resolution_gives_edits_or_an_error_line(found: Conflict, how: Resolution, edits: Any) -> None:
     view = plan(a={"before": ["c"]}, b={})
     if isinstance(edits, str):
         with pytest.raises(ValueError, match=edits):
@@ -240,7 +251,7 @@
         assert resolution_edits(found, how, view) == tuple(edits)
 
 
-def test_a_change_s_name_is_read_as_it_is_shown() -> None:
+def test_a_change_name_is_parsed_as_shown() -> None:
     dot = Dot("a/b", 0xFEED, 12)
     assert parse_change_name(key_of(dot)) == dot
     for text in ("", "a", "a/1", "a/x/y/z", "/1/1", "a/0/1", "a/1/0", "a/1/-1"):
@@ -248,53 +259,57 @@
             parse_change_name(text)
 
 
-def test_a_file_that_leaves_a_class_without_hosts_is_told_from_one_that_does_not() -> None:
+def test_edits_that_leave_a_class_without_hosts_are_reported_and_no_others() -> None:
     rows = [{"type": "m", "group": 1}, {"type": "m", "group": 2, "labels": ["new"]}]
 
     def why(view: View = plan(), **values: Any) -> str:  # noqa: B008
         return "; ".join(
-            edit_faults(view, [Edit("r", name, value) for name, value in values.items()], rows, WORLD)
+            edit_faults(view, [Edit("r", name, value) for name, value in values.items()], rows, ENVIRONMENT)
         )
 
-    nowhere = [{"groups": ["9"], "share": 100}]
-    assert "transfer would be without hosts" in why(classes=["transfer"], targets=nowhere)
-    assert "every class" in why(plan(r={"targets": nowhere}), limit=3)
-    assert not edit_faults(plan(), [Edit("r", "targets", nowhere)], [], WORLD)  # no list: nothing is known
+    unmatched = [{"groups": ["9"], "share": 100}]
+    assert "transfer would be without hosts" in why(classes=["transfer"], targets=unmatched)
+    assert "every class" in why(plan(r={"targets": unmatched}), limit=3)
+    assert not edit_faults(
+        plan(), [Edit("r", "targets", unmatched)], [], ENVIRONMENT
+    )  # no hosts are listed, so this is not checked
     assert "classes that the settings do not have: other" in why(classes=["other"])
     assert "110 %" in why(targets=[{"groups": ["1"], "share": 40}, {"groups": ["2"], "share": 70}])
-    assert not why(plan(r={"classes": ["other"]}), limit=3)  # it stood there before
+    assert not why(plan(r={"classes": ["other"]}), limit=3)  # not changed by this edit
     assert not why(classes=["other"], deleted=True)
     for fine in (
-        {"targets": nowhere, "path": "/x"}, {"targets": nowhere, "callers": ["acme"]},
+        {"targets": unmatched, "path": "/x"}, {"targets": unmatched, "callers": ["acme"]},
         {"targets": [{"groups": ["9"], "share": 5}]}, {"targets": [{"labels": ["new"], "share": 100}]},
-        {"limit": 3}, {"targets": nowhere, DELETED: True},
+        {"limit": 3}, {"targets": unmatched, DELETED: True},
     ):  # fmt: skip
         assert not why(**fine)
 
 
-def test_who_tells_and_how_much() -> None:
+def test_one_member_logs_a_conflict_and_lines_are_limited() -> None:
     ids = [f"{n:016x}" for n in range(300)]
     live = frozenset({"a", "b", "c"})
-    tellers = [logging_member(id, live) for id in ids]
-    assert {name: tellers.count(name) for name in live}.keys() == live and min(map(tellers.count, live)) > 50
+    loggers = [logging_member(id, live) for id in ids]
+    assert {name: loggers.count(name) for name in live}.keys() == live and min(map(loggers.count, live)) > 50
     assert all(
-        logging_member(id, live - {"c"}) == told for id, told in zip(ids, tellers, strict=True) if told != "c"
+        logging_member(id, live - {"c"}) == logged
+        for id, logged in zip(ids, loggers, strict=True)
+        if logged != "c"
     )
     many = [Conflict(id, "field", "held", ("r",), "f", ("t",), (), "w") for id in ids]
-    telling = ConflictLog("a")
-    assert not list(telling.update(many[:1], live))  # the first view: told in a life before
-    lines = list(telling.update(many, live))
+    log = ConflictLog("a")
+    assert not list(log.update(many[:1], live))  # conflicts of the first view are not logged
+    lines = list(log.update(many, live))
     assert len(lines) == LINES_MAX + 1 and lines[-1].name == "routes.untold"
     own = Conflict("x", "absent", "warning", ("r",), "f", ("t",), (), "w", local=True)
-    assert {line.name for line in telling.update([*many, own], live)} == {"routes.conflict"}
+    assert {line.name for line in log.update([*many, own], live)} == {"routes.conflict"}
 
 
-def test_the_world_is_of_the_settings_the_list_and_what_is_published() -> None:
+def test_the_environment_has_settings_list_and_published_transforms() -> None:
     raw = configuration()
     config = parse(raw)
     rows: list[dict[str, Any]] = [{"group": 3, "labels": ["new", "big"]}, {"group": "x"}, {}]
-    world = environment_of(config.names, {"m": 9}, rows, {"t": frozenset({"x-a"})})
-    assert world == Environment(
+    environment = environment_of(config.names, {"m": 9}, rows, {"t": frozenset({"x-a"})})
+    assert environment == Environment(
         classes=frozenset({"search", "hold", "transfer"}),
         callers=frozenset({"acme", "zeta"}),
         zones=frozenset({"a", "b"}),
@@ -309,7 +324,7 @@
 
 
 @on_loop
-async def test_the_world_is_told_anew_as_the_list_or_what_is_published_changes() -> None:
+async def test_the_environment_is_polled_again_when_list_or_transforms_change() -> None:
     config = parse(configuration())
     wanted: dict[str, Order] = {}
     book = SimpleNamespace(wanted=lambda: wanted)
