--- a/cloverkeel/fleet/routes/conflicts.py
+++ b/cloverkeel/fleet/routes/conflicts.py
@@ -1,6 +1,7 @@
-"""What is wrong with a plan: conflicts by kind, their stable ids, and the line that says why.
+"""The conflicts of a plan: their kinds, stable ids and one-line explanations.
 
-Pure functions of routes as merged, and of the world; `overlaps.py` and `order.py` find those between routes.
+Pure functions of merged routes and the environment. `overlaps.py` and `order.py` find conflicts between
+routes.
 """
 
 from __future__ import annotations
@@ -24,8 +25,8 @@
     "room": "warning",
     "absent": "warning",
 }
-MATCH_FIELDS = ("owner", "classes", "callers", "path", "zones", "before")  # what an overlap rests on
-NAMES_SHOWN = 5  # names in one line
+MATCH_FIELDS = ("owner", "classes", "callers", "path", "zones", "before")  # fields that decide on an overlap
+NAMES_SHOWN = 5  # names listed in one explanation
 
 
 def make_conflict(
@@ -37,6 +38,8 @@
     owners: Iterable[str] = (),
     local: bool = False,
 ) -> Conflict:
+    """A conflict with its id, which is a hash of kind, routes, field and choices: the same at all
+    gateways."""
     names = tuple(sorted(routes))
     sides = tuple(sorted(choices, key=lambda choice: choice.dot))
     teams = tuple(sorted({*owners, *(side.team for side in sides)}))
@@ -46,24 +49,24 @@
 
 
 def side_text(choice: Choice) -> str:
-    """A side of a conflict, for people."""
+    """One side of a conflict, in an explanation: the team and its change."""
     return f"{choice.team} ({change_name(choice.dot)})"
 
 
 def change_name(dot: Dot) -> str:
-    """A change's name as people give it to `accept`: its key in the ledger."""
+    """The name of a change that `routes accept` takes: its ledger key."""
     return f"{dot.member}/{dot.incarnation:x}/{dot.counter}"
 
 
 def first_names(names: Iterable[str]) -> str:
-    """The first few names, and how many more."""
-    every = sorted(names)
-    more = len(every) - NAMES_SHOWN
-    return ", ".join(every[:NAMES_SHOWN]) + (f" and {more} more" if more > 0 else "")
+    """The first NAMES_SHOWN names, and how many more there are."""
+    ordered = sorted(names)
+    more = len(ordered) - NAMES_SHOWN
+    return ", ".join(ordered[:NAMES_SHOWN]) + (f" and {more} more" if more > 0 else "")
 
 
 def deciding_changes(view: RouteView, fields: Sequence[str]) -> list[Choice]:
-    """The changes that gave these fields of a route their values, once each."""
+    """The changes that decided the values of these fields, each once."""
     found = {
         view.decided[name].dot: Choice(view.decided[name].dot, view.decided[name].team)
         for name in fields
@@ -72,11 +75,11 @@
     return list(found.values())
 
 
-def route_conflicts(view: RouteView, world: Environment) -> Iterator[Conflict]:
-    """The plan conflicts of one route by itself."""
+def route_conflicts(view: RouteView, environment: Environment) -> Iterator[Conflict]:
+    """Conflicts within one route: shares, unknown names, and headers written twice."""
     yield from _share_conflicts(view)
-    yield from _unknown_name_conflicts(view, world)
-    yield from _chain_conflicts(view, world)
+    yield from _unknown_name_conflicts(view, environment)
+    yield from _chain_conflicts(view, environment)
 
 
 def _single_route_conflict(
@@ -94,37 +97,44 @@
         )
 
 
-def _unknown_name_conflicts(view: RouteView, world: Environment) -> Iterator[Conflict]:
+def _unknown_name_conflicts(view: RouteView, environment: Environment) -> Iterator[Conflict]:
     values = view.values
-    for field, known in (("classes", world.classes), ("callers", world.callers), ("zones", world.zones)):
-        if known is not None and field in values and (none := set(values[field]) - known):
+    for field, known in (
+        ("classes", environment.classes),
+        ("callers", environment.callers),
+        ("zones", environment.zones),
+    ):
+        if known is not None and field in values and (missing := set(values[field]) - known):
             yield _single_route_conflict(
-                "unknown", view, field, f"{field} that the settings do not have: {first_names(none)}"
+                "unknown", view, field, f"{field} that the settings do not have: {first_names(missing)}"
             )
-    none = set()
+    missing = set()
     for target in values.get("targets", ()):
-        for field, known in (("types", world.types), ("zones", world.zones)):
+        for field, known in (("types", environment.types), ("zones", environment.zones)):
             if known is not None and field in target:
-                none.update(set(target[field]) - known)
-    if none:
+                missing.update(set(target[field]) - known)
+    if missing:
         yield _single_route_conflict(
-            "unknown", view, "targets", f"types or zones that the settings do not have: {first_names(none)}"
+            "unknown",
+            view,
+            "targets",
+            f"types or zones that the settings do not have: {first_names(missing)}",
         )
-    if world.transforms is not None and "transforms" in values:
-        none = set(values["transforms"]) - world.transforms.keys()
-        if none:
+    if environment.transforms is not None and "transforms" in values:
+        missing = set(values["transforms"]) - environment.transforms.keys()
+        if missing:
             yield _single_route_conflict(
-                "unknown", view, "transforms", f"transforms that nobody published: {first_names(none)}"
+                "unknown", view, "transforms", f"transforms that are not published: {first_names(missing)}"
             )
 
 
-def _chain_conflicts(view: RouteView, world: Environment) -> Iterator[Conflict]:
+def _chain_conflicts(view: RouteView, environment: Environment) -> Iterator[Conflict]:
     chain = view.values.get("transforms", ())
-    if world.transforms is None or len(chain) < 2:
+    if environment.transforms is None or len(chain) < 2:
         return
     writers: dict[str, list[str]] = {}
     for name in chain:
-        for header in world.transforms.get(name, ()):
+        for header in environment.transforms.get(name, ()):
             writers.setdefault(header, []).append(name)
     twice = [f"{header} by {' and '.join(names)}" for header, names in writers.items() if len(names) > 1]
     if twice:
@@ -132,15 +142,15 @@
             "chain",
             view,
             "transforms",
-            f"transforms of one chain write the same header: {first_names(twice)}",
+            f"transforms of the same chain write the same header: {first_names(twice)}",
         )
 
 
-def absent_conflict(view: RouteView, world: Environment) -> Conflict | None:
-    """Groups and labels that no host of this gateway's list has just now."""
+def absent_conflict(view: RouteView, environment: Environment) -> Conflict | None:
+    """A warning if no host on this gateway's current list has a group or label that the route names."""
     none: set[str] = set()
     for target in view.values.get("targets", ()):
-        for field, known in (("groups", world.groups), ("labels", world.labels)):
+        for field, known in (("groups", environment.groups), ("labels", environment.labels)):
             if known is not None and field in target:
                 none.update(f"{field[:-1]} {name}" for name in target[field] if name not in known)
     if not none:
@@ -151,38 +161,43 @@
 
 
 def overlap_conflict(a: RouteView, b: RouteView) -> Conflict:
-    """Routes of two teams that match the same requests, with no order between them."""
+    """The conflict of two teams' routes that match the same requests and are not ordered by `before`."""
     first, second = sorted((a, b), key=lambda view: view.name)
     choices = {side.dot: side for view in (first, second) for side in deciding_changes(view, MATCH_FIELDS)}
     why = (
         f"{first.name} of {first.owner} and {second.name} of {second.owner} match the same requests; "
-        "say `before` in one of them"
+        "set `before` in one of them"
     )
     return make_conflict("overlap", (a.name, b.name), "", choices.values(), why, (a.owner, b.owner))
 
 
 def cycle_conflict(views: Sequence[RouteView]) -> Conflict:
+    """The conflict of routes whose `before` fields form a cycle."""
     choices = {side.dot: side for view in views for side in deciding_changes(view, ("before",))}
     names = [view.name for view in views]
-    why = f"each of {first_names(names)} comes before itself, through `before`"
+    why = f"the `before` fields of {first_names(names)} form a cycle"
     return make_conflict("cycle", names, "before", choices.values(), why, [view.owner for view in views])
 
 
 def capacity_conflict(
-    team: str, kind: str, parts: Mapping[str, int], room: int, views: Mapping[str, RouteView]
+    team: str, kind: str, limits: Mapping[str, int], capacity: int, views: Mapping[str, RouteView]
 ) -> Conflict:
-    """`parts`: by route, the requests at once that its limit sends to hosts of this type, times the share."""
-    choices = {side.dot: side for name in parts for side in deciding_changes(views[name], ("limit",))}
-    total = sum(parts.values()) // (100 * UNITS_PER_PERCENT)
+    """A warning that a team's limits exceed the capacity of the hosts of one type.
+
+    `limits`: by route, its limit on concurrent requests times the share of this host type, in share units.
+    """
+    choices = {side.dot: side for name in limits for side in deciding_changes(views[name], ("limit",))}
+    total = sum(limits.values()) // (100 * UNITS_PER_PERCENT)
     why = (
-        f"limits of {team}'s routes ({first_names(parts)}) sum to {total} "
-        f"on hosts of type {kind}, which have {room}"
+        f"limits of {team}'s routes ({first_names(limits)}) sum to {total} "
+        f"on hosts of type {kind}, whose capacity is {capacity}"
     )
-    return make_conflict("room", parts, f"limit:{kind}", choices.values(), why, (team,))
+    return make_conflict("room", limits, f"limit:{kind}", choices.values(), why, (team,))
 
 
 def limits_by_type(view: RouteView) -> Iterator[tuple[str, int]]:
-    """For each type that a target names alone, its part of the route's limit, in the shares' unit."""
+    """For each target that names exactly one host type: the type, and its part of the route's limit in share
+    units."""
     if (limit := view.values.get("limit")) is None:
         return
     for target in view.values.get("targets", ()):
--- a/tests/test_routes_files.py
+++ b/tests/test_routes_files.py
@@ -1,4 +1,4 @@
-"""A team's file: its faults, what it changes, and that an export changes nothing."""
+"""A team's TOML file: reported faults, the edits in it, and exports without edits."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     return View("0" * 32, made, {}, (), (), (), SEEN)
 
 
-def test_an_export_changes_nothing_and_an_edit_of_it_is_that_edit_alone() -> None:
+def test_an_export_has_no_edits_and_an_edited_export_only_those_made() -> None:
     text = export("payments", view(pay=PAY, other=PAY | {"owner": "cards"}), ["conflict\x00 one", "two"])
     assert text.startswith("# conflict  one\n# two\nteam = ") and "other" not in text
     file = parse(text.encode())
@@ -82,19 +82,19 @@
         (b"team = ", ["not TOML: Invalid value (at end of document)"]),
         (b"x = " + b"[" * 5_000, ["not TOML: RecursionError"]),
         (b"", ["team: a name has"]),
-        (b'team = "t"\nroutes = 1', ["'routes' is not known"]),
-        (b'team = "t"\nroute = 1', ["route is no table"]),
-        (b'team = "t"\nroute.a = 1', ["route 'a' is no table of fields"]),
+        (b'team = "t"\nroutes = 1', ["'routes' is unknown"]),
+        (b'team = "t"\nroute = 1', ["route is not a table"]),
+        (b'team = "t"\nroute.a = 1', ["route 'a' is not a table of fields"]),
         (b'team = "t"\nroute.a.x = 2024-01-01\nroute.b.y = inf', ["route 'a': 'x': a", "route 'b': 'y'"]),
         (b'team = "t"\nroute.a.x = 9223372036854775808', ["route 'a': 'x': a number over 63 bits"]),
         (b'team = "t"\nroute.a.deleted = true', ["route 'a': 'deleted': to delete a route, leave"]),
         (b'team = "t"\nroute."a\\n".x = 1', ["route 'a\\n': a name has"]),
-        (b'team = "t"\nbase = 7', ["base: not a text"]),
-        (b'team = "t"\nbase = "%%%"', ["base: not what `routes show --toml` made"]),
+        (b'team = "t"\nbase = 7', ["base: not a string"]),
+        (b'team = "t"\nbase = "%%%"', ["base: not as `routes show --toml` wrote it"]),
         (b'team = "t"\n#' + b"x" * 256 * 1024, ["the file has 262156 bytes"]),
     ],
 )  # fmt: skip
-def test_each_fault_is_a_line_that_names_its_place(text: bytes, lines: list[str]) -> None:
+def test_each_fault_is_one_line_that_names_its_place(text: bytes, lines: list[str]) -> None:
     with pytest.raises(FileError) as found:
         parse(text)
     said = str(found.value).split("\n")
@@ -116,7 +116,7 @@
         packed(msgspec.msgpack.encode([Context({("m", 1): (3, 2)}), {}])),
     ],
 )
-def test_a_base_that_is_none_is_refused_in_a_line(base: str) -> None:
+def test_an_invalid_base_is_refused_with_one_line(base: str) -> None:
     with pytest.raises(FileError, match=r"^base: [^\n]+$"):
         parse(f'team = "t"\nbase = "{base}"'.encode())
 
@@ -133,7 +133,7 @@
 
 
 @given(routes)
-def test_whatever_a_plan_holds_its_export_is_a_file_that_changes_nothing(found: dict[str, Any]) -> None:
+def test_the_export_of_any_plan_has_no_edits(found: dict[str, Any]) -> None:
     named = {
         name: {key: value for key, value in fields.items() if key not in (DELETED, "owner")}
         for name, fields in found.items()
@@ -150,7 +150,7 @@
 
 
 @given(st.binary(max_size=200) | st.text(max_size=200).map(str.encode))
-def test_no_file_makes_another_error(data: bytes) -> None:
+def test_any_input_parses_or_raises_file_error(data: bytes) -> None:
     try:
         parse(data)
     except FileError as error:
