--- a/faultlab/routes/simulated.py
+++ b/faultlab/routes/simulated.py
@@ -22,9 +22,9 @@
 
     acknowledged_s: float | None = None
 
-    def _act(self, member: Member, action: Action) -> None:
+    def _execute(self, member: Member, action: Action) -> None:
         count = self.acknowledged
-        super()._act(member, action)
+        super()._execute(member, action)
         if self.acknowledged > count:
             self.acknowledged_s = self.now_s
 
@@ -35,19 +35,22 @@
     cluster = Watched(seed, members, TICK_S)
     names = Names(routes=tuple(f"r{number}" for number in range(40)), bad=0.02)
     cluster.run(START_S)
-    if not cluster.run(LIMIT_S, cluster.at_rest):
+    if not cluster.run(LIMIT_S, cluster.is_quiescent):
         raise RuntimeError("the members do not come to rest before the first edit")
     took: list[float] = []
     for _ in range(rounds):
-        member = rng.choice(cluster.up())
-        read = cluster.readers[member.name].read
+        member = rng.choice(cluster.running_members())
+        read = cluster.instances[member.name].last_read
         assert read is not None
         cluster.acknowledged_s = None
         cluster.commit(member, read, commit(rng, names, read.view), Level.QUORUM)
-        dot, began_s = max(cluster.routes.changes, key=list(cluster.routes.changes).index), cluster.now_s
-        while any(dot not in r.held or r.stale or r.settling for r in cluster.readers.values()):
-            if cluster.now_s - began_s > LIMIT_S or cluster.broken():
-                raise RuntimeError(f"no end after {LIMIT_S} s: {cluster.broken()}")
+        dot, began_s = (
+            max(cluster.routes_reference.changes, key=list(cluster.routes_reference.changes).index),
+            cluster.now_s,
+        )
+        while any(dot not in r.held or r.stale or r.settling for r in cluster.instances.values()):
+            if cluster.now_s - began_s > LIMIT_S or cluster.violations():
+                raise RuntimeError(f"no end after {LIMIT_S} s: {cluster.violations()}")
             cluster.run(0.005)
         all_s = cluster.now_s
         while cluster.acknowledged_s is None and cluster.now_s - began_s < LIMIT_S:
--- a/faultlab/storm/cluster/activation_history.py
+++ b/faultlab/storm/cluster/activation_history.py
@@ -11,69 +11,74 @@
 
 from faultlab.storm.cluster.activation import ActivationCluster
 from faultlab.storm.cluster.ledger import TICK_S
-from faultlab.storm.cluster.played import Played, perform
+from faultlab.storm.cluster.history_result import HistoryResult, run_history
 
 # Members, and what keeps a history of so many short: its cost grows with the square of their number, as each
 # member's vote and report goes to every other through real ledger cores (0.1 ms each; 200 members: minutes).
-LARGE, LARGE_STEPS, LARGE_TICK_S = 200, 8, 0.5
+LARGE_MEMBERS, LARGE_STEPS, LARGE_TICK_S = 200, 8, 0.5
 
 
-def draw(seed: int) -> Played:
+def play_seed(seed: int) -> HistoryResult:
     """The history of a seed: one in 200 is of LARGE members."""
     if random.Random(f"size {seed}").random() < 1 / 200:
-        return play(seed, LARGE, LARGE_STEPS, LARGE_TICK_S)
+        return play(seed, LARGE_MEMBERS, LARGE_STEPS, LARGE_TICK_S)
     return play(seed)
 
 
-def play(seed: int, members: int | None = None, steps: int = 50, tick_s: float = TICK_S) -> Played:
+def play(seed: int, members: int | None = None, steps: int = 50, tick_s: float = TICK_S) -> HistoryResult:
     """One random history of 3 to 7 members (or so many)."""
     rng = random.Random(seed)
     cluster = ActivationCluster(seed, members or rng.choice((3, 4, 5, 7)), tick_s)
     names = [f"t{i}" for i in range(rng.randint(1, 2))]
-    cluster.drop, cluster.double = rng.choice((0.0, 0.05, 0.2)), rng.choice((0.0, 0.1))
+    cluster.drop_rate, cluster.duplicate_rate = rng.choice((0.0, 0.05, 0.2)), rng.choice((0.0, 0.1))
     cluster.run(1.0)
     if random.Random(f"begun {seed}").random() < 0.75:  # the first epoch takes all
-        cluster.order(cluster.members["m0"], names[0], "publish", Level.QUORUM)
-        cluster.run(30.0, lambda: bool(cluster.activation.epochs[max(cluster.activation.epochs)].number))
+        cluster.submit_order(cluster.members["m0"], names[0], "publish", Level.QUORUM)
+        cluster.run(
+            30.0,
+            lambda: bool(
+                cluster.activation_reference.epochs[max(cluster.activation_reference.epochs)].number
+            ),
+        )
 
     def step() -> None:
         for _ in range(rng.choice((1, 1, 3, 10))):
             cluster.run(rng.choice((0.01, 0.05, 0.2, 0.6)))
             cluster.check()
-        up = cluster.up()
+        up = cluster.running_members()
         if up and rng.random() < 0.4:
-            _order(cluster, rng, names)
+            _random_order(cluster, rng, names)
         else:
-            _fault(cluster, rng)
+            _random_fault(cluster, rng)
 
-    return perform(cluster, steps, step)
+    return run_history(cluster, steps, step)
 
 
-def _order(cluster: ActivationCluster, rng: random.Random, names: list[str]) -> None:
+def _random_order(cluster: ActivationCluster, rng: random.Random, names: list[str]) -> None:
     name = rng.choice(names)
     for _ in range(rng.choice((1, 1, 2))):  # two developers at once
-        member = rng.choice(cluster.up())
+        member = rng.choice(cluster.running_members())
         level = rng.choice(tuple(Level))
         if rng.random() < 0.2:
-            cluster.order(member, name, "rollback", level)
+            cluster.submit_order(member, name, "rollback", level)
             continue
-        id = cluster.order(member, name, "publish", level)
+        id = cluster.submit_order(member, name, "publish", level)
         if rng.random() < 0.3:
-            cluster.bad.add(id)
+            cluster.bad_versions.add(id)
         elif rng.random() < 0.3:
             count = rng.choice((1, 1, len(cluster.members) // 2 + 1, len(cluster.members)))
-            cluster.unable[id] = set(rng.sample(sorted(cluster.members), count))
-    if rng.random() < 0.3 and len(cluster.up()) > 1:
+            cluster.cannot_stage[id] = set(rng.sample(sorted(cluster.members), count))
+    if rng.random() < 0.3 and len(cluster.running_members()) > 1:
         life = member.life
 
         def kill() -> None:  # the publisher, at any step: before its disk, its quorum, the epoch or after
             if member.life == life and not cluster.healed:
                 cluster.stop(member)
 
-        cluster.later(rng.choice((0.0, 0.02, 0.3, 3.0)) * rng.random(), kill)
+        cluster.call_later(rng.choice((0.0, 0.02, 0.3, 3.0)) * rng.random(), kill)
 
 
-def _fault(cluster: ActivationCluster, rng: random.Random) -> None:
+def _random_fault(cluster: ActivationCluster, rng: random.Random) -> None:
     members = list(cluster.members.values())
     member = rng.choice(members)
     match rng.randrange(10):
@@ -94,7 +99,7 @@
             cluster.run(rng.choice((0.3, 2.0, 9.0)))
             member.side = 0
         case 8:
-            member.full = not member.full
+            member.disk_full = not member.disk_full
         case 9:
-            if cluster.may_lose(member):
+            if cluster.can_lose_disk(member):
                 cluster.lose_disk(member)
--- a/faultlab/storm/cluster/played.py
+++ b/faultlab/storm/cluster/history_result.py
@@ -5,11 +5,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from faultlab.storm.cluster.ledger import Cluster
+from faultlab.storm.cluster.ledger import LedgerCluster
 
 
 @dataclass(slots=True)
-class Played:
+class HistoryResult:
     """`violations` are those of event number `events`, which ended the history; empty: nothing broke."""
 
     members: int
@@ -18,16 +18,16 @@
     violations: list[str]
 
 
-def perform(cluster: Cluster, steps: int, step: Callable[[], None]) -> Played:
+def run_history(cluster: LedgerCluster, steps: int, step: Callable[[], None]) -> HistoryResult:
     """Take so many random steps, heal all and judge; the first violation ends it. Deterministic."""
     raised: list[str] = []
     try:
         for _ in range(steps):
             step()
-            if cluster.broken():
+            if cluster.violations():
                 break
         else:
             cluster.finish()
     except Exception as error:  # a core's own is as much a violation as what a check found
         raised.append(repr(error))
-    return Played(len(cluster.members), cluster.events, cluster.now_s, cluster.broken() + raised)
+    return HistoryResult(len(cluster.members), cluster.events, cluster.now_s, cluster.violations() + raised)
--- a/faultlab/storm/cluster/ledger_history.py
+++ b/faultlab/storm/cluster/ledger_history.py
@@ -11,31 +11,31 @@
 
 from cloverkeel.fleet.ledger.interface import Level
 
-from faultlab.storm.cluster.ledger import TICK_S, Cluster, Disk, Member
-from faultlab.storm.cluster.played import Played, perform
+from faultlab.storm.cluster.ledger import TICK_S, LedgerCluster, Disk, Member
+from faultlab.storm.cluster.history_result import HistoryResult, run_history
 
-LARGE, LARGE_STEPS, LARGE_TICK_S = 500, 20, 0.5  # members, and what keeps a history of so many short
+LARGE_MEMBERS, LARGE_STEPS, LARGE_TICK_S = 500, 20, 0.5  # members, and what keeps a history of so many short
 
 
-def draw(seed: int) -> Played:
+def play_seed(seed: int) -> HistoryResult:
     """The history of a seed: one in 100 is of LARGE members."""
     if random.Random(f"size {seed}").random() < 1 / 100:
-        return play(seed, LARGE, LARGE_STEPS, LARGE_TICK_S)
+        return play(seed, LARGE_MEMBERS, LARGE_STEPS, LARGE_TICK_S)
     return play(seed)
 
 
-def play(seed: int, members: int | None = None, steps: int = 60, tick_s: float = TICK_S) -> Played:
+def play(seed: int, members: int | None = None, steps: int = 60, tick_s: float = TICK_S) -> HistoryResult:
     """One random history of 5 to 20 members (or so many)."""
     rng = random.Random(seed)
-    cluster = Cluster(seed, members or rng.randint(5, 20), tick_s)
+    cluster = LedgerCluster(seed, members or rng.randint(5, 20), tick_s)
     names = [("kind", f"key{i}") for i in range(rng.randint(1, 6))]
     copies: dict[str, Disk] = {}
-    cluster.drop, cluster.double = rng.choice((0.0, 0.05, 0.3)), rng.choice((0.0, 0.1))
+    cluster.drop_rate, cluster.duplicate_rate = rng.choice((0.0, 0.05, 0.3)), rng.choice((0.0, 0.1))
 
     def step() -> None:
         cluster.run(rng.choice((0.01, 0.05, 0.3, 1.0)))
         cluster.check()
-        up = cluster.up()
+        up = cluster.running_members()
         if up and rng.random() < 0.6:
             for _ in range(rng.randint(1, 3)):
                 level = rng.choice(tuple(Level))
@@ -43,13 +43,13 @@
                     rng.choice(up), rng.choice(names), rng.random() < 0.2, rng.random() < 0.3, level
                 )
         else:
-            _fault(cluster, rng, copies)
+            _random_fault(cluster, rng, copies)
 
-    return perform(cluster, steps, step)
+    return run_history(cluster, steps, step)
 
 
-def befall(
-    cluster: Cluster, rng: random.Random, member: Member, number: int, copies: dict[str, Disk]
+def apply_fault(
+    cluster: LedgerCluster, rng: random.Random, member: Member, number: int, copies: dict[str, Disk]
 ) -> None:
     """The faults 0 to 8, of any cluster of ledgers: stops, starts, sides, full disks, false payloads."""
     match number:
@@ -66,22 +66,22 @@
             for other in cluster.members.values():
                 other.side = 0
         case 6:
-            member.full = not member.full
+            member.disk_full = not member.disk_full
         case 7:
-            member.false = rng.choice((0.0, 0.5, 1.0))
+            member.damage_rate = rng.choice((0.0, 0.5, 1.0))
         case 8:
             copies[member.name] = cluster.copy_disk(member)
 
 
-def _fault(cluster: Cluster, rng: random.Random, copies: dict[str, Disk]) -> None:
+def _random_fault(cluster: LedgerCluster, rng: random.Random, copies: dict[str, Disk]) -> None:
     member = rng.choice(list(cluster.members.values()))
     number = rng.randrange(10)
     if number < 9:
-        befall(cluster, rng, member, number, copies)
+        apply_fault(cluster, rng, member, number, copies)
     elif rng.random() < 0.3:
         cluster.lose_disk(member)
     elif member.name in copies:
-        cluster.set_back(member, copies.pop(member.name))
+        cluster.restore_disk(member, copies.pop(member.name))
     else:
         member.side = 2
         cluster.run(rng.choice((2.0, 9.0)))  # away, perhaps past `reap_after_s`
--- a/faultlab/storm/cluster/network.py
+++ b/faultlab/storm/cluster/network.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-NEAR_S = (0.0005, 0.004)  # a datagram's way in calm, least and most
+NORMAL_DELAY_S = (0.0005, 0.004)  # a datagram's way in calm, least and most
 
 
 @dataclass(slots=True)
@@ -18,11 +18,11 @@
 
     now_s: float = 0.0
     queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = field(default_factory=list)
-    added: int = 0
+    call_count: int = 0
 
-    def at(self, when_s: float, call: Callable[..., None], *given: Any) -> None:
-        self.added += 1
-        heapq.heappush(self.queue, (when_s, self.added, call, given))
+    def call_at(self, when_s: float, call: Callable[..., None], *given: Any) -> None:
+        self.call_count += 1
+        heapq.heappush(self.queue, (when_s, self.call_count, call, given))
 
     def run(self, until_s: float) -> None:
         queue = self.queue
@@ -33,13 +33,13 @@
 
 
 @dataclass(slots=True, frozen=True, eq=False)
-class Cut:
+class Partition:
     """What crosses the border of `inside` is lost; `one_way`: only what comes from the inside."""
 
     inside: frozenset[str]
     one_way: bool = False
 
-    def hinders(self, source: str, target: str) -> bool:
+    def blocks(self, source: str, target: str) -> bool:
         from_inside = source in self.inside
         return from_inside != (target in self.inside) and (from_inside or not self.one_way)
 
@@ -50,24 +50,26 @@
 
     rng: random.Random
     loss: float = 0.0
-    twice: float = 0.0
-    slowest_s: float = NEAR_S[1]
-    cuts: list[Cut] = field(default_factory=list)
+    duplicate: float = 0.0
+    max_delay_s: float = NORMAL_DELAY_S[1]
+    partitions: list[Partition] = field(default_factory=list)
 
     def delays(self, source: str, target: str) -> list[float]:
         """When the copies of one datagram arrive, in seconds from now; none: it is lost."""
         rng = self.rng
-        if any(cut.hinders(source, target) for cut in self.cuts) or (self.loss and rng.random() < self.loss):
+        if any(cut.blocks(source, target) for cut in self.partitions) or (
+            self.loss and rng.random() < self.loss
+        ):
             return []
-        copies = 2 if self.twice and rng.random() < self.twice else 1
-        least_s, span_s = NEAR_S[0], self.slowest_s - NEAR_S[0]
+        copies = 2 if self.duplicate and rng.random() < self.duplicate else 1
+        least_s, span_s = NORMAL_DELAY_S[0], self.max_delay_s - NORMAL_DELAY_S[0]
         return [least_s + rng.random() * span_s for _ in range(copies)]
 
     def connected(self, one: str, other: str) -> bool:
         """Whether a stream between them can be opened: nothing is cut either way."""
-        return not any(cut.hinders(one, other) or cut.hinders(other, one) for cut in self.cuts)
+        return not any(cut.blocks(one, other) or cut.blocks(other, one) for cut in self.partitions)
 
-    def calm(self) -> None:
-        self.loss = self.twice = 0.0
-        self.slowest_s = NEAR_S[1]
-        self.cuts.clear()
+    def heal(self) -> None:
+        self.loss = self.duplicate = 0.0
+        self.max_delay_s = NORMAL_DELAY_S[1]
+        self.partitions.clear()
--- a/faultlab/storm/cluster/routes_history.py
+++ b/faultlab/storm/cluster/routes_history.py
@@ -17,20 +17,20 @@
 
 from faultlab.routes.draw import Names, commit
 from faultlab.storm.cluster.ledger import TICK_S, Disk
-from faultlab.storm.cluster.ledger_history import befall
-from faultlab.storm.cluster.played import Played, perform
-from faultlab.storm.cluster.routes import KEPT, RoutesCluster
+from faultlab.storm.cluster.ledger_history import apply_fault
+from faultlab.storm.cluster.history_result import HistoryResult, run_history
+from faultlab.storm.cluster.routes import MAX_EXPORTS, RoutesCluster
 
 # Members, and what keeps a history of so many short: each of them merges every change.
-LARGE, LARGE_STEPS, LARGE_TICK_S = 100, 6, 0.5
+LARGE_MEMBERS, LARGE_STEPS, LARGE_TICK_S = 100, 6, 0.5
 SIZES = (5, 5, 5, 5, 5, 5, 5, 6, 8, 12, 20)
 STEPS = (4, 4, 4, 5, 5, 5, 6, 6, 8, 16)  # many short ones find more than few long ones in the same time
 
 
-def draw(seed: int) -> Played:
+def play_seed(seed: int) -> HistoryResult:
     """The history of a seed: one in 100 is of LARGE members."""
     if random.Random(f"size {seed}").random() < 1 / 100:
-        return play(seed, LARGE, LARGE_STEPS, LARGE_TICK_S)
+        return play(seed, LARGE_MEMBERS, LARGE_STEPS, LARGE_TICK_S)
     return play(seed)
 
 
@@ -40,7 +40,7 @@
     steps: int | None = None,
     tick_s: float = TICK_S,
     make: Callable[[Environment], Merge] = Merge,
-) -> Played:
+) -> HistoryResult:
     """One random history of 5 to 20 members (or so many), mostly of the fewer."""
     rng = random.Random(seed)
     cluster = RoutesCluster(seed, members or rng.choice(SIZES), tick_s, make)
@@ -50,40 +50,40 @@
         bad=rng.choice((0.0, 0.05, 0.2)),
     )
     copies: dict[str, Disk] = {}
-    cluster.drop, cluster.double = rng.choice((0.0, 0.05, 0.3)), rng.choice((0.0, 0.1))
+    cluster.drop_rate, cluster.duplicate_rate = rng.choice((0.0, 0.05, 0.3)), rng.choice((0.0, 0.1))
     cluster.run(0.5)
 
     def step() -> None:
         cluster.run(rng.choice((0.005, 0.02, 0.1, 0.5, 1.5)))
         cluster.check()
-        if cluster.up() and rng.random() < 0.6:
-            _commits(cluster, rng, names)
+        if cluster.running_members() and rng.random() < 0.6:
+            _random_commits(cluster, rng, names)
         else:
-            _fault(cluster, rng, copies)
+            _random_fault(cluster, rng, copies)
 
-    return perform(cluster, steps or rng.choice(STEPS), step)
+    return run_history(cluster, steps or rng.choice(STEPS), step)
 
 
-def _commits(cluster: RoutesCluster, rng: random.Random, names: Names) -> None:
+def _random_commits(cluster: RoutesCluster, rng: random.Random, names: Names) -> None:
     """One to four teams at once, at members of their own."""
     for _ in range(rng.choice((1, 1, 2, 4))):
-        up = cluster.up()
+        up = cluster.running_members()
         if not up:
             return
         member = rng.choice(up)
-        read = cluster.readers[member.name].read
+        read = cluster.instances[member.name].last_read
         if read is None:
             continue
         if rng.random() < 0.2 and cluster.exports:
             read = rng.choice(cluster.exports)  # exported here or elsewhere, now or long ago
         elif rng.random() < 0.3:
-            cluster.exports = [*cluster.exports[1 - KEPT :], read]
+            cluster.exports = [*cluster.exports[1 - MAX_EXPORTS :], read]
         cluster.commit(member, read, commit(rng, names, read.view), rng.choice(tuple(Level)))
         if rng.random() < 0.1:
-            _killed(cluster, rng, member.name)
+            _schedule_kill(cluster, rng, member.name)
 
 
-def _killed(cluster: RoutesCluster, rng: random.Random, name: str) -> None:
+def _schedule_kill(cluster: RoutesCluster, rng: random.Random, name: str) -> None:
     """At any moment after the commit: before its disk, its quorum, or after."""
     member, life = cluster.members[name], cluster.members[name].life
 
@@ -91,32 +91,36 @@
         if member.life == life and not cluster.healed:
             cluster.stop(member)
 
-    cluster.later(rng.choice((0.0, 0.02, 0.2)) * rng.random(), kill)
+    cluster.call_later(rng.choice((0.0, 0.02, 0.2)) * rng.random(), kill)
 
 
-def _fault(cluster: RoutesCluster, rng: random.Random, copies: dict[str, Disk]) -> None:
+def _random_fault(cluster: RoutesCluster, rng: random.Random, copies: dict[str, Disk]) -> None:
     members = list(cluster.members.values())
     member = rng.choice(members)
     match number := rng.randrange(13):
         case _ if number < 9:
-            befall(cluster, rng, member, number, copies)
+            apply_fault(cluster, rng, member, number, copies)
         case 9:
             if rng.random() < 0.3:
                 cluster.lose_disk(member)
             elif member.name in copies:
-                cluster.set_back(member, copies.pop(member.name))
+                cluster.restore_disk(member, copies.pop(member.name))
         case 10:
             member.side = 2
             cluster.run(rng.choice((2.0, 9.0)))  # away, perhaps past `reap_after_s`
             member.side = 0
         case 11:
-            cluster.world = min(2, cluster.world + 1)  # a transform more, which some hear of later
+            cluster.environment_number = min(
+                2, cluster.environment_number + 1
+            )  # a transform more, which some hear of later
             for other in members:
-                cluster.later(rng.choice((0.0, 0.5, 3.0)) * rng.random(), _hears(cluster, other.name))
+                cluster.call_later(
+                    rng.choice((0.0, 0.5, 3.0)) * rng.random(), _environment_updater(cluster, other.name)
+                )
         case 12:
-            for other in cluster.up():
-                cluster.drop_old(other)
+            for other in cluster.running_members():
+                cluster.drop_superseded(other)
 
 
-def _hears(cluster: RoutesCluster, name: str) -> Callable[[], None]:
-    return lambda: cluster.set_world(cluster.readers[name])
+def _environment_updater(cluster: RoutesCluster, name: str) -> Callable[[], None]:
+    return lambda: cluster.update_environment(cluster.instances[name])
--- a/faultlab/storm/command.py
+++ b/faultlab/storm/command.py
@@ -17,18 +17,18 @@
 
 from faultlab.report import Parts, positive, report
 from faultlab.storm.cluster import activation_history, ledger_history, routes_history
-from faultlab.storm.cluster.faults import draw
-from faultlab.storm.cluster.played import Played
-from faultlab.storm.cluster.verdict import Outcome, play
+from faultlab.storm.cluster.faults import draw_history
+from faultlab.storm.cluster.history_result import HistoryResult
+from faultlab.storm.cluster.membership_history import ClusterResult, play
 from faultlab.storm.module import run_module
 
-EVENTS = 10_000  # of the module for each history of a cluster
-REPLICAS: dict[str, Callable[[int], Played]] = {
-    "ledger": ledger_history.draw,
-    "activation": activation_history.draw,
-    "routes": routes_history.draw,
+EVENTS_PER_HISTORY = 10_000  # of the module for each history of a cluster
+PLAY_BY_PART: dict[str, Callable[[int], HistoryResult]] = {
+    "ledger": ledger_history.play_seed,
+    "activation": activation_history.play_seed,
+    "routes": routes_history.play_seed,
 }
-PARTS = ("module", "cluster", *REPLICAS)
+PARTS = ("module", "cluster", *PLAY_BY_PART)
 
 
 @dataclass(slots=True)
@@ -40,17 +40,17 @@
     members: int = 0
     largest: int = 0
     virtual_s: float = 0.0
-    agreed: list[float] = field(default_factory=list)  # in periods of push-pull
+    agreed_push_pulls: list[float] = field(default_factory=list)  # in periods of push-pull
     violations: list[str] = field(default_factory=list)
 
-    def add(self, outcome: Outcome) -> None:
+    def add(self, outcome: ClusterResult) -> None:
         self.histories += 1
         self.events += outcome.events
         self.members += outcome.members
         self.largest = max(self.largest, outcome.members)
         self.virtual_s += outcome.virtual_s
         if outcome.agreed_s is not None:
-            self.agreed.append(outcome.agreed_s / outcome.history.timing.push_pull_s)
+            self.agreed_push_pulls.append(outcome.agreed_s / outcome.history.timing.push_pull_s)
 
 
 def register(parts: Parts) -> None:
@@ -62,7 +62,9 @@
     lab.add_argument(
         "--events", type=positive, default=1_000_000, help="events of the module (default a million)"
     )
-    lab.add_argument("--histories", type=positive, help=f"clusters (default one for every {EVENTS} events)")
+    lab.add_argument(
+        "--histories", type=positive, help=f"clusters (default one for every {EVENTS_PER_HISTORY} events)"
+    )
     lab.add_argument("--part", choices=PARTS, help="one part alone")
     lab.add_argument("--replay", action="store_true", help="one part's failing seed up to its event, told")
     lab.add_argument("--json", action="store_true", help="one JSON object instead of a table")
@@ -84,16 +86,16 @@
         done = run_module(arguments.seed, arguments.events, check=True)
         figures |= {"events": done.events, "actions_sha256": done.actions_sha256}
         violations += [_with_replay(v, "module", done.seed, done.events) for v in done.violations]
-    count = arguments.histories or max(1, arguments.events // EVENTS)
+    count = arguments.histories or max(1, arguments.events // EVENTS_PER_HISTORY)
     if "cluster" in parts:
-        totals = clusters(arguments.seed, count)
+        totals = play_clusters(arguments.seed, count)
         figures |= {"histories": totals.histories, "cluster_events": totals.events, "members": totals.members}
         figures |= {"largest_cluster": totals.largest, "virtual_s": totals.virtual_s}
-        figures |= {"agreed_push_pulls": quantiles(totals.agreed)}
+        figures |= {"agreed_push_pulls": quantiles(totals.agreed_push_pulls)}
         violations += totals.violations
-    for part, draws in REPLICAS.items():
+    for part, draws in PLAY_BY_PART.items():
         if part in parts:
-            told, broken = replicas(part, draws, arguments.seed, count)
+            told, broken = play_replicated(part, draws, arguments.seed, count)
             figures[part] = told
             violations += broken
     figures |= {"violations": len(violations), "wall_s": time.monotonic() - began_s}
@@ -103,19 +105,19 @@
     return 1 if violations else 0
 
 
-def clusters(seed: int, count: int) -> Totals:
+def play_clusters(seed: int, count: int) -> Totals:
     """Play the histories of `count` seeds from `seed` on. A broken one ends itself, not the rest."""
     totals = Totals()
     for number in range(seed, seed + count):
-        outcome = play(draw(number))
+        outcome = play(draw_history(number))
         totals.add(outcome)
         if outcome.violation is not None:
             totals.violations.append(_with_replay(outcome.violation, "cluster", number, outcome.events))
     return totals
 
 
-def replicas(
-    part: str, draws: Callable[[int], Played], seed: int, count: int
+def play_replicated(
+    part: str, draws: Callable[[int], HistoryResult], seed: int, count: int
 ) -> tuple[dict[str, Any], list[str]]:
     """Figures and violations of a replicated part's histories, of `count` seeds from `seed` on."""
     played = {number: draws(number) for number in range(seed, seed + count)}
@@ -154,26 +156,28 @@
         print(f"seed {seed}, {done.events} events, actions {done.actions_sha256}")
         print("\n".join(done.violations) or "nothing broke")
         return 1 if done.violations else 0
-    if part in REPLICAS:
-        played = REPLICAS[part](seed)
+    if part in PLAY_BY_PART:
+        played = PLAY_BY_PART[part](seed)
         print(f"seed {seed}: {played.members} members")
-        print(f"event {played.events}{_same(played.events, events)} at {played.virtual_s:.3f} s:")
+        print(f"event {played.events}{_event_mismatch(played.events, events)} at {played.virtual_s:.3f} s:")
         print("\n".join(played.violations) or "nothing broke")
         return 1 if played.violations else 0
-    history = draw(seed)
+    history = draw_history(seed)
     print(f"seed {seed}: {history.size} members, {history.seeds} seeds, ticks of {history.tick_s} s")
     print(f"  {history.timing}")
     for fault in history.faults:
-        print(f"  {fault.at_s:8.3f} s {fault.kind.value:<11} who {fault.who:>4}, share {fault.share:.2f}, "
-              f"for {fault.length_s:.2f} s")  # fmt: skip
+        print(
+            f"  {fault.at_s:8.3f} s {fault.kind.value:<11} who {fault.process_index:>4}, "
+            f"share {fault.share:.2f}, for {fault.duration_s:.2f} s"
+        )
     outcome = play(history)
-    print("last told:", *outcome.told, sep="\n  ")
-    same = _same(outcome.events, events)
+    print("last told:", *outcome.last_actions, sep="\n  ")
+    same = _event_mismatch(outcome.events, events)
     print(
         f"event {outcome.events}{same} at {outcome.virtual_s:.3f} s: {outcome.violation or 'nothing broke'}"
     )
     return 1 if outcome.violation else 0
 
 
-def _same(events: int, told: int) -> str:
+def _event_mismatch(events: int, told: int) -> str:
     return "" if events == told else f" (not {told}: other code or options)"
--- a/faultlab/storm/module.py
+++ b/faultlab/storm/module.py
@@ -11,7 +11,7 @@
 from faultlab.storm.world.draws import draw_settings
 from faultlab.storm.world.world import World
 
-EPISODE = 12_000  # events at most before a world and its balancer give way to the next
+MAX_EVENTS_PER_WORLD = 12_000  # events at most before a world and its balancer give way to the next
 
 
 @dataclass(slots=True)
@@ -41,8 +41,8 @@
         if check:
             attach_checks(balancer, seed, event_number=done)
         world = World(rng, settings, learned, Random(f"plans {seed} {done}") if seed % 2 == 0 else None)
-        for _ in range(min(rng.randint(500, EPISODE), events - done)):
-            now_us, event = world.next()
+        for _ in range(min(rng.randint(500, MAX_EVENTS_PER_WORLD), events - done)):
+            now_us, event = world.next_event()
             if rng.random() < 0.002:
                 now_us -= 1_000  # a clock that steps back
             done += 1
@@ -52,7 +52,7 @@
                 what = f"seed {seed} event {done}: {error!r}"
                 return ModuleRun(seed, done, digest.hexdigest(), [what])
             digest.update(repr(actions).encode())
-            world.take(actions)
+            world.handle_actions(actions)
             if rng.random() < 0.002:
                 digest.update(repr((balancer.count_skipped(now_us), balancer.learned_state())).encode())
         learned = balancer.learned_state()
--- a/faultlab/storm/world/attempts.py
+++ b/faultlab/storm/world/attempts.py
@@ -12,101 +12,115 @@
     Send,
     StreamStarted,
 )
-from faultlab.storm.world.base import SECOND_US, BASE_US, CALM, Host, Shot, Asked, Base
+from faultlab.storm.world.state import (
+    SECOND_US,
+    BASE_WORK_US,
+    LIGHT_LOAD,
+    Host,
+    AttemptState,
+    ClientRequest,
+    WorldState,
+)
 
 
-class Attempts(Base):
+class Attempts(WorldState):
     """What becomes of attempts at hosts, and of requests when they end."""
 
-    def close(self, name: str, asked: Asked) -> None:
+    def close_request(self, name: str, asked: ClientRequest) -> None:
         asked.closed = True
-        if all(shot.ended for shot in asked.shots):
-            self.asked.pop(name, None)
+        if all(shot.ended for shot in asked.attempts):
+            self.requests.pop(name, None)
 
     def send(self, action: Send) -> None:
         rng = self.rng
-        asked, host = self.asked.get(action.request), self.hosts.get(action.server)
+        asked, host = self.requests.get(action.request), self.hosts.get(action.server)
         if asked is None:
             return
-        number = len(asked.shots)
-        shot = Shot(action.server, sent_us=max(self.now_us, asked.body_ends_us))
-        asked.shots.append(shot)
+        number = len(asked.attempts)
+        shot = AttemptState(action.server, sent_us=max(self.now_us, asked.body_ends_us))
+        asked.attempts.append(shot)
         if asked.closed or rng.random() < 0.003:
-            self.end(asked, number, 0, Outcome.NOT_SENT)
+            self.schedule_end(asked, number, 0, Outcome.NOT_SENT)
             return
         if host is not None:
-            host.out += 1
-        outcome, latency_us = self.fate(asked, host)
+            host.in_flight += 1
+        outcome, latency_us = self.draw_outcome(asked, host)
         wait_us = shot.sent_us - self.now_us
         if asked.body_ends_us > self.now_us and rng.random() < 0.6:
             passing_us = rng.randint(0, asked.body_ends_us - self.now_us)
-            self.plan(passing_us, lambda: self.passing(asked, number))
+            self.schedule(passing_us, lambda: self.body_passing(asked, number))
         if outcome is Outcome.OK and latency_us < action.timeout_us and rng.random() < 0.04:
-            shot.streams = True
+            shot.streaming = True
             before_body = rng.random() < 0.5
-            self.plan(latency_us + (0 if before_body else wait_us), lambda: self.stream(asked, number))
-            latency_us += self.later(150_000)
+            self.schedule(
+                latency_us + (0 if before_body else wait_us), lambda: self.stream_started(asked, number)
+            )
+            latency_us += self.draw_delay_us(150_000)
             outcome = rng.choice((Outcome.OK, Outcome.OK, Outcome.RESET))
         elif latency_us >= action.timeout_us:
             outcome, latency_us = Outcome.TIMEOUT, action.timeout_us
         early = outcome in (Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED) and rng.random() < 0.3
-        self.end(asked, number, latency_us + (0 if early else wait_us), outcome)
+        self.schedule_end(asked, number, latency_us + (0 if early else wait_us), outcome)
 
-    def fate(self, asked: Asked, host: Host | None) -> tuple[Outcome, int]:
+    def draw_outcome(self, asked: ClientRequest, host: Host | None) -> tuple[Outcome, int]:
         """How an attempt would end, and after how long, if nothing cut it short."""
         rng = self.rng
-        if host is None or host.mood == "dead":
-            return Outcome.CONNECT_FAILED, self.later(1_000)
-        work_us = asked.event.work_us or BASE_US
-        latency_us = int(work_us * rng.lognormvariate(0.0, 0.25) * (1.0 + host.out * self.load))
-        latency_us += self.later(20_000 * max(0.0, self.load - CALM))
+        if host is None or host.health == "dead":
+            return Outcome.CONNECT_FAILED, self.draw_delay_us(1_000)
+        work_us = asked.event.work_us or BASE_WORK_US
+        latency_us = int(work_us * rng.lognormvariate(0.0, 0.25) * (1.0 + host.in_flight * self.load_factor))
+        latency_us += self.draw_delay_us(20_000 * max(0.0, self.load_factor - LIGHT_LOAD))
         bad = rng.random() < 0.7
-        if host.mood == "silent":
+        if host.health == "silent":
             return Outcome.TIMEOUT, 60 * SECOND_US
-        if host.mood == "slow":
+        if host.health == "slow":
             latency_us *= 8
-        if host.mood == "full" and bad:
-            return Outcome.FULL, self.later(1_500)
-        if host.mood == "resets" and bad:
-            return Outcome.RESET, self.later(latency_us)
-        if bad and (host.mood == "failing" or (host.mood != "fine" and asked.event.klass == host.bad_class)):
-            return Outcome.ERROR, self.later(5_000)
+        if host.health == "full" and bad:
+            return Outcome.FULL, self.draw_delay_us(1_500)
+        if host.health == "resets" and bad:
+            return Outcome.RESET, self.draw_delay_us(latency_us)
+        if bad and (
+            host.health == "failing" or (host.health != "fine" and asked.event.klass == host.failing_class)
+        ):
+            return Outcome.ERROR, self.draw_delay_us(5_000)
         chance = rng.random()
         if chance < 0.01:
-            return rng.choice((Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED)), self.later(5_000)
+            return rng.choice((Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED)), self.draw_delay_us(
+                5_000
+            )
         return Outcome.OK, latency_us
 
-    def end(self, asked: Asked, number: int, wait_us: int, outcome: Outcome) -> None:
+    def schedule_end(self, asked: ClientRequest, number: int, wait_us: int, outcome: Outcome) -> None:
         name = asked.event.request
 
         def ended() -> Event | None:
-            shot = asked.shots[number]
+            shot = asked.attempts[number]
             if shot.ended:
                 return None
             shot.ended = True
             host = self.hosts.get(shot.host)
             if host is not None:
-                host.out = max(0, host.out - 1)
-            streamed = shot.streams and self.now_us > shot.sent_us
+                host.in_flight = max(0, host.in_flight - 1)
+            streamed = shot.streaming and self.now_us > shot.sent_us
             if outcome is Outcome.OK or streamed or asked.closed:
-                self.close(name, asked)
+                self.close_request(name, asked)
             latency_us = max(0, self.now_us - shot.sent_us)
             report = LoadReport(inflight=1.0) if outcome is Outcome.OK else None
             return AttemptEnded(name, number, shot.host, outcome, latency_us, asked.closed, report)
 
-        self.plan(wait_us, ended)
+        self.schedule(wait_us, ended)
 
-    def passing(self, asked: Asked, number: int) -> Event | None:
-        return None if asked.shots[number].ended else BodyPassing(asked.event.request, number)
+    def body_passing(self, asked: ClientRequest, number: int) -> Event | None:
+        return None if asked.attempts[number].ended else BodyPassing(asked.event.request, number)
 
-    def stream(self, asked: Asked, number: int) -> Event | None:
-        shot = asked.shots[number]
-        if shot.ended or asked.closed or any(s.streams for s in asked.shots if s is not shot):
-            shot.streams = False
+    def stream_started(self, asked: ClientRequest, number: int) -> Event | None:
+        shot = asked.attempts[number]
+        if shot.ended or asked.closed or any(s.streaming for s in asked.attempts if s is not shot):
+            shot.streaming = False
             return None
         return StreamStarted(asked.event.request, number)
 
     def cancel(self, action: Cancel) -> None:
-        asked = self.asked.get(action.request)
-        if asked is not None and action.attempt < len(asked.shots):
-            self.end(asked, action.attempt, self.rng.choice((0, 0, 300)), Outcome.CANCELLED)
+        asked = self.requests.get(action.request)
+        if asked is not None and action.attempt < len(asked.attempts):
+            self.schedule_end(asked, action.attempt, self.rng.choice((0, 0, 300)), Outcome.CANCELLED)
--- a/faultlab/storm/world/draws.py
+++ b/faultlab/storm/world/draws.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from caperdrift.interface import Effect, Goal, Prices, RequestClass, Scope, Settings, Tenant
-from faultlab.storm.world.base import SECOND_US
+from faultlab.storm.world.state import SECOND_US
 
 
 def draw_class(rng: Random) -> RequestClass:
@@ -56,7 +56,7 @@
     )
 
 
-def retuned(rng: Random, old: Settings) -> Settings:
+def reconfigured(rng: Random, old: Settings) -> Settings:
     """The settings after an operator's change: classes and tenants keep their numbers."""
     classes = list(old.classes)
     place = rng.randrange(len(classes))
--- a/faultlab/storm/world/plans.py
+++ b/faultlab/storm/world/plans.py
@@ -7,26 +7,26 @@
 
 from caperdrift.interface import Event
 from caperdrift.plan import HostSelector, Plan, Route, Target
-from faultlab.storm.world.base import LABELS, SECOND_US, Base
+from faultlab.storm.world.state import LABEL_COUNT, SECOND_US, WorldState
 
-PLAN_US = 1.5 * SECOND_US  # mean time between two plans
-ROUTES_MOST = 6
-UNKNOWN = 999  # a route that no plan has
-SHARES = ((), (1.0,), (0.1, 0.9), (0.3, 0.7), (0.2, 0.3, 0.5))
+MEAN_PLAN_CHANGE_US = 1.5 * SECOND_US  # mean time between two plans
+MAX_ROUTES = 6
+UNKNOWN_ROUTE = 999  # a route that no plan has
+SHARE_CHOICES = ((), (1.0,), (0.1, 0.9), (0.3, 0.7), (0.2, 0.3, 0.5))
 
 
-def draw_hosts(rng: Random) -> HostSelector:
+def draw_selector(rng: Random) -> HostSelector:
     """Some of the world's servers, which are in three zones and four groups; now and then none."""
 
     def some(most: int) -> frozenset[int]:
         return frozenset(rng.sample(range(most), rng.randint(1, 2))) if rng.random() < 0.5 else frozenset()
 
-    return HostSelector(groups=some(4), zones=some(3), labels=some(LABELS))
+    return HostSelector(groups=some(4), zones=some(3), labels=some(LABEL_COUNT))
 
 
 def draw_route(rng: Random) -> Route:
-    shares = rng.choice(SHARES)
-    hosts = [draw_hosts(rng) for _ in shares]
+    shares = rng.choice(SHARE_CHOICES)
+    hosts = [draw_selector(rng) for _ in shares]
     if len(hosts) > 1 and rng.random() < 0.5:
         hosts[-1] = HostSelector(none_of=tuple(hosts[:-1]))
     return Route(
@@ -37,33 +37,33 @@
     )
 
 
-class Plans(Base):
+class Plans(WorldState):
     """`plans` draws them; where it is None there are none, and no request has a route."""
 
-    plans: Random | None = None
+    plan_rng: Random | None = None
 
-    def begin_plans(self, plans: Random | None) -> None:
-        self.plans = plans
+    def start_plans(self, plans: Random | None) -> None:
+        self.plan_rng = plans
         self.routes: dict[int, Route] = {}
         self.last_route = 0
         if plans is not None:
-            self.plan(5, self.plan_changes)
+            self.schedule(5, self.change_plan)
 
-    def route(self) -> int:
+    def draw_route_number(self) -> int:
         """That of the next request."""
-        if self.plans is None:
+        if self.plan_rng is None:
             return 0
-        return self.plans.choice((0, UNKNOWN, *self.routes, *self.routes, *self.routes))
+        return self.plan_rng.choice((0, UNKNOWN_ROUTE, *self.routes, *self.routes, *self.routes))
 
-    def plan_changes(self) -> Event | None:
+    def change_plan(self) -> Event | None:
         """Routes are edited, come and go in one plan; now and then a host's labels change instead."""
-        rng = self.plans
+        rng = self.plan_rng
         assert rng is not None
-        self.plan(1 + rng.expovariate(1.0) * PLAN_US, self.plan_changes)
+        self.schedule(1 + rng.expovariate(1.0) * MEAN_PLAN_CHANGE_US, self.change_plan)
         if rng.random() < 0.2 and self.hosts:
             host = self.hosts[rng.choice(tuple(self.hosts))]
-            host.entry = replace(host.entry, labels=frozenset({rng.randrange(LABELS)}))
-            self.changed.add(host.entry.server)
+            host.entry = replace(host.entry, labels=frozenset({rng.randrange(LABEL_COUNT)}))
+            self.changed_hosts.add(host.entry.server)
             return None
         self.routes = dict(self.routes)
         for number in tuple(self.routes):
@@ -71,7 +71,7 @@
                 del self.routes[number]
             elif rng.random() < 0.3:
                 self.routes[number] = draw_route(rng)
-        while len(self.routes) < rng.randint(1, ROUTES_MOST):
+        while len(self.routes) < rng.randint(1, MAX_ROUTES):
             self.last_route += 1
             self.routes[self.last_route] = draw_route(rng)
         return Plan(self.routes)
--- a/faultlab/storm/world/world.py
+++ b/faultlab/storm/world/world.py
@@ -32,9 +32,9 @@
     TimerFired,
     WatchList,
 )
-from faultlab.storm.world.base import SECOND_US, MOOD_US, MEMBERSHIP_US
+from faultlab.storm.world.state import SECOND_US, MEAN_UNHEALTHY_US, MEAN_FLEET_CHANGE_US
 from faultlab.storm.world.clients import Clients
-from faultlab.storm.world.draws import retuned
+from faultlab.storm.world.draws import reconfigured
 from faultlab.storm.world.fleet import Fleet
 
 
@@ -54,23 +54,23 @@
         plans: Random | None = None,
     ) -> None:
         super().__init__(rng, settings)
-        self.begin_plans(plans)
-        for _ in range(self.usual):
+        self.start_plans(plans)
+        for _ in range(self.usual_host_count):
             self.add_host(0)
         first = ListKind.FULL if settings.list_is_pushed else ListKind.DISK
-        self.plan(0, lambda: self.listing(first))
+        self.schedule(0, lambda: self.make_list(first))
         if learned is not None:
-            self.plan(1, lambda: Restore(learned, rng.choice((-5, 0, 800_000, 60_000_000))))
-        self.plan(10, self.arrive)
-        self.plan(self.later(MEMBERSHIP_US), self.fleet_changes)
-        self.plan(self.later(MOOD_US / 6), self.mood_changes)
-        self.plan(self.later(3 * SECOND_US), self.weather_changes)
-        self.plan(self.later(4 * SECOND_US), self.settings_change)
-        self.plan(self.later(SECOND_US / 4), self.oddity)
+            self.schedule(1, lambda: Restore(learned, rng.choice((-5, 0, 800_000, 60_000_000))))
+        self.schedule(10, self.arrive)
+        self.schedule(self.draw_delay_us(MEAN_FLEET_CHANGE_US), self.change_fleet)
+        self.schedule(self.draw_delay_us(MEAN_UNHEALTHY_US / 6), self.change_health)
+        self.schedule(self.draw_delay_us(3 * SECOND_US), self.change_load)
+        self.schedule(self.draw_delay_us(4 * SECOND_US), self.change_settings)
+        self.schedule(self.draw_delay_us(SECOND_US / 4), self.unexpected_event)
 
     # What the lab calls
 
-    def next(self) -> tuple[int, Event]:
+    def next_event(self) -> tuple[int, Event]:
         """The time of the next event, and the event."""
         while True:
             due_us, _, happen = heappop(self.queue)
@@ -79,50 +79,53 @@
             if event is not None:
                 return self.now_us, event
 
-    def take(self, actions: list[Action]) -> None:
+    def handle_actions(self, actions: list[Action]) -> None:
         """Hear what the balancer did about the last event."""
         for action in actions:
             match action:
                 case Send():
                     self.send(action)
                 case Refuse() | Fail():
-                    self.answered(action)
+                    self.final_answer(action)
                 case Cancel():
                     self.cancel(action)
                 case SetTimer():
                     token = action.token
                     wait_us = action.due_us - self.now_us + self.rng.choice((0, 1_000))
-                    self.plan(wait_us, lambda token=token: TimerFired(token))  # type: ignore[misc]
+                    self.schedule(wait_us, lambda token=token: TimerFired(token))  # type: ignore[misc]
                 case WatchList():
-                    self.watched = action.on
+                    self.watching = action.on
                     kind = self.rng.choices((ListKind.FULL, ListKind.DELTA, ListKind.ERROR), (6, 2, 2))[0]
-                    self.plan(self.later(50_000), lambda kind=kind: self.listing(kind))  # type: ignore[misc]
+                    self.schedule(self.draw_delay_us(50_000), lambda kind=kind: self.make_list(kind))  # type: ignore[misc]
                 case FetchList():
-                    self.plan(self.later(50_000), lambda: self.listing(ListKind.FULL))
+                    self.schedule(self.draw_delay_us(50_000), lambda: self.make_list(ListKind.FULL))
 
     # Besides hosts and clients
 
-    def settings_change(self) -> Event | None:
-        self.plan(self.later(4 * SECOND_US), self.settings_change)
-        self.settings = retuned(self.rng, self.settings)
+    def change_settings(self) -> Event | None:
+        self.schedule(self.draw_delay_us(4 * SECOND_US), self.change_settings)
+        self.settings = reconfigured(self.rng, self.settings)
         return SettingsChanged(self.settings)
 
-    def oddity(self) -> Event | None:
+    def unexpected_event(self) -> Event | None:
         """What should not come, or means nothing: names held twice or unknown, late timers, other tenants."""
         rng = self.rng
-        self.plan(self.later(SECOND_US / 4), self.oddity)
-        name = rng.choice(tuple(self.asked)) if self.asked else "never"
-        some = self.asked[name].event if self.asked else RequestArrived("never", 0, 1)
+        self.schedule(self.draw_delay_us(SECOND_US / 4), self.unexpected_event)
+        name = rng.choice(tuple(self.requests)) if self.requests else "never"
+        some = self.requests[name].event if self.requests else RequestArrived("never", 0, 1)
         turn = rng.randrange(9)
-        if turn == 0 and self.asked:
+        if turn == 0 and self.requests:
             return some
         if turn == 1:
-            self.names += 1
+            self.request_count += 1
             klass = rng.choice((-1, len(self.settings.classes), 99))
-            return RequestArrived(f"r{self.names}", klass, 100_000)
+            return RequestArrived(f"r{self.request_count}", klass, 100_000)
         if turn == 2:
             told = [
-                (n, k) for n, asked in self.asked.items() for k, shot in enumerate(asked.shots) if shot.ended
+                (n, k)
+                for n, asked in self.requests.items()
+                for k, shot in enumerate(asked.attempts)
+                if shot.ended
             ]
             name, number = rng.choice((*told, (name, -1), (name, 9)))
             return AttemptEnded(name, number, 1, rng.choice(tuple(Outcome)), 5_000)
@@ -133,12 +136,12 @@
         if turn == 5:
             return rng.choice((Probed(1, Outcome.OK, 900), PeerMessage(0, b"x"), BodyPassing("never", 0)))
         if turn == 6:
-            return self.strange_learned()
+            return self.out_of_range_restore()
         if turn == 7:
             self.now_us += rng.randint(0, SECOND_US)  # a process that was held up
         return None
 
-    def strange_learned(self) -> Event:
+    def out_of_range_restore(self) -> Event:
         """A Restore in the middle of service, of figures out of every bound."""
         rng = self.rng
         figures = (0.0, -1.0, 1e9, math.inf, 5_000.0, 40_000.0)
--- a/tests/test_activation_core.py
+++ b/tests/test_activation_core.py
@@ -48,16 +48,16 @@
 
 def settled(members: int = 5) -> ActivationCluster:
     cluster = ActivationCluster(7, members)
-    assert cluster.run(20.0, lambda: all(brain.settled for brain in cluster.brains.values()))
+    assert cluster.run(20.0, lambda: all(brain.settled for brain in cluster.instances.values()))
     return cluster
 
 
 def rest(cluster: ActivationCluster) -> list[Epoch]:
     """Let all come to rest; the epochs decided so far, from 1 on."""
-    assert cluster.run(60.0, cluster.rested)
+    assert cluster.run(60.0, cluster.is_quiescent)
     cluster.finish()
-    assert cluster.truth.violations + cluster.activation.violations == []
-    return [cluster.activation.epochs[n] for n in sorted(cluster.activation.epochs) if n]
+    assert cluster.reference.violations + cluster.activation_reference.violations == []
+    return [cluster.activation_reference.epochs[n] for n in sorted(cluster.activation_reference.epochs) if n]
 
 
 def test_a_value_that_a_quorum_may_have_accepted_binds_every_later_ballot() -> None:
@@ -190,19 +190,19 @@
 
 def test_published_to_canaries_then_all_then_rolled_back() -> None:
     cluster = settled()
-    one = cluster.order(cluster.members["m3"], "t", "publish", Level.QUORUM)
+    one = cluster.submit_order(cluster.members["m3"], "t", "publish", Level.QUORUM)
     canary, active = rest(cluster)
     assert canary.slots["t"].candidate == one and 1 <= len(canary.slots["t"].canaries) < 5
     assert active.slots["t"].active == one and active.voters == tuple(cluster.members)
-    two = cluster.order(cluster.members["m1"], "t", "publish", Level.QUORUM)
+    two = cluster.submit_order(cluster.members["m1"], "t", "publish", Level.QUORUM)
     assert rest(cluster)[-1].slots["t"].active == two
-    cluster.order(cluster.members["m4"], "t", "rollback", Level.QUORUM)
+    cluster.submit_order(cluster.members["m4"], "t", "rollback", Level.QUORUM)
     last = rest(cluster)[-1]
     assert last.slots["t"].active == one and last.slots["t"].why == f"rolled back: {two}"
-    assert all(brain.core.active == {"t": one} for brain in cluster.brains.values())
-    orders = [sorted(brain.core.ledger_state.orders) for brain in cluster.brains.values()]
+    assert all(brain.core.active == {"t": one} for brain in cluster.instances.values())
+    orders = [sorted(brain.core.ledger_state.orders) for brain in cluster.instances.values()]
     assert cluster.run(
-        20.0, lambda: all(list(b.core.ledger_state.orders) == [one] for b in cluster.brains.values())
+        20.0, lambda: all(list(b.core.ledger_state.orders) == [one] for b in cluster.instances.values())
     ), orders
 
 
@@ -210,7 +210,7 @@
     cluster = settled()
     for lost in (False, True):
         if lost:
-            cluster.activation.epochs = {0: Epoch()}  # a new fleet
+            cluster.activation_reference.epochs = {0: Epoch()}  # a new fleet
             for member in cluster.members.values():
                 cluster.lose_disk(member)
         else:
@@ -219,9 +219,9 @@
             if member.core is None:
                 cluster.start(member)
         cluster.run(10.0)
-        version = cluster.order(cluster.members["m1"], "t", "publish", Level.QUORUM)
+        version = cluster.submit_order(cluster.members["m1"], "t", "publish", Level.QUORUM)
         cluster.run(10.0)
-        core = cluster.brains["m0"].core
+        core = cluster.instances["m0"].core
         assert core.epoch.number == 0
         assert core.wait_reasons[""].startswith("the first epoch takes all 5 members, and 4")
         cluster.start(cluster.members["m4"])
@@ -230,29 +230,29 @@
 
 def test_a_fleet_restarted_whole_goes_on_and_one_replaced_of_five_votes_in_the_epoch_that_names_it() -> None:
     cluster = settled()
-    cluster.order(cluster.members["m0"], "t", "publish", Level.ALL)
+    cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
     number = rest(cluster)[-1].number
     for member in cluster.members.values():
         cluster.stop(member)
         cluster.start(member)
-    two = cluster.order(cluster.members["m0"], "t", "publish", Level.LOCAL)
+    two = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.LOCAL)
     cluster.run(10.0)
-    assert cluster.brains["m3"].core.epoch.slots["t"].active == two
-    old = cluster.members["m2"].disk.number
+    assert cluster.instances["m3"].core.epoch.slots["t"].active == two
+    old = cluster.members["m2"].disk.disk_id
     cluster.lose_disk(cluster.members["m2"])
     cluster.start(cluster.members["m2"])
-    assert cluster.run(20.0, lambda: dict(cluster.brains["m0"].core.epoch.voter_store_ids())["m2"] != old)
+    assert cluster.run(20.0, lambda: dict(cluster.instances["m0"].core.epoch.voter_store_ids())["m2"] != old)
     for name in ("m3", "m4"):
         cluster.stop(cluster.members[name])
-    three = cluster.order(cluster.members["m0"], "t", "publish", Level.LOCAL)
+    three = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.LOCAL)
     cluster.run(15.0)  # with m2's vote, or not at all
-    epoch = cluster.brains["m0"].core.epoch
+    epoch = cluster.instances["m0"].core.epoch
     assert epoch.number > number and epoch.slots["t"].active == three
 
 
 def test_two_publish_one_name_at_once_the_last_in_sequence_is_taken_on_all() -> None:
     cluster = settled()
-    ids = [cluster.order(cluster.members[m], "t", "publish", Level.LOCAL) for m in ("m1", "m4")]
+    ids = [cluster.submit_order(cluster.members[m], "t", "publish", Level.LOCAL) for m in ("m1", "m4")]
     epochs = rest(cluster)
     assert epochs[-1].slots["t"].active == max(ids)
     assert min(ids) not in {slot.active for epoch in epochs for slot in epoch.slots.values()}
@@ -260,62 +260,62 @@
 
 def test_a_version_that_trips_is_quarantined_and_the_one_before_runs_on() -> None:
     cluster = settled()
-    good = cluster.order(cluster.members["m0"], "t", "publish", Level.ALL)
+    good = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
     rest(cluster)
-    bad = cluster.order(cluster.members["m2"], "t", "publish", Level.ALL)
-    cluster.bad.add(bad)
+    bad = cluster.submit_order(cluster.members["m2"], "t", "publish", Level.ALL)
+    cluster.bad_versions.add(bad)
     last = rest(cluster)[-1].slots["t"]
     assert last.active == good and last.why.startswith(f"quarantined: {bad} breakers open at")
-    late = cluster.order(cluster.members["m2"], "t", "publish", Level.ALL)
+    late = cluster.submit_order(cluster.members["m2"], "t", "publish", Level.ALL)
     rest(cluster)
-    cluster.bad.add(late)  # fails only once it runs everywhere
-    for brain in list(cluster.brains.values()):
+    cluster.bad_versions.add(late)  # fails only once it runs everywhere
+    for brain in list(cluster.instances.values()):
         cluster._tripper(brain, late)()
     last = rest(cluster)[-1].slots["t"]
     assert last.active == good and not last.before
-    assert all(brain.core.active == {"t": good} for brain in cluster.brains.values())
+    assert all(brain.core.active == {"t": good} for brain in cluster.instances.values())
 
 
 def test_a_member_that_cannot_stage_blocks_with_its_reason_and_is_left_behind() -> None:
     cluster = settled()
-    old = cluster.order(cluster.members["m0"], "t", "publish", Level.ALL)
+    old = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
     rest(cluster)
-    id = cluster.order(cluster.members["m0"], "t", "publish", Level.ALL)
-    cluster.unable[id] = {"m4"}
+    id = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
+    cluster.cannot_stage[id] = {"m4"}
     cluster.run(2.0)
-    assert cluster.brains["m0"].core.wait_reasons == {"t": "staged at 4 of 5: m4: no memory"}
+    assert cluster.instances["m0"].core.wait_reasons == {"t": "staged at 4 of 5: m4: no memory"}
     slot = rest(cluster)[-1].slots["t"]
-    assert (slot.active, slot.behind) == (id, ("m4",)) and cluster.brains["m4"].core.active == {"t": old}
-    refused = cluster.order(cluster.members["m0"], "t", "publish", Level.ALL)
-    cluster.unable[refused] = {"m1", "m2", "m3"}
+    assert (slot.active, slot.behind) == (id, ("m4",)) and cluster.instances["m4"].core.active == {"t": old}
+    refused = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
+    cluster.cannot_stage[refused] = {"m1", "m2", "m3"}
     slot = rest(cluster)[-1].slots["t"]
     assert slot.active == id and slot.why == f"refused: {refused} by 3 of 5: m1: no memory"
 
 
 def test_a_minority_takes_no_new_epoch_and_ends_on_the_same_after_the_heal() -> None:
     cluster = settled()
-    cluster.order(cluster.members["m0"], "t", "publish", Level.ALL)
+    cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
     number = rest(cluster)[-1].number
     for name in ("m0", "m1"):
         cluster.members[name].side = 1
-    mine = cluster.order(cluster.members["m0"], "t", "publish", Level.QUORUM)
-    cluster.order(cluster.members["m3"], "t", "publish", Level.QUORUM)
+    mine = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.QUORUM)
+    cluster.submit_order(cluster.members["m3"], "t", "publish", Level.QUORUM)
     cluster.run(1.0)
-    theirs = cluster.order(
+    theirs = cluster.submit_order(
         cluster.members["m3"], "t", "publish", Level.QUORUM
     )  # of a higher number than `mine`
     cluster.run(15.0)  # simulated
-    assert [cluster.brains[m].core.epoch.number == number for m in cluster.members] == [True] * 2 + [
+    assert [cluster.instances[m].core.epoch.number == number for m in cluster.members] == [True] * 2 + [
         False
     ] * 3
-    assert cluster.brains["m3"].core.active == {"t": theirs}
+    assert cluster.instances["m3"].core.active == {"t": theirs}
     for member in cluster.members.values():
         member.side = 0
     last = rest(cluster)[-1].slots["t"]
     assert last.active == theirs and mine not in {
-        e.slots["t"].candidate for e in cluster.activation.epochs.values() if e.slots
+        e.slots["t"].candidate for e in cluster.activation_reference.epochs.values() if e.slots
     }
-    assert all(brain.core.active == {"t": theirs} for brain in cluster.brains.values())
+    assert all(brain.core.active == {"t": theirs} for brain in cluster.instances.values())
 
 
 @pytest.mark.parametrize(("first", "block"), [(0, records.NUMBERS_PER_KEY), (5, 2)])
--- a/tests/test_ledger_core.py
+++ b/tests/test_ledger_core.py
@@ -31,7 +31,7 @@
 from cloverkeel.fleet.ledger.messages import Digest, Fetch, Heads, Held, Piece
 from cloverkeel.fleet.ledger.records import Record, payload_hash
 from cloverkeel.fleet.ledger.replica import Put
-from faultlab.storm.cluster.ledger import TICK_S, Cluster
+from faultlab.storm.cluster.ledger import TICK_S, LedgerCluster
 from faultlab.storm.cluster.ledger_history import play
 
 T = TypeVar("T")
@@ -96,21 +96,21 @@
 def test_idle_traffic_of_a_member_does_not_grow_with_the_fleet() -> None:
     costs = []
     for size in (5, 25):
-        cluster = Cluster(3, size, TICK_S)
+        cluster = LedgerCluster(3, size, TICK_S)
         assert cluster.run(60.0, cluster.agreed)
         for number, member in enumerate(cluster.members.values()):
             cluster.write(member, ("kind", str(number)), old=False, delete=False, level=Level.LOCAL)
         cluster.run(30.0)
         cluster.write(cluster.members["m0"], ("kind", "0"), old=False, delete=True, level=Level.LOCAL)
         cluster.run(120.0)
-        cores = [member.core for member in cluster.up() if member.core is not None]
+        cores = [member.core for member in cluster.running_members() if member.core is not None]
         assert not any(
             core.replica.tombstones for core in cores
         )  # each has received a context with the tombstone from all others
         before = cluster.sent_bytes
         cluster.run(30.0)
         costs.append((cluster.sent_bytes - before) / size)
-        assert cluster.broken() == []
+        assert cluster.violations() == []
     assert 0 < costs[1] < 1.1 * costs[0]
 
 
@@ -287,15 +287,15 @@
     return puts
 
 
-def pair(first: list[Put], second: list[Put]) -> Cluster:
+def pair(first: list[Put], second: list[Put]) -> LedgerCluster:
     """A cluster of two members with these records on disk."""
-    cluster = Cluster(1, 2, TICK_S)
+    cluster = LedgerCluster(1, 2, TICK_S)
     for member, puts in zip(cluster.members.values(), (first, second), strict=True):
         cluster.stop(member)
         member.disk.rows = {put.record.dot: put for put in puts}
         member.disk.context = Context().add(member.disk.rows)
         for put in puts:
-            cluster.truth.taken(member.disk.number, put.record, put.payload, frozenset())
+            cluster.reference.record_persisted(member.disk.disk_id, put.record, put.payload, frozenset())
         cluster.start(member)
     return cluster
 
@@ -303,14 +303,14 @@
 def test_one_change_among_10_000_records_costs_at_most_64_kib() -> None:
     every = rows(10_000)
     cluster = pair(every, every[1:])
-    assert cluster.run(30.0, cluster.agreed) and not cluster.truth.violations
+    assert cluster.run(30.0, cluster.agreed) and not cluster.reference.violations
     assert cluster.sent_bytes <= 64 * 1024
 
 
 def test_a_newcomer_gets_10_000_records() -> None:
     cluster = pair(rows(10_000), [])
     next(iter(cluster.members.values())).core.settling.settled = True  # type: ignore[union-attr]
-    assert cluster.run(60.0, cluster.agreed) and not cluster.truth.violations
+    assert cluster.run(60.0, cluster.agreed) and not cluster.reference.violations
 
 
 @pytest.mark.parametrize("seed", range(15))
--- a/tests/test_members_health.py
+++ b/tests/test_members_health.py
@@ -7,7 +7,7 @@
 from cloverkeel.fleet.membership.messages import Nack, Ping, PingReq, Push, Send, Timing
 from cloverkeel.fleet.membership.updates import MemberUpdate, Status
 from faultlab.storm.cluster.faults import History
-from faultlab.storm.cluster.members import Cluster
+from faultlab.storm.cluster.membership import MembershipCluster
 
 A, B, C, D = (MemberUpdate(name, f"127.0.0.1:{n}", 1, Status.ALIVE) for n, name in enumerate("abcd", 1))
 
@@ -49,13 +49,13 @@
 
 
 def test_seven_in_ten_members_killed_at_once_are_soon_declared_dead_and_nobody_else() -> None:
-    cluster = Cluster(History(seed=1, size=40, start_s=0.05), check=True)
+    cluster = MembershipCluster(History(seed=1, size=40, start_s=0.05), check=True)
     cluster.clock.run(4.0)
     gone = random.Random(1).sample(list(cluster.processes.values()), 28)
     for process in gone:
         process.up = False
     cluster.clock.run(cluster.clock.now_s + 8.0)  # it took 19 s when each failed probe lowered local health
     names = {process.name for process in gone}
-    for process in cluster.speakers():
+    for process in cluster.active_processes():
         known = process.member.view.members
         assert {name for name, update in known.items() if update.status is Status.DEAD} == names
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -140,23 +140,23 @@
 
     late: list[str]
 
-    def settings_change(self) -> Event | None:
-        self.plan(self.later(100_000), self.settings_change)
+    def change_settings(self) -> Event | None:
+        self.schedule(self.draw_delay_us(100_000), self.change_settings)
         self.settings = other_settings(self.rng, self.settings)
         return SettingsChanged(self.settings)
 
-    def oddity(self) -> Event | None:
+    def unexpected_event(self) -> Event | None:
         now_us = self.now_us
-        event = super().oddity()
+        event = super().unexpected_event()
         self.now_us = now_us
         return event
 
-    def leave(self, name: str) -> Event | None:
-        asked = self.asked.get(name)
+    def client_leaves(self, name: str) -> Event | None:
+        asked = self.requests.get(name)
         is_late = asked is not None and not asked.closed and self.now_us >= asked.deadline_us + 1_500
-        if asked is not None and is_late and not any(shot.streams for shot in asked.shots):
+        if asked is not None and is_late and not any(shot.streaming for shot in asked.attempts):
             self.late.append(name)
-        return super().leave(name)
+        return super().client_leaves(name)
 
 
 @examples(max_examples=25, deadline=None)
@@ -169,8 +169,8 @@
     world = ChangingWorld(rng, settings, None, Random(seed + 1))
     world.late = []
     for _ in range(events):
-        now_us, event = world.next()
-        world.take(balancer.handle(now_us, event))
+        now_us, event = world.next_event()
+        world.handle_actions(balancer.handle(now_us, event))
     assert world.late == []
 
 
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -15,45 +15,57 @@
 from cloverkeel.fleet.membership.roster import Roster
 from cloverkeel.fleet.membership.updates import MemberUpdate, Status
 from faultlab.__main__ import main
-from faultlab.storm.cluster import activation_truth, budget, ledger_truth, lists
-from faultlab.storm.cluster.faults import Fault, History, Kind, draw
-from faultlab.storm.cluster.verdict import play
+from faultlab.storm.cluster import activation_reference, budget, ledger_reference, lists
+from faultlab.storm.cluster.faults import Fault, History, FaultKind, draw_history
+from faultlab.storm.cluster.membership_history import play
 
 TIMING = Timing(push_pull_s=2.0, reap_after_s=4.0)
 faults = st.builds(
     Fault,
     at_s=st.floats(0.0, 4.0),
-    kind=st.sampled_from(Kind),
-    who=st.integers(0, 9),
+    kind=st.sampled_from(FaultKind),
+    process_index=st.integers(0, 9),
     share=st.floats(0.0, 0.99),
-    length_s=st.sampled_from((0.2, 1.0, 4.0)),
+    duration_s=st.sampled_from((0.2, 1.0, 4.0)),
 )
 
 
 @settings(max_examples=30, deadline=None)
-@example([Fault(1.0, Kind.CLAIM, 1, 0.0, 0.2), Fault(1.0, Kind.RESTART_OLD, 1, 0.0, 4.0)], 2, 0, False, False)
+@example(
+    [Fault(1.0, FaultKind.CLAIM, 1, 0.0, 0.2), Fault(1.0, FaultKind.RESTART_OLD, 1, 0.0, 4.0)],
+    2,
+    0,
+    False,
+    False,
+)
 @given(st.lists(faults, max_size=5), st.integers(2, 8), st.integers(0, 3), st.booleans(), st.booleans())
 def test_views_and_lists_of_a_cluster_agree_after_any_faults(
     injected: list[Fault], size: int, seed: int, reaped: bool, shared: bool
 ) -> None:
     calm = History(
-        seed=seed, size=size, timing=TIMING, faults_s=4.0, tick_s=0.05, reaped=reaped, lists=shared
+        seed=seed,
+        size=size,
+        timing=TIMING,
+        faults_until_s=4.0,
+        tick_s=0.05,
+        await_reap=reaped,
+        with_lists=shared,
     )
     assert play(replace(calm, faults=tuple(injected))).violation is None
 
 
 def test_a_history_replays_exactly_and_checks_change_nothing() -> None:
-    history = replace(draw(53), lists=True)
+    history = replace(draw_history(53), with_lists=True)
     first, again, unchecked = play(history), play(history), play(history, check=False)
     assert first == again == unchecked
-    assert first.events > 1_000 and first.virtual_s > history.faults_s
+    assert first.events > 1_000 and first.virtual_s > history.faults_until_s
 
 
-@pytest.mark.parametrize("kind", Kind)
-def test_each_fault_has_an_effect_and_the_cluster_agrees_after_it(kind: Kind) -> None:
+@pytest.mark.parametrize("kind", FaultKind)
+def test_each_fault_has_an_effect_and_the_cluster_agrees_after_it(kind: FaultKind) -> None:
     """A run with the fault differs from one without, and ends without a violation."""
-    fault = Fault(1.0, kind, who=1, share=0.6, length_s=3.0)
-    calm = History(seed=3, size=6, timing=TIMING, faults_s=4.0, tick_s=0.05, lists=True)
+    fault = Fault(1.0, kind, process_index=1, share=0.6, duration_s=3.0)
+    calm = History(seed=3, size=6, timing=TIMING, faults_until_s=4.0, tick_s=0.05, with_lists=True)
     outcome, quiet = play(replace(calm, faults=(fault,))), play(calm)
     assert outcome.violation is None and quiet.violation is None and not quiet.deaths
     assert outcome.events != quiet.events
@@ -63,7 +75,7 @@
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(Roster, "reap", lambda self, now_s: None)  # dead members are never removed
-    broken = next(seed for seed in range(100) if play(draw(seed)).violation is not None)
+    broken = next(seed for seed in range(100) if play(draw_history(seed)).violation is not None)
     told = ["storm", "--part", "cluster", "--seed", str(broken), "--histories", "1", "--json"]
     assert main(told) == 1
     shown = capsys.readouterr()
@@ -79,15 +91,25 @@
     return b"another"
 
 
-def _none_may_run(self: activation_truth.ActivationTruth, *_: object) -> None:
-    self.violated("runs what it may not")
+def _none_may_run(self: activation_reference.ActivationReference, *_: object) -> None:
+    self.add_violation("runs what it may not")
 
 
 @pytest.mark.parametrize(
     ("part", "place", "wrong", "what"),
     [
-        ("ledger", (ledger_truth, "payload_hash"), _other_digest, "shown with a payload that does not match"),
-        ("activation", (activation_truth.ActivationTruth, "running"), _none_may_run, "runs what it may not"),
+        (
+            "ledger",
+            (ledger_reference, "payload_hash"),
+            _other_digest,
+            "shown with a payload that does not match",
+        ),
+        (
+            "activation",
+            (activation_reference.ActivationReference, "check_running"),
+            _none_may_run,
+            "runs what it may not",
+        ),
     ],
 )
 def test_a_replicated_part_plays_and_a_rule_that_breaks_is_replayed(
@@ -114,13 +136,13 @@
 
 def test_lists_that_do_not_see_a_restarted_service_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(lists, "answer_version", lambda asked, index, epoch: ListVersion(epoch or 0, index))
-    broken = [play(replace(draw(seed), lists=True)).violation for seed in range(4, 8)]
+    broken = [play(replace(draw_history(seed), with_lists=True)).violation for seed in range(4, 8)]
     assert any(what is not None and "lists do not agree" in what for what in broken)
 
 
 def test_a_part_that_passes_the_budget_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(budget, "fall_budget_us", lambda proxy: budget.WHOLE_US / 2)
-    outcome = play(History(seed=3, size=6, timing=TIMING, faults_s=4.0, lists=True))
+    monkeypatch.setattr(budget, "fall_budget_us", lambda proxy: budget.FALL_BUDGET_US / 2)
+    outcome = play(History(seed=3, size=6, timing=TIMING, faults_until_s=4.0, with_lists=True))
     assert outcome.violation is not None and "a fall budget is passed" in outcome.violation
 
 
