--- a/faultlab/coldstart/site.py
+++ b/faultlab/coldstart/site.py
@@ -83,7 +83,7 @@
     async def relayed(self) -> list[dict[str, Any]]:
         """The same, with each member behind the relay."""
         self.relay = Relay(self.plan.seed)
-        places = [await self.relay.add(f"gw-{n}") for n in range(self.plan.gateways)]
+        places = [await self.relay.add_member(f"gw-{n}") for n in range(self.plan.gateways)]
         cluster = self.plan.cluster([place.advertise for place in places[: self.plan.seeds]])
         return [cluster | {"bind": place.bind, "advertise": place.advertise} for place in places]
 
--- a/faultlab/duties/command.py
+++ b/faultlab/duties/command.py
@@ -17,8 +17,8 @@
 from pathlib import Path
 from typing import Any
 
-from faultlab.duties.resource import First
-from faultlab.duties.site import Site
+from faultlab.duties.resource import FirstAction
+from faultlab.duties.site import DutySite
 from faultlab.report import Parts, positive, report
 
 DUTY = "chore"
@@ -36,18 +36,18 @@
     "minority": 2,
     "restart-all": 1,
 }
-HELD_S = 30.0  # for somebody to hold a duty again after any fault
+HOLDER_TIMEOUT_S = 30.0  # for somebody to hold a duty again after any fault
 
 
 @dataclass
-class Found:
+class FaultResults:
     """What the faults came to: seconds from a fault to the first action of the next holder, by kind."""
 
-    after_s: dict[str, list[float]] = field(default_factory=dict)
+    takeover_s: dict[str, list[float]] = field(default_factory=dict)
     faults: Counter[str] = field(default_factory=Counter)
     unheld: int = 0  # faults after which nobody held the duty in HELD_S
     stopped_in_write: int = 0
-    cut_off_acts: int = 0  # actions sent by a holder without a majority, a time to live after it lost it
+    cut_off_actions: int = 0  # actions sent by a holder without a majority, a time to live after it lost it
 
 
 def register(parts: Parts) -> None:
@@ -72,22 +72,24 @@
 
 
 async def experiment(arguments: argparse.Namespace) -> dict[str, Any]:
-    found = Found()
+    found = FaultResults()
     with tempfile.TemporaryDirectory(prefix="duties-") as folder:
         sites = []
         for number in range(arguments.sites):
             own = Path(folder) / str(number)
             own.mkdir()
             careless = min(2, arguments.processes - 1)  # so that there are stale actions to reject
-            sites.append(Site(own, arguments.processes, {DUTY: arguments.ttl}, arguments.backend, careless))
+            sites.append(
+                DutySite(own, arguments.processes, {DUTY: arguments.ttl}, arguments.backend, careless)
+            )
         began_s = time.monotonic()
-        played = [play(s, found, arguments, arguments.seed + n) for n, s in enumerate(sites)]
+        played = [run_site(s, found, arguments, arguments.seed + n) for n, s in enumerate(sites)]
         calls = await asyncio.gather(*played)
     figures: dict[str, Any] = {
         "backend": arguments.backend, "processes": arguments.processes, "sites": arguments.sites,
         "ttl_s": arguments.ttl, "faults": sum(found.faults.values()), "faults_by_kind": dict(found.faults),
     }  # fmt: skip
-    for kind, after_s in sorted(found.after_s.items()):
+    for kind, after_s in sorted(found.takeover_s.items()):
         ranked = sorted(after_s)
         figures[f"{kind}_to_next_s"] = {
             "p50": round(ranked[len(ranked) // 2], 3), "p99": round(ranked[int(len(ranked) * 0.99)], 3),
@@ -98,80 +100,80 @@
         "actions_accepted": sum(r.accepted.total() for r in resources),
         "actions_rejected": sum(r.rejected.total() for r in resources),
         "overlaps": sum(r.overlaps for r in resources),
-        "tokens_repeated": sum(r.repeated for r in resources),
+        "tokens_repeated": sum(r.repeated_tokens for r in resources),
         "unheld": found.unheld,
         "stopped_in_write": found.stopped_in_write,
-        "cut_off_acts": found.cut_off_acts,
+        "cut_off_acts": found.cut_off_actions,
         "transactions_per_process_s": round(sum(calls) / len(calls), 3),
         "wall_s": round(time.monotonic() - began_s, 1),
     }
     return figures
 
 
-async def play(site: Site, found: Found, arguments: argparse.Namespace, seed: int) -> float:
+async def run_site(site: DutySite, found: FaultResults, arguments: argparse.Namespace, seed: int) -> float:
     """One site's faults; returns transactions a second and process while nothing befell it."""
     rng = random.Random(seed)
     kinds = KINDS[arguments.backend]
     async with site:
-        holder = await site.held(DUTY)
+        holder = await site.wait_held(DUTY)
         for _ in range(arguments.faults):
             kind = rng.choices(kinds, [WEIGHTS[k] for k in kinds])[0]
             found.faults[kind] += 1
             begun_s = time.monotonic()
             if kind == "minority":
-                found.cut_off_acts += await cut_off(site, holder, arguments.ttl)
-            after = await befall(site, kind, holder, arguments.ttl)
+                found.cut_off_actions += await stop_majority(site, holder, arguments.ttl)
+            after = await apply_fault(site, kind, holder, arguments.ttl)
             if after is None:
                 # A holder that stands still within its own transaction keeps the file's lock.
-                in_write = kind == "stop" and site.stood_in_write
+                in_write = kind == "stop" and site.stopped_in_write
                 found.unheld += not in_write
                 found.stopped_in_write += in_write
-                after = await site.held(DUTY)
+                after = await site.wait_held(DUTY)
             elif after.token > holder.token:
-                found.after_s.setdefault(kind, []).append(after.at_s - begun_s)
+                found.takeover_s.setdefault(kind, []).append(after.accepted_s - begun_s)
             holder = after
-        return await cost(site)
+        return await idle_transaction_rate(site)
 
 
-async def cut_off(site: Site, holder: First, ttl_s: float) -> int:
+async def stop_majority(site: DutySite, holder: FirstAction, ttl_s: float) -> int:
     """A majority falls silent for two times to live; how often the holder acted in the second."""
-    silent = [worker for worker in site.workers if worker is not site.worker(holder.holder)]
+    silent = [worker for worker in site.workers if worker is not site.worker_of(holder.holder)]
     silent = silent[: len(site.workers) // 2 + 1]
     for worker in silent:
-        worker.send(signal.SIGSTOP)
+        worker.send_signal(signal.SIGSTOP)
     await asyncio.sleep(ttl_s)  # how long the fault lasts
-    looked = site.resource.looked[DUTY]
+    looked = site.resource.guarded[DUTY]
     await asyncio.sleep(ttl_s)
-    acted = site.resource.looked[DUTY] - looked
+    acted = site.resource.guarded[DUTY] - looked
     for worker in silent:
-        worker.send(signal.SIGCONT)
+        worker.send_signal(signal.SIGCONT)
     return acted
 
 
-async def befall(site: Site, kind: str, holder: First, ttl_s: float) -> First | None:
+async def apply_fault(site: DutySite, kind: str, holder: FirstAction, ttl_s: float) -> FirstAction | None:
     """One fault, and who holds the duty once it is over."""
-    worker = site.worker(holder.holder)
+    worker = site.worker_of(holder.holder)
     match kind:
         case "kill":
-            await worker.end(signal.SIGKILL)
-            after = await site.resource.after(DUTY, holder.token, HELD_S)
+            await worker.stop(signal.SIGKILL)
+            after = await site.resource.wait_first_action(DUTY, holder.token, HOLDER_TIMEOUT_S)
             await worker.start()
             return after
         case "stop":
-            worker.send(signal.SIGSTOP)
-            after = await site.resource.after(DUTY, holder.token, 5 * ttl_s)
-            site.stood_in_write = after is None and site.is_locked()
-            worker.send(signal.SIGCONT)
+            worker.send_signal(signal.SIGSTOP)
+            after = await site.resource.wait_first_action(DUTY, holder.token, 5 * ttl_s)
+            site.stopped_in_write = after is None and site.is_locked()
+            worker.send_signal(signal.SIGCONT)
             return after
         case "end":
-            worker.send(signal.SIGTERM)
-            after = await site.resource.after(DUTY, holder.token, HELD_S)
-            await worker.end(signal.SIGKILL)
+            worker.send_signal(signal.SIGTERM)
+            after = await site.resource.wait_first_action(DUTY, holder.token, HOLDER_TIMEOUT_S)
+            await worker.stop(signal.SIGKILL)
             await worker.start()
             return after
         case "restart-all":
             for each in site.workers:
-                await each.end(signal.SIGKILL)
+                await each.stop(signal.SIGKILL)
             for each in site.workers:
                 await each.start()
         case "lock":
@@ -182,15 +184,15 @@
             site.lose_store()
             await asyncio.sleep(1.5 * ttl_s)  # how long the fault lasts
             site.restore_store()
-    return await site.resource.after(DUTY, holder.token, HELD_S)
+    return await site.resource.wait_first_action(DUTY, holder.token, HOLDER_TIMEOUT_S)
 
 
-COST_S = 3.0
+IDLE_PERIOD_S = 3.0
 
 
-async def cost(site: Site) -> float:
+async def idle_transaction_rate(site: DutySite) -> float:
     """Transactions of each worker a second, over COST_S of rest."""
     begun = sum([await worker.transactions() for worker in site.workers])
-    await asyncio.sleep(COST_S)  # the span that is measured
+    await asyncio.sleep(IDLE_PERIOD_S)  # the span that is measured
     ended = sum([await worker.transactions() for worker in site.workers])
-    return (ended - begun) / COST_S / len(site.workers)
+    return (ended - begun) / IDLE_PERIOD_S / len(site.workers)
--- a/faultlab/duties/resource.py
+++ b/faultlab/duties/resource.py
@@ -12,17 +12,17 @@
 from dataclasses import dataclass, field
 
 
-CARELESS = "!"
+CARELESS_SUFFIX = "!"
 
 
 @dataclass(slots=True, frozen=True)
-class First:
+class FirstAction:
     """The first accepted action under a token."""
 
     duty: str
     token: int
     holder: str
-    at_s: float
+    accepted_s: float
 
 
 @dataclass
@@ -31,14 +31,18 @@
     which looked. `rejected`: actions under a lower token than the highest seen."""
 
     accepted: Counter[str] = field(default_factory=Counter)
-    looked: Counter[str] = field(default_factory=Counter)  # accepted ones of holders that look
+    guarded: Counter[str] = field(default_factory=Counter)  # accepted ones of holders that look
     rejected: Counter[str] = field(default_factory=Counter)
     overlaps: int = 0
-    repeated: int = 0  # tokens that two holders acted under
-    firsts: list[First] = field(default_factory=list)
-    highest: dict[str, First] = field(default_factory=dict)
-    last_s: dict[str, float] = field(default_factory=dict)  # when the newest accepted action was sent
-    seen: asyncio.Event = field(default_factory=asyncio.Event)  # set at each first action, for who waits
+    repeated_tokens: int = 0  # tokens that two holders acted under
+    first_actions: list[FirstAction] = field(default_factory=list)
+    highest: dict[str, FirstAction] = field(default_factory=dict)
+    last_guarded_sent_s: dict[str, float] = field(
+        default_factory=dict
+    )  # when the newest accepted action was sent
+    first_action_seen: asyncio.Event = field(
+        default_factory=asyncio.Event
+    )  # set at each first action, for who waits
     server: asyncio.Server | None = None
 
     async def start(self) -> int:
@@ -55,31 +59,31 @@
         try:
             while line := await reader.readline():
                 duty, token, holder, sent_s = line.decode().split()
-                self.act(duty, int(token), holder, float(sent_s))
+                self.receive_action(duty, int(token), holder, float(sent_s))
         except (ValueError, ConnectionError):
             return  # a worker that was killed within a line
         finally:
             writer.close()
 
-    def act(self, duty: str, token: int, holder: str, sent_s: float) -> None:
+    def receive_action(self, duty: str, token: int, holder: str, sent_s: float) -> None:
         highest = self.highest.get(duty)
         if highest is not None and token < highest.token:
             self.rejected[duty] += 1
             return
         if highest is None or token > highest.token:
             # Whoever had it before sent its last accepted action before this one was sent, or they overlap.
-            self.overlaps += sent_s < self.last_s.get(duty, 0.0)
-            self.highest[duty] = First(duty, token, holder, time.monotonic())
-            self.firsts.append(self.highest[duty])
-            self.seen.set()
+            self.overlaps += sent_s < self.last_guarded_sent_s.get(duty, 0.0)
+            self.highest[duty] = FirstAction(duty, token, holder, time.monotonic())
+            self.first_actions.append(self.highest[duty])
+            self.first_action_seen.set()
         elif highest.holder != holder:
-            self.repeated += 1
+            self.repeated_tokens += 1
         self.accepted[duty] += 1
-        if not holder.endswith(CARELESS):
-            self.looked[duty] += 1
-            self.last_s[duty] = max(sent_s, self.last_s.get(duty, 0.0))
+        if not holder.endswith(CARELESS_SUFFIX):
+            self.guarded[duty] += 1
+            self.last_guarded_sent_s[duty] = max(sent_s, self.last_guarded_sent_s.get(duty, 0.0))
 
-    async def after(self, duty: str, token: int, timeout_s: float) -> First | None:
+    async def wait_first_action(self, duty: str, token: int, timeout_s: float) -> FirstAction | None:
         """The first action under a higher token, as soon as there is one; None: none in time."""
         try:
             async with asyncio.timeout(timeout_s):
@@ -87,7 +91,7 @@
                     found = self.highest.get(duty)
                     if found is not None and found.token > token:
                         return found
-                    self.seen.clear()
-                    await self.seen.wait()
+                    self.first_action_seen.clear()
+                    await self.first_action_seen.wait()
         except TimeoutError:
             return None
--- a/faultlab/duties/site.py
+++ b/faultlab/duties/site.py
@@ -16,15 +16,15 @@
 
 from cloverkeel.fleet.state import STATE_FILE, StoreCounters, Store
 
-from faultlab.duties.resource import First, Resource
+from faultlab.duties.resource import FirstAction, Resource
 from faultlab.lab import ROOT
 from faultlab.ports import free_port
 
 
-COUNT_S = 10.0  # for a worker to say its count
+COUNT_TIMEOUT_S = 10.0  # for a worker to say its count
 
 
-def begin(directory: Path) -> None:
+def create_state_file(directory: Path) -> None:
     """A state file as a gateway's store begins it."""
     lock = Store.acquire_lock(str(directory))
     assert lock is not None
@@ -34,40 +34,40 @@
 
 
 @dataclass
-class Worker:
-    order: dict[str, Any]
+class WorkerProcess:
+    config: dict[str, Any]
     process: asyncio.subprocess.Process | None = None
 
     @property
     def name(self) -> str:
-        return str(self.order["name"])
+        return str(self.config["name"])
 
     async def start(self) -> None:
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "faultlab.duties.worker", json.dumps(self.order), cwd=ROOT,
+            sys.executable, "-m", "faultlab.duties.worker", json.dumps(self.config), cwd=ROOT,
             stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.DEVNULL,
         )  # fmt: skip
         assert self.process.stdout is not None
         await self.process.stdout.readline()  # it takes signals from now on
 
-    def send(self, what: signal.Signals) -> None:
+    def send_signal(self, what: signal.Signals) -> None:
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(what)
 
     async def transactions(self) -> int:
         """How many it has made since its start."""
-        self.send(signal.SIGUSR1)
+        self.send_signal(signal.SIGUSR1)
         assert self.process is not None and self.process.stdout is not None
-        async with asyncio.timeout(COUNT_S):
+        async with asyncio.timeout(COUNT_TIMEOUT_S):
             return int(await self.process.stdout.readline())
 
-    async def end(self, what: signal.Signals) -> None:
-        self.send(what)
+    async def stop(self, what: signal.Signals) -> None:
+        self.send_signal(what)
         if self.process is not None:
             await self.process.wait()
 
 
-class Site:
+class DutySite:
     """`async with Site(folder, 10, {"chore": 2.0}) as site`: workers w0, w1, ... that race for the duties."""
 
     def __init__(
@@ -75,8 +75,8 @@
     ) -> None:
         self.folder, self.duties, self.backend = folder, duties, backend
         self.resource = Resource()
-        self.workers: list[Worker] = []
-        self.stood_in_write = False  # whom the last fault stopped
+        self.workers: list[WorkerProcess] = []
+        self.stopped_in_write = False  # whom the last fault stopped
         addresses = [f"127.0.0.1:{free_port()}" for _ in range(count)] if backend == "quorum" else []
         for number in range(count):
             order: dict[str, Any] = {"name": f"w{number}", "duties": duties, "directory": str(folder)}
@@ -86,29 +86,29 @@
                 own.mkdir()
                 others = [address for address in addresses if address != addresses[number]]
                 order |= {"directory": str(own), "bind": addresses[number], "others": others}
-            self.workers.append(Worker(order))
+            self.workers.append(WorkerProcess(order))
 
-    async def __aenter__(self) -> Site:
+    async def __aenter__(self) -> DutySite:
         if self.backend == "local":
-            begin(self.folder)
+            create_state_file(self.folder)
         port = await self.resource.start()
         for worker in self.workers:
-            worker.order["resource"] = port
+            worker.config["resource"] = port
         await asyncio.gather(*(worker.start() for worker in self.workers))
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        await asyncio.gather(*(worker.end(signal.SIGKILL) for worker in self.workers))
+        await asyncio.gather(*(worker.stop(signal.SIGKILL) for worker in self.workers))
         self.resource.close()
 
-    async def held(self, duty: str, timeout_s: float = 30.0) -> First:
+    async def wait_held(self, duty: str, timeout_s: float = 30.0) -> FirstAction:
         """Who holds a duty, once somebody does. Raises TimeoutError."""
-        found = await self.resource.after(duty, 0, timeout_s)
+        found = await self.resource.wait_first_action(duty, 0, timeout_s)
         if found is None:
             raise TimeoutError(f"nobody has held {duty} for {timeout_s:g} s")
         return found
 
-    def worker(self, holder: str) -> Worker:
+    def worker_of(self, holder: str) -> WorkerProcess:
         name = holder.partition("/")[0]
         return next(worker for worker in self.workers if worker.name == name)
 
--- a/faultlab/duties/worker.py
+++ b/faultlab/duties/worker.py
@@ -20,12 +20,12 @@
 from cloverkeel.fleet.duties.interface import Duty
 from cloverkeel.fleet.duties.shell import Backend, NotHeldError, DutyService
 
-from faultlab.duties.resource import CARELESS
+from faultlab.duties.resource import CARELESS_SUFFIX
 
-ACT_S = 0.01
+ACTION_INTERVAL_S = 0.01
 
 
-def backend_of(order: dict[str, Any], holder: str) -> Backend:
+def make_backend(order: dict[str, Any], holder: str) -> Backend:
     if "bind" in order:
         from cloverkeel.fleet.duties.quorum import QuorumBackend
 
@@ -37,8 +37,8 @@
 
 async def run(order: dict[str, Any]) -> None:
     events.setup_logging()
-    holder = f"{order['name']}/{time.monotonic_ns():x}{CARELESS if order.get('careless') else ''}"
-    backend = backend_of(order, holder)
+    holder = f"{order['name']}/{time.monotonic_ns():x}{CARELESS_SUFFIX if order.get('careless') else ''}"
+    backend = make_backend(order, holder)
     service = DutyService(holder, backend)
     duties = tuple(Duty(name, ttl_s) for name, ttl_s in order["duties"].items())
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
@@ -61,7 +61,7 @@
                 held.pop(duty, None)
 
         def tick() -> None:
-            loop.call_later(ACT_S, tick)
+            loop.call_later(ACTION_INTERVAL_S, tick)
             for duty in list(held):
                 if order.get("careless"):
                     act(duty, held[duty])
--- a/faultlab/fleet.py
+++ b/faultlab/fleet.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from faultlab.lab import ROOT
-from faultlab.relay import Place, Relay
+from faultlab.relay import RelayMember, Relay
 
 CLUSTER = "lab"
 SEEDS = 3
@@ -47,7 +47,7 @@
     """One `faultlab.member` process. `view` follows its reports; `log` has its standard error's lines."""
 
     name: str
-    place: Place
+    place: RelayMember
     changed: asyncio.Event
     deaths: list[Death]  # the whole fleet's
     process: asyncio.subprocess.Process | None = None
@@ -156,7 +156,7 @@
 
     async def place(self, name: str) -> Light:
         """A place behind the relay and no process yet."""
-        light = self.members[name] = Light(name, await self.relay.add(name), self.changed, self.deaths)
+        light = self.members[name] = Light(name, await self.relay.add_member(name), self.changed, self.deaths)
         return light
 
     async def until(self, holds: Callable[[], bool], timeout_s: float = 10.0) -> float:
--- a/faultlab/gateways.py
+++ b/faultlab/gateways.py
@@ -115,7 +115,7 @@
             listed = await self.listed()
             self.discovery = Discovery(endpoints=listed)
             await self.discovery.start()
-            places = [await self.relay.add(name) for name in self.names]
+            places = [await self.relay.add_member(name) for name in self.names]
             seeds = [place.advertise for place in places[:SEEDS]]
             for place in places:
                 config = configuration(place.name, free_port(), self.discovery.address, listed)
--- a/faultlab/membership.py
+++ b/faultlab/membership.py
@@ -49,10 +49,10 @@
     false: list[Death] = []
     async with Fleet(size, seed) as fleet:
         await asyncio.sleep(REST_S / 2)  # what a start brings is said
-        before = sum(fleet.relay.sent.values())
+        before = sum(fleet.relay.sent_by_member.values())
         began_s = time.monotonic()
         await asyncio.sleep(REST_S)
-        load = (sum(fleet.relay.sent.values()) - before) / (time.monotonic() - began_s) / size
+        load = (sum(fleet.relay.sent_by_member.values()) - before) / (time.monotonic() - began_s) / size
         for _ in range(number):
             await asyncio.sleep(rng.uniform(0.3, 0.8))
             victim = rng.choice(fleet.running())
@@ -105,7 +105,7 @@
     stops = 0
     async with Fleet(size, seed) as fleet:
         stalls = sum(c["stalls"] for c in (await fleet.counters(fleet.running())).values())
-        fleet.relay.set(Rule(drop=LOSS))
+        fleet.relay.set_rule(Rule(drop=LOSS))
         began_s = time.monotonic()
         until_s = began_s + hours * 3600.0 / size
         while time.monotonic() < until_s:
@@ -118,7 +118,7 @@
         ran_s = time.monotonic() - began_s
         deaths = sorted(fleet.deaths)
         counters = await fleet.counters(fleet.running())
-        sent = sum(fleet.relay.sent.values())
+        sent = sum(fleet.relay.sent_by_member.values())
     return {
         "member_hours": size * ran_s / 3600.0, "members": size, "loss": LOSS, "stops": stops,
         "stop_s": STOP_S,
--- a/faultlab/relay/datagrams.py
+++ b/faultlab/relay/datagrams.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, cast
 
 if TYPE_CHECKING:
-    from faultlab.relay import Place, Relay
+    from faultlab.relay import RelayMember, Relay
 
 
 class DatagramPort(asyncio.DatagramProtocol):
@@ -23,22 +23,22 @@
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         relay = self.relay
         source = relay.by_host.get(addr[0])
-        target = relay.places.get(self.name)
+        target = relay.members.get(self.name)
         if source is None or target is None or source.port != addr[1]:
             relay.counts["strangers"] += 1
             return
-        relay.sent[source.name] += 1
-        delays_s = relay.rules.copies(source.name, target.name)
+        relay.sent_by_member[source.name] += 1
+        delays_s = relay.rules.copy_delays_s(source.name, target.name)
         if not delays_s:
             relay.counts["lost"] += 1
         for delay_s in delays_s:
             if delay_s > 0.0:
                 loop = asyncio.get_running_loop()
-                loop.call_later(delay_s, self._pass_on, data, source, target)
+                loop.call_later(delay_s, self._forward, data, source, target)
             else:
-                self._pass_on(data, source, target)
+                self._forward(data, source, target)
 
-    def _pass_on(self, data: bytes, source: Place, target: Place) -> None:
+    def _forward(self, data: bytes, source: RelayMember, target: RelayMember) -> None:
         transport = source.datagrams.transport
         if transport is None or transport.is_closing() or self.relay.rules.is_cut(source.name, target.name):
             self.relay.counts["lost"] += 1
--- a/faultlab/relay/rules.py
+++ b/faultlab/relay/rules.py
@@ -37,7 +37,7 @@
             )
 
 
-CLEAN = Rule()
+PASS_THROUGH = Rule()
 
 
 class Rules:
@@ -46,30 +46,30 @@
     def __init__(self, seed: int = 1) -> None:
         self.seed = seed
         self.cuts: set[tuple[str, str]] = set()  # (from, to)
-        self._set: list[tuple[frozenset[str] | None, frozenset[str] | None, Rule]] = []
-        self._draws: dict[tuple[str, str], random.Random] = {}
-        self._found: dict[tuple[str, str], Rule] = {}
+        self._entries: list[tuple[frozenset[str] | None, frozenset[str] | None, Rule]] = []
+        self._generators: dict[tuple[str, str], random.Random] = {}
+        self._rule_cache: dict[tuple[str, str], Rule] = {}
 
-    def set(
+    def set_rule(
         self, rule: Rule, sources: Iterable[str] | None = None, targets: Iterable[str] | None = None
     ) -> None:
         """`rule` from now on for every pair of `sources` and `targets` (None: all)."""
         if sources is None and targets is None:
-            self._set.clear()  # nothing set before can hold any more
+            self._entries.clear()  # nothing set before can hold any more
         some = [None if names is None else frozenset(names) for names in (sources, targets)]
-        self._set.append((some[0], some[1], rule))
-        self._found.clear()
+        self._entries.append((some[0], some[1], rule))
+        self._rule_cache.clear()
 
-    def rule(self, source: str, target: str) -> Rule:
+    def rule_for(self, source: str, target: str) -> Rule:
         """The rule in force from `source` to `target`."""
-        found = self._found.get((source, target))
+        found = self._rule_cache.get((source, target))
         if found is None:
-            found = CLEAN
-            for sources, targets, rule in reversed(self._set):
+            found = PASS_THROUGH
+            for sources, targets, rule in reversed(self._entries):
                 if (sources is None or source in sources) and (targets is None or target in targets):
                     found = rule
                     break
-            self._found[source, target] = found
+            self._rule_cache[source, target] = found
         return found
 
     def cut(self, sources: Iterable[str], targets: Iterable[str], one_way: bool = False) -> None:
@@ -89,12 +89,12 @@
     def is_cut(self, source: str, target: str) -> bool:
         return (source, target) in self.cuts
 
-    def copies(self, source: str, target: str) -> tuple[float, ...]:
+    def copy_delays_s(self, source: str, target: str) -> tuple[float, ...]:
         """Delays, in seconds, of the arriving copies of the pair's next datagram; empty: it is lost."""
-        rule = self.rule(source, target)
-        if rule is CLEAN:
+        rule = self.rule_for(source, target)
+        if rule is PASS_THROUGH:
             return () if (source, target) in self.cuts else (0.0,)
-        draw = self._draw(source, target)
+        draw = self._generator(source, target)
         fate = draw.random(), draw.random(), draw.random(), draw.random(), draw.random()  # five each, always
         if self.is_cut(source, target) or fate[0] < rule.drop:
             return ()
@@ -107,11 +107,11 @@
 
     def stream_delay_s(self, source: str, target: str) -> float:
         """The delay of a stream's next piece from `source` to `target`."""
-        least, most = self.rule(source, target).delay_s
-        return least if least == most else self._draw(source, target).uniform(least, most)
+        least, most = self.rule_for(source, target).delay_s
+        return least if least == most else self._generator(source, target).uniform(least, most)
 
-    def _draw(self, source: str, target: str) -> random.Random:
-        draw = self._draws.get((source, target))
+    def _generator(self, source: str, target: str) -> random.Random:
+        draw = self._generators.get((source, target))
         if draw is None:
-            draw = self._draws[source, target] = random.Random(f"{self.seed} {source} {target}")
+            draw = self._generators[source, target] = random.Random(f"{self.seed} {source} {target}")
         return draw
--- a/faultlab/relay/streams.py
+++ b/faultlab/relay/streams.py
@@ -11,8 +11,8 @@
 if TYPE_CHECKING:
     from faultlab.relay import Relay
 
-PIECE = 65_536
-CONNECT_S = 5.0
+READ_SIZE = 65_536
+CONNECT_TIMEOUT_S = 5.0
 
 
 class Stream:
@@ -34,34 +34,36 @@
 
     async def run(self) -> None:
         """Connect on, then carry both ways until both ends have closed or one has failed."""
-        relay, place = self.relay, self.relay.places[self.target]
+        relay, place = self.relay, self.relay.members[self.target]
         try:
-            await relay.uncut(self.source, self.target)
-            await relay.uncut(self.target, self.source)  # the answer to the first packet comes back this way
-            async with asyncio.timeout(CONNECT_S):
+            await relay.wait_uncut(self.source, self.target)
+            await relay.wait_uncut(
+                self.target, self.source
+            )  # the answer to the first packet comes back this way
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(place.host, place.port)
             self.writers.append(writer)
             async with asyncio.TaskGroup() as both:
-                both.create_task(self._carry(self.reader, writer, self.source, self.target))
-                both.create_task(self._carry(reader, self.writers[0], self.target, self.source))
+                both.create_task(self._forward(self.reader, writer, self.source, self.target))
+                both.create_task(self._forward(reader, self.writers[0], self.target, self.source))
             for writer in self.writers:
                 writer.close()
         except (OSError, ExceptionGroup):  # TimeoutError is an OSError; a pump's failure comes in a group
             self.reset()
 
-    async def _carry(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, source: str, target: str
     ) -> None:
         relay = self.relay
         while True:
-            await relay.uncut(
+            await relay.wait_uncut(
                 source, target
             )  # what is sent meanwhile stays where it is, and the sender with it
-            data = await reader.read(PIECE)
+            data = await reader.read(READ_SIZE)
             delay_s = relay.rules.stream_delay_s(source, target)
             if delay_s > 0.0:
                 await asyncio.sleep(delay_s)
-            await relay.uncut(source, target)
+            await relay.wait_uncut(source, target)
             if not data:
                 if writer.can_write_eof():
                     writer.write_eof()
@@ -87,14 +89,14 @@
     def __init__(self, relay: Relay, name: str) -> None:
         self.relay = relay
         self.name = name
-        self.open: set[Stream] = set()
+        self.open_streams: set[Stream] = set()
         self.server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, port: int) -> None:
-        self.server = await asyncio.start_server(self._accepted, "127.0.0.1", port)
+        self.server = await asyncio.start_server(self._on_connection, "127.0.0.1", port)
 
-    async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         source = self.relay.by_host.get(writer.get_extra_info("peername")[0])
         if source is None:
             self.relay.counts["strangers"] += 1
@@ -105,19 +107,19 @@
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        self.open.add(stream)
+        self.open_streams.add(stream)
         try:
             await stream.run()
         except asyncio.CancelledError:
             pass  # by `close`: to the system's callback a cancelled task is an error that it cannot read
         finally:
-            self.open.discard(stream)
+            self.open_streams.discard(stream)
             self._tasks.discard(task)
 
     async def close(self) -> None:
         if self.server is not None:
             self.server.close()
-        for stream in list(self.open):
+        for stream in list(self.open_streams):
             stream.reset()
         for task in list(self._tasks):
             task.cancel()
--- a/faultlab/rollout/command.py
+++ b/faultlab/rollout/command.py
@@ -16,11 +16,11 @@
 from typing import Any
 
 from faultlab.report import Parts, positive, report
-from faultlab.rollout.site import TTL_S, Rolling
+from faultlab.rollout.fleet import CONDUCTOR_TTL_S, RolloutFleet
 
 STEPS = [5, 25, 50, 100]
-COUNT = 100_000  # requests at each gateway at most
-SETTLED_S = 1.0  # after a step, before what reaches the hosts is counted for it
+MAX_REQUESTS = 100_000  # requests at each gateway at most
+SETTLE_S = 1.0  # after a step, before what reaches the hosts is counted for it
 
 
 def register(parts: Parts) -> None:
@@ -44,110 +44,117 @@
 async def experiment(arguments: argparse.Namespace) -> dict[str, Any]:
     wrong: list[str] = []
     with tempfile.TemporaryDirectory(prefix="rollout-") as folder:
-        async with Rolling(arguments.gateways, Path(folder)) as fleet:
-            await fleet.conductor()
-            fleet.send(arguments.rate, COUNT)
-            figures: dict[str, Any] = {"gateways": arguments.gateways, "stages": await good(fleet, arguments)}
+        async with RolloutFleet(arguments.gateways, Path(folder)) as fleet:
+            await fleet.wait_conductor()
+            fleet.start_traffic(arguments.rate, MAX_REQUESTS)
+            figures: dict[str, Any] = {
+                "gateways": arguments.gateways,
+                "stages": await run_good_set(fleet, arguments),
+            }
             stopped: dict[str, list[float]] = {"failing": [], "slow": []}
             for _ in range(arguments.rounds):
                 for kind, after_s in stopped.items():
-                    after_s.append(await bad(fleet, kind, arguments.bake_s, wrong))
+                    after_s.append(await run_bad_set(fleet, kind, arguments.bake_s, wrong))
             for kind, after_s in stopped.items():
                 ranked = sorted(after_s)
                 median = ranked[len(ranked) // 2]
                 figures[f"{kind}_to_no_share_s"] = {"p50": round(median, 2), "most": round(ranked[-1], 2)}
             unanswered = fleet.tally.statuses.get(0, 0)
-            figures["conductor_killed_next_s"] = await lost(fleet, signal.SIGKILL, arguments.bake_s, wrong)
-            figures["conductor_stopped_next_s"] = await lost(fleet, signal.SIGSTOP, arguments.bake_s, wrong)
-            figures["two_starts"] = await two_starts(fleet, wrong)
-            tally = await fleet.quiet()
+            figures["conductor_killed_next_s"] = await lose_conductor(
+                fleet, signal.SIGKILL, arguments.bake_s, wrong
+            )
+            figures["conductor_stopped_next_s"] = await lose_conductor(
+                fleet, signal.SIGSTOP, arguments.bake_s, wrong
+            )
+            figures["two_starts"] = await start_twice(fleet, wrong)
+            tally = await fleet.stop_traffic()
     figures |= {"requests": tally.sent, "answers": {str(k): v for k, v in sorted(tally.statuses.items())}}
     # A gateway that is killed resets what it holds: those requests are the kill's, not the rollout's.
     figures |= {"unanswered": unanswered, "wrong_ends": len(wrong)}
     return figures | {"wrong": "; ".join(wrong)}
 
 
-async def good(fleet: Rolling, arguments: argparse.Namespace) -> dict[str, str]:
+async def run_good_set(fleet: RolloutFleet, arguments: argparse.Namespace) -> dict[str, str]:
     """The share that reached the new set in each stage, and of how many."""
     shares = {}
     before = fleet.tally.statuses.get(0, 0)
-    assert await fleet.order("start", steps=STEPS, bake_s=arguments.bake_s) == "taken"
-    stage, begun, last = -1, fleet.got(), time.monotonic()
+    assert await fleet.send_order("start", steps=STEPS, bake_s=arguments.bake_s) == "taken"
+    stage, begun, last = -1, fleet.request_counts(), time.monotonic()
     while True:
         found = await fleet.status(fleet.names[0])
         at = len(STEPS) if found["state"] == "done" else found["stage"]
         if at != stage:
-            stage, begun, last = at, fleet.got(), time.monotonic()
+            stage, begun, last = at, fleet.request_counts(), time.monotonic()
         if found["state"] in ("done", "rolled-back"):
             break
-        if time.monotonic() - last < SETTLED_S:
-            begun = fleet.got()
-        old, new = (now - then for now, then in zip(fleet.got(), begun, strict=True))
+        if time.monotonic() - last < SETTLE_S:
+            begun = fleet.request_counts()
+        old, new = (now - then for now, then in zip(fleet.request_counts(), begun, strict=True))
         if old + new:
             shares[f"{STEPS[stage]} %"] = f"{100 * new / (old + new):.2f} % of {old + new}"
         await asyncio.sleep(0.05)
     assert found["state"] == "done", found["why"]
     shares["unanswered"] = str(fleet.tally.statuses.get(0, 0) - before)
-    assert await fleet.order("undo") == "taken"
-    await fleet.until("rolled-back")
+    assert await fleet.send_order("undo") == "taken"
+    await fleet.wait_state("rolled-back")
     return shares
 
 
-async def bad(fleet: Rolling, kind: str, bake_s: float, wrong: list[str]) -> float:
+async def run_bad_set(fleet: RolloutFleet, kind: str, bake_s: float, wrong: list[str]) -> float:
     """Seconds from the start of a bad set's first stage to no share of it, at every gateway."""
-    for host in fleet.new:
+    for host in fleet.new_hosts:
         host.status, host.delay_s = (500, 0.0) if kind == "failing" else (200, 0.15)
     try:
-        if await fleet.order("start", steps=STEPS, bake_s=bake_s) != "taken":
+        if await fleet.send_order("start", steps=STEPS, bake_s=bake_s) != "taken":
             wrong.append(f"{kind}: not taken")
             return 0.0
         begun_s = time.monotonic()
-        found = await fleet.until("rolled-back", "done", "paused")
+        found = await fleet.wait_state("rolled-back", "done", "paused")
         if found["state"] != "rolled-back" or found["stage"] != 0:
             wrong.append(f"{kind}: {found['state']} in stage {found['stage']}: {found['why']}")
         return time.monotonic() - begun_s
     finally:
-        for host in fleet.new:
+        for host in fleet.new_hosts:
             host.status, host.delay_s = 200, 0.0
 
 
-async def lost(fleet: Rolling, how: signal.Signals, bake_s: float, wrong: list[str]) -> float:
+async def lose_conductor(fleet: RolloutFleet, how: signal.Signals, bake_s: float, wrong: list[str]) -> float:
     """Seconds from a conductor's loss within a stage to the next one; the rollout has to end well."""
-    conductor = await fleet.conductor()
+    conductor = await fleet.wait_conductor()
     other = next(name for name in fleet.names if name != conductor)
-    if await fleet.order("start", at=other, steps=[50, 100], bake_s=bake_s / 2) != "taken":
+    if await fleet.send_order("start", at=other, steps=[50, 100], bake_s=bake_s / 2) != "taken":
         wrong.append(f"{how.name}: not taken")
-    await fleet.until("baking", at=other)
+    await fleet.wait_state("baking", at=other)
     begun_s = time.monotonic()
     await fleet.gateways[conductor].signal(how)
-    await fleet.conductor(but=conductor)
+    await fleet.wait_conductor(but=conductor)
     took_s = time.monotonic() - begun_s
     if how is signal.SIGSTOP:
-        await asyncio.sleep(TTL_S)  # how long it stays past its lease
+        await asyncio.sleep(CONDUCTOR_TTL_S)  # how long it stays past its lease
         await fleet.gateways[conductor].signal(signal.SIGCONT)
-    found = await fleet.until("done", "rolled-back", "paused", at=other)
+    found = await fleet.wait_state("done", "rolled-back", "paused", at=other)
     if found["state"] != "done":
         wrong.append(f"{how.name}: {found['state']}: {found['why']}")
     if how is signal.SIGKILL:
         await fleet.start(conductor)
-    if await fleet.order("undo", at=other) != "taken":
+    if await fleet.send_order("undo", at=other) != "taken":
         wrong.append(f"{how.name}: no undo")
-    await fleet.until("rolled-back", at=other)
+    await fleet.wait_state("rolled-back", at=other)
     return round(took_s, 2)
 
 
-async def two_starts(fleet: Rolling, wrong: list[str]) -> str:
+async def start_twice(fleet: RolloutFleet, wrong: list[str]) -> str:
     """Two operators start at two gateways at once: one is taken, the other told why; then an abort."""
     outcomes = await asyncio.gather(
         *(
-            fleet.order("start", f"set-{at}", at, steps=[5, 100], bake_s=60.0)
+            fleet.send_order("start", f"set-{at}", at, steps=[5, 100], bake_s=60.0)
             for at in (fleet.names[0], fleet.names[-1])
         )
     )
     if sorted(outcome.partition(":")[0] for outcome in outcomes) != ["refused", "taken"]:
         wrong.append(f"two starts: {outcomes}")
     taken = fleet.names[0] if outcomes[0] == "taken" else fleet.names[-1]
-    if await fleet.order("abort", f"set-{taken}") != "taken":
+    if await fleet.send_order("abort", f"set-{taken}") != "taken":
         wrong.append("no abort")
-    await fleet.until("rolled-back")
+    await fleet.wait_state("rolled-back")
     return next((o for o in outcomes if o != "taken"), "")
--- a/faultlab/routes/baseline.py
+++ b/faultlab/routes/baseline.py
@@ -16,17 +16,17 @@
 from cloverkeel.fleet.routes.interface import View, Environment
 from cloverkeel.fleet.routes.merge import merge_all
 
-from faultlab.routes import draw
+from faultlab.routes import random_edits
 
-OWN = 4  # routes of each team in the agreed plan
-FRESH = 100  # paths that nobody uses yet, to draw from beside those in use
-BAD = 0.02
+ROUTES_PER_TEAM = 4  # routes of each team in the agreed plan
+UNUSED_PATHS = 100  # paths that nobody uses yet, to draw from beside those in use
+INVALID_SHARE = 0.02
 
 
 def run(teams: int, trials: int, seed: int) -> dict[str, Any]:
     """Shares of all edits, over so many trials."""
     rng = random.Random(f"baseline {seed}")
-    names = names_of(teams)
+    names = make_names(teams)
     world = Environment(
         frozenset(names.classes), frozenset(names.callers), frozenset(names.zones), frozenset(names.types),
         {"mark": frozenset({"x-mark"}), "mark-two": frozenset({"x-mark"}), "trim": frozenset({"x-trim"})},
@@ -35,9 +35,9 @@
     fates: Counter[str] = Counter()
     lost = edits = unnoticed = 0
     for _ in range(trials):
-        base = agreed(names)
+        base = agreed_plan(names)
         view = merge_all([base], world)
-        commits = drawn(rng, names, view)
+        commits = draw_commits(rng, names, view)
         changes = [
             Change(dot=Dot(f"m{n}", 1, 1), context=view.context, team=team, edits=its)
             for n, (team, its, _) in enumerate(commits)
@@ -45,12 +45,12 @@
         after = merge_all([base, *changes], world)
         for change in changes:
             for edit in change.edits:
-                fates[fate(change, edit, after)] += 1
+                fates[edit_outcome(change, edit, after)] += 1
         clocks = [rng.uniform(-300.0, 300.0) for _ in commits]
-        files = [written(view, its) for _, its, _ in commits]
+        files = [write_file(view, its) for _, its, _ in commits]
         winner = files[clocks.index(max(clocks))]
         for _, its, _ in commits:
-            gone = sum(not has(winner, edit) for edit in its)
+            gone = sum(not file_has_edit(winner, edit) for edit in its)
             edits, lost, unnoticed = edits + len(its), lost + gone, unnoticed + bool(gone)
     return {
         "teams": teams, "trials": trials, "concurrent_edits": edits,
@@ -62,40 +62,40 @@
     }  # fmt: skip
 
 
-def names_of(teams: int) -> draw.Names:
-    known = tuple(f"r{number}" for number in range(teams * OWN))
-    return draw.Names(
+def make_names(teams: int) -> random_edits.NamePool:
+    known = tuple(f"r{number}" for number in range(teams * ROUTES_PER_TEAM))
+    return random_edits.NamePool(
         teams=tuple(f"team-{number}" for number in range(teams)),
         routes=(*known, *(f"new{number}" for number in range(teams))),
-        paths=(*(f"/used/{name}" for name in known), *(f"/fresh/{number}" for number in range(FRESH))),
-        bad=BAD,
+        paths=(*(f"/used/{name}" for name in known), *(f"/fresh/{number}" for number in range(UNUSED_PATHS))),
+        invalid_share=INVALID_SHARE,
     )
 
 
-def agreed(names: draw.Names) -> Change:
+def agreed_plan(names: random_edits.NamePool) -> Change:
     """The plan that all have read: OWN routes of each team, none of which meet. One change, each team's
     routes named as its own by their first writer."""
     edits: list[Edit] = []
-    for number in range(len(names.teams) * OWN):
+    for number in range(len(names.teams) * ROUTES_PER_TEAM):
         name = names.routes[number]
         edits += [
-            Edit(name, "owner", names.teams[number // OWN]), Edit(name, "path", f"/used/{name}"),
+            Edit(name, "owner", names.teams[number // ROUTES_PER_TEAM]), Edit(name, "path", f"/used/{name}"),
             Edit(name, "targets", [{"groups": ["0"], "share": 10}]), Edit(name, "attempts", 2),
         ]  # fmt: skip
     return Change(dot=Dot("base", 1, 1), context=Context(), team=names.teams[0], edits=tuple(edits))
 
 
-def drawn(rng: random.Random, names: draw.Names, view: View) -> list[draw.Commit]:
+def draw_commits(rng: random.Random, names: random_edits.NamePool, view: View) -> list[random_edits.Commit]:
     """One commit of each team."""
-    found: dict[str, draw.Commit] = {}
+    found: dict[str, random_edits.Commit] = {}
     while len(found) < len(names.teams):
-        commit = draw.commit(rng, names, view)
+        commit = random_edits.random_commit(rng, names, view)
         if commit[1]:
             found.setdefault(commit[0], commit)
     return list(found.values())
 
 
-def fate(change: Change, edit: Edit, view: View) -> str:
+def edit_outcome(change: Change, edit: Edit, view: View) -> str:
     """What became of an edit: merged, or what a person is asked for; `lost` if it is nowhere."""
     for conflict in view.conflicts:
         sides = {choice.dot for choice in conflict.choices}
@@ -111,10 +111,10 @@
     disputed = {c.routes[0] for c in view.conflicts if (c.kind, c.field) == ("field", "owner")}
     if edit.route in disputed and edit.route not in view.routes:
         return "two teams made one route"
-    return "merged" if in_plan(view, edit) else "lost"
+    return "merged" if is_in_plan(view, edit) else "lost"
 
 
-def in_plan(view: View, edit: Edit) -> bool:
+def is_in_plan(view: View, edit: Edit) -> bool:
     route = view.routes.get(edit.route)
     if edit.field == DELETED:
         return (route is None) == bool(edit.value)
@@ -126,12 +126,12 @@
     return bool(edit.field in route.decided or found == edit.value or edit.value in (None, []))
 
 
-File = dict[str, dict[str, Any]]
+PlanFile = dict[str, dict[str, Any]]
 
 
-def written(view: View, edits: tuple[Edit, ...]) -> File:
+def write_file(view: View, edits: tuple[Edit, ...]) -> PlanFile:
     """The whole file as a team writes it."""
-    found: File = {
+    found: PlanFile = {
         name: {**route.values, **route.unknown_fields, "owner": route.owner}
         for name, route in view.routes.items()
     }
@@ -143,7 +143,7 @@
     return found
 
 
-def has(file: File, edit: Edit) -> bool:
+def file_has_edit(file: PlanFile, edit: Edit) -> bool:
     if edit.field == DELETED:
         return edit.route not in file
     return bool(file.get(edit.route, {}).get(edit.field) == edit.value)
--- a/faultlab/routes/costs.py
+++ b/faultlab/routes/costs.py
@@ -17,25 +17,25 @@
 from cloverkeel.fleet.routes.interface import Environment
 from cloverkeel.fleet.routes.merge import Merge, merge_all
 
-PER_CHANGE = 100  # routes of one file
+ROUTES_PER_CHANGE = 100  # routes of one file
 TEAMS = 10
-LOOKUPS = 5_000
+LOOKUPS_PER_ROUND = 5_000
 
 
-def world() -> Environment:
+def make_environment() -> Environment:
     return Environment(frozenset({"search", "transfer"}), None, frozenset({"a"}), frozenset({"m"}), {}, {})
 
 
-def changes(routes: int) -> list[Change]:
+def make_changes(routes: int) -> list[Change]:
     """`routes` routes of TEAMS teams, PER_CHANGE in each change; none of two teams meet."""
     made: list[Change] = []
-    for number, first in enumerate(range(0, routes, PER_CHANGE)):
+    for number, first in enumerate(range(0, routes, ROUTES_PER_CHANGE)):
         team = f"team-{number % TEAMS}"
         edits: list[Edit] = []
-        for route in range(first, min(first + PER_CHANGE, routes)):
+        for route in range(first, min(first + ROUTES_PER_CHANGE, routes)):
             name = f"route-{route}"
             edits += [
-                Edit(name, "owner", team), Edit(name, "path", path(route)),
+                Edit(name, "owner", team), Edit(name, "path", route_path(route)),
                 Edit(name, "classes", ["transfer"]),
                 Edit(name, "targets", [{"groups": [str(route % 4)], "share": 5}]), Edit(name, "attempts", 2),
                 Edit(name, "note", f"route {route} of {team}"),
@@ -45,11 +45,11 @@
     return made
 
 
-def path(route: int) -> str:
-    return f"/transfer/team-{route // PER_CHANGE % TEAMS}/service-{route // 50}/call-{route}"
+def route_path(route: int) -> str:
+    return f"/transfer/team-{route // ROUTES_PER_CHANGE % TEAMS}/service-{route // 50}/call-{route}"
 
 
-def steps_ms(merge: Merge) -> list[float]:
+def settle_steps_ms(merge: Merge) -> list[float]:
     """The CPU of each step of a settling."""
     found, settling = [], iter(merge.settle())
     while True:
@@ -64,79 +64,81 @@
     """Milliseconds and MB. `one_edit`: its `add` and all steps of its settling (goal 20 ms); `rebuild`: the
     merge from nothing (goal 1 s); `longest_step`: of either kind (1 ms wanted)."""
     rng = random.Random(f"costs {seed}")
-    all_changes = changes(routes)
+    all_changes = make_changes(routes)
     gc.collect()
     gc.disable()
     tracemalloc.start()
-    merge = Merge(world())
+    merge = Merge(make_environment())
     for change in all_changes:
         merge.add(change)
-    steps_ms(merge)
+    settle_steps_ms(merge)
     held_mb = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     rebuilds = []
     for _ in range(max(1, min(3, rounds))):
         began = time.thread_time()
-        view = merge_all(all_changes, world())
+        view = merge_all(all_changes, make_environment())
         rebuilds.append(1e3 * (time.thread_time() - began))
-    sliced = Merge(world())
+    sliced = Merge(make_environment())
     for change in all_changes:
         sliced.add(change)
-    build_steps = steps_ms(sliced)
+    build_steps = settle_steps_ms(sliced)
     if view.hash != merge.view.hash or len(view.routes) != routes:
         raise RuntimeError(f"the rebuild has {len(view.routes)} routes and another plan")
     totals, longest = [], []
-    for number, edits in enumerate(one_edits(rng, routes, 10 * rounds)):
+    for number, edits in enumerate(single_edits(rng, routes, 10 * rounds)):
         team = merge.view.routes[edits[0].route].owner
         change = Change(dot=Dot("m1", 1, number + 1), context=merge.view.context, team=team, edits=edits)
         began = time.thread_time()
         merge.add(change)
         added_ms = 1e3 * (time.thread_time() - began)
-        steps = steps_ms(merge)
+        steps = settle_steps_ms(merge)
         totals.append(added_ms + sum(steps))
         longest.append(max(added_ms, *steps))
     gc.enable()
     return {
         "routes": routes, "held_mb": round(held_mb, 1),
-        "one_edit_ms": spread(totals) | {"goal": 20}, "one_edit_longest_step_ms": spread(longest),
-        "rebuild_ms": spread(rebuilds) | {"goal": 1000},
+        "one_edit_ms": summary(totals) | {"goal": 20}, "one_edit_longest_step_ms": summary(longest),
+        "rebuild_ms": summary(rebuilds) | {"goal": 1000},
         "rebuild_steps": len(build_steps), "rebuild_longest_step_ms": round(max(build_steps), 3),
     }  # fmt: skip
 
 
-def lookups(sizes: Iterable[int], seed: int) -> dict[str, Any]:
+def measure_lookups(sizes: Iterable[int], seed: int) -> dict[str, Any]:
     """Microseconds of CPU to find a request's route (goal 5, flat within a factor of 2): each third request
     has none."""
     found: dict[str, Any] = {}
     for size in sizes:
         rng = random.Random(f"lookups {seed}")
-        view = merge_all(changes(size), world())
+        view = merge_all(make_changes(size), make_environment())
         index = Index("a", {name: number + 1 for number, name in enumerate(view.routes)})
         index.set_precedence(view.precedes)
         for route in view.routes.values():
             index.put(route)
-        asked = [path(rng.randrange(size)).encode() + b"/x" for _ in range(LOOKUPS)]
+        asked = [route_path(rng.randrange(size)).encode() + b"/x" for _ in range(LOOKUPS_PER_ROUND)]
         asked[::3] = [b"/transfer/elsewhere/" + each[10:] for each in asked[::3]]
         each_us = []
         for _ in range(7):
             began = time.thread_time()
             for each in asked:
                 index.find(b"transfer", b"lab", each)
-            each_us.append(1e6 * (time.thread_time() - began) / LOOKUPS)
+            each_us.append(1e6 * (time.thread_time() - began) / LOOKUPS_PER_ROUND)
         found[str(size)] = round(statistics.median(each_us), 2)
     least, most = min(found.values()), max(found.values())
     return found | {"goal": 5, "greatest_to_least": round(most / least, 2)}
 
 
-def one_edits(rng: random.Random, routes: int, count: int) -> Iterator[tuple[Edit, ...]]:
+def single_edits(rng: random.Random, routes: int, count: int) -> Iterator[tuple[Edit, ...]]:
     for number in range(count):
         route = rng.randrange(routes)
-        field, value = rng.choice((("note", f"again {number}"), ("attempts", 1 + number % 3),
-                                   ("path", f"{path(route)}/{number}"), ("limit", 10 + number)))  # fmt: skip
+        field, value = rng.choice((
+            ("note", f"again {number}"), ("attempts", 1 + number % 3),
+            ("path", f"{route_path(route)}/{number}"), ("limit", 10 + number),
+        ))  # fmt: skip
         yield (Edit(f"route-{route}", field, value),)
 
 
-def spread(values: list[float]) -> dict[str, float]:
+def summary(values: list[float]) -> dict[str, float]:
     ranked = sorted(values)
     return {
         "p50": round(statistics.median(ranked), 3),
--- a/faultlab/routes/fleet.py
+++ b/faultlab/routes/fleet.py
@@ -21,31 +21,35 @@
 from cloverkeel.fleet.routes.files import unpack_base
 
 from faultlab.gateways import POLL_S, Gateways
-from faultlab.routes.draw import as_toml
+from faultlab.routes.random_edits import as_toml
 
 Routes = dict[str, dict[str, Any]]
-WRITABLE_S = 120.0
-TRIES, AGAIN_S = 5, 0.3  # of a call that the gateway could not keep
+FIRST_EDIT_TIMEOUT_S = 120.0
+POST_ATTEMPTS, RETRY_DELAY_S = 5, 0.3  # of a call that the gateway could not keep
 
 
-class Routed(Gateways):
+class RoutesFleet(Gateways):
     """`async with Routed(10, folder) as fleet`: gateways with routes on, that all hold one first edit."""
 
     def __init__(self, count: int, folder: Path, offsets_s: Mapping[str, float] | None = None) -> None:
         super().__init__(count, folder)
-        self.offsets_s = offsets_s or {}  # by gateway: how far its wall clock is ahead
+        self.clock_offsets_s = offsets_s or {}  # by gateway: how far its wall clock is ahead
 
     def configured(self, config: dict[str, Any]) -> dict[str, Any]:
         return config | {"routes": {"size": len(self.names), "room": {"m": 1000}}}
 
     def environment(self, name: str) -> dict[str, str]:
-        return shifted(self.folder, self.offsets_s[name]) if name in self.offsets_s else {}
+        return (
+            clock_shift_environment(self.folder, self.clock_offsets_s[name])
+            if name in self.clock_offsets_s
+            else {}
+        )
 
-    async def __aenter__(self) -> Routed:
+    async def __aenter__(self) -> RoutesFleet:
         await super().__aenter__()
         try:
             await self.apply("m0", "lab", {"first": {"path": "/lab"}}, wait="all")
-            await self.all(lambda status: status["count"] == 1, WRITABLE_S)
+            await self.all(lambda status: status["count"] == 1, FIRST_EDIT_TIMEOUT_S)
         except BaseException:
             await self.close()
             raise
@@ -90,22 +94,22 @@
         return await self._post(name, f"accept?change={change}&route={route}&team={team}&wait=quorum", b"")
 
     async def _post(self, name: str, what: str, body: bytes) -> dict[str, Any]:
-        for _ in range(TRIES):
+        for _ in range(POST_ATTEMPTS):
             status, answer = await self.call(name, f"/api/routes/{what}", body)
             if status != 503:  # nothing was kept: a disk that was busy for too long
                 break
-            await asyncio.sleep(AGAIN_S)
+            await asyncio.sleep(RETRY_DELAY_S)
         if status not in (200, 202):
             raise RuntimeError(f"{name} answered {status}: {answer.decode(errors='replace')}")
         found: dict[str, Any] = json.loads(answer)
         return found | {"status": status}
 
-    async def alike_on_disk(self, wanted: set[str], ever: dict[str, Change], timeout_s: float) -> None:
+    async def wait_same_records(self, wanted: set[str], ever: dict[str, Change], timeout_s: float) -> None:
         """Once all disks hold the same changes, and those `wanted` are there or were: `ever` is told of all
         that are seen. Raises TimeoutError."""
         ends_s = time.monotonic() + timeout_s
         while True:
-            held = [self.changes(name) for name in self.names]
+            held = [self.stored_changes(name) for name in self.names]
             for each in held:
                 ever.update(each)
             if wanted <= set(ever) and all(set(each) == set(held[0]) for each in held):
@@ -115,13 +119,13 @@
                 raise TimeoutError(f"never seen: {sorted(wanted - set(ever))[:5]}; other than m0: {differ}")
             await asyncio.sleep(POLL_S)
 
-    def changes(self, name: str) -> dict[str, Change]:
+    def stored_changes(self, name: str) -> dict[str, Change]:
         """What a gateway's disk holds, by key."""
         directory = self.gateways[name].state_dir
         return {key: decode(payload) for key, payload in read_payloads(str(directory), KIND)}
 
 
-def leave(directory: str, change: Change) -> None:
+def store_change(directory: str, change: Change) -> None:
     """Put a change into the ledger of a gateway that does not run, as a process of another version would have
     left it there. Raises StoreError."""
     payload, key = encode(change), key_of(change.dot)
@@ -134,7 +138,7 @@
         store.close()
 
 
-def alike(status: Mapping[str, Any]) -> tuple[object, ...]:
+def comparable_status(status: Mapping[str, Any]) -> tuple[object, ...]:
     """What equal records give alike at every gateway."""
     return (
         status["hash"],
@@ -144,7 +148,9 @@
     )
 
 
-async def agreement(fleet: Routed, timeout_s: float, names: Iterable[str] | None = None) -> dict[str, Any]:
+async def wait_agreement(
+    fleet: RoutesFleet, timeout_s: float, names: Iterable[str] | None = None
+) -> dict[str, Any]:
     """The status on which all gateways (or these) agree, each having been asked once they may. Raises
     TimeoutError."""
     first, *others = list(fleet.names if names is None else names)
@@ -154,7 +160,7 @@
             same = bool(wanted)
             for name in others:
                 status = await fleet.status(name)
-                same = same and bool(status) and alike(status) == alike(wanted)
+                same = same and bool(status) and comparable_status(status) == comparable_status(wanted)
                 if not same:
                     break
             if same:
@@ -162,7 +168,7 @@
             await asyncio.sleep(POLL_S)
 
 
-def lost(
+def find_lost_edits(
     plan: Mapping[str, Any],
     held: Mapping[str, Change],
     acknowledged: Iterable[str],
@@ -201,24 +207,24 @@
             later = (*writers[edit.route, edit.field], *writers[edit.route, ""])
             if any(each.context.covers(change.dot) for each in later):
                 continue
-            if key not in held or not shown(plan["routes"].get(edit.route), edit.field, edit.value):
+            if key not in held or not is_in_plan(plan["routes"].get(edit.route), edit.field, edit.value):
                 gone.append((key, edit.route, edit.field))
     return gone
 
 
-def shown(route: Mapping[str, Any] | None, field: str, value: Any) -> bool:
+def is_in_plan(route: Mapping[str, Any] | None, field: str, value: Any) -> bool:
     if route is None or field == DELETED:
         return (route is None) == (field == DELETED and value is True)
     found = route["owner"] if field == "owner" else route["values"].get(field, route["others"].get(field))
     return bool(found == value)
 
 
-def seen(base: str) -> Context:
+def base_context(base: str) -> Context:
     """What the writer under a base has seen."""
     return unpack_base(base).context
 
 
-SHIFT = """import time
+CLOCK_SHIFT_SOURCE = """import time
 _ahead_s = {ahead_s!r}
 _time, _time_ns = time.time, time.time_ns
 time.time = lambda: _time() + _ahead_s
@@ -226,10 +232,10 @@
 """
 
 
-def shifted(folder: Path, ahead_s: float) -> dict[str, str]:
+def clock_shift_environment(folder: Path, ahead_s: float) -> dict[str, str]:
     """What makes a Python process's `time.time` go `ahead_s` ahead of the machine's: a module that the
     interpreter imports at its start."""
     place = folder / f"clock{ahead_s:+.0f}"
     place.mkdir(exist_ok=True)
-    (place / "sitecustomize.py").write_text(SHIFT.format(ahead_s=ahead_s))
+    (place / "sitecustomize.py").write_text(CLOCK_SHIFT_SOURCE.format(ahead_s=ahead_s))
     return {"PYTHONPATH": str(place)}
--- a/faultlab/routes/loaded.py
+++ b/faultlab/routes/latency.py
@@ -9,103 +9,103 @@
 from pathlib import Path
 from typing import Any, cast
 
-from faultlab.routes.costs import PER_CHANGE, path, spread
-from faultlab.routes.fleet import Routed
+from faultlab.routes.costs import ROUTES_PER_CHANGE, route_path, summary
+from faultlab.routes.fleet import RoutesFleet
 
 RATE_PER_S = 300.0
-SPELL_S = 1.5
-COMMIT_S = 0.1
-CALL = b"POST /transfer/elsewhere HTTP/1.1\r\nHost: l\r\nX-Call-Id: %d\r\nContent-Length: 0\r\n\r\n"
+INTERVAL_S = 1.5
+COMMIT_PAUSE_S = 0.1
+REQUEST = b"POST /transfer/elsewhere HTTP/1.1\r\nHost: l\r\nX-Call-Id: %d\r\nContent-Length: 0\r\n\r\n"
 
 
-class Steady(asyncio.Protocol):
+class SteadyClient(asyncio.Protocol):
     """Calls at a steady rate on one connection; `took` has the milliseconds from when each was due."""
 
     def __init__(self) -> None:
-        self.due: list[float] = []
-        self.took: list[float] = []
+        self.sent_times: list[float] = []
+        self.latencies_ms: list[float] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
         for _ in range(data.count(b"HTTP/1.1 ")):
-            self.took.append(1e3 * (time.perf_counter() - self.due.pop(0)))
+            self.latencies_ms.append(1e3 * (time.perf_counter() - self.sent_times.pop(0)))
 
-    async def spell(self, length_s: float) -> list[float]:
+    async def run_interval(self, length_s: float) -> list[float]:
         """The latencies of a spell's calls, each answered before the next is sent."""
-        self.took, began, number = [], time.perf_counter(), 0
+        self.latencies_ms, began, number = [], time.perf_counter(), 0
         while (due := began + number / RATE_PER_S) < began + length_s:
             await asyncio.sleep(max(0.0, due - time.perf_counter()))
-            self.due.append(time.perf_counter())
-            self.transport.write(CALL % number)
+            self.sent_times.append(time.perf_counter())
+            self.transport.write(REQUEST % number)
             number += 1
         async with asyncio.timeout(10.0):
-            while self.due:
+            while self.sent_times:
                 await asyncio.sleep(0.001)
-        return self.took
+        return self.latencies_ms
 
 
 async def run(folder: Path, routes: int, spells: int) -> dict[str, Any]:
     """Milliseconds; `added_p99`: the median over pairs of spells side by side (goal under 2)."""
-    async with Routed(1, folder) as fleet:
+    async with RoutesFleet(1, folder) as fleet:
         bases: list[str] = []
-        files = list(range(0, routes, PER_CHANGE))
+        files = list(range(0, routes, ROUTES_PER_CHANGE))
         for number, first in enumerate(files):
-            file = {f"route-{n}": {"path": path(n), "classes": ["transfer"], "limit": 9}
-                    for n in range(first, min(routes, first + PER_CHANGE))}  # fmt: skip
+            file = {f"route-{n}": {"path": route_path(n), "classes": ["transfer"], "limit": 9}
+                    for n in range(first, min(routes, first + ROUTES_PER_CHANGE))}  # fmt: skip
             said = await fleet.apply("m0", f"team-{number}", file, wait="local")
             bases.append(said["base"])
         await fleet.all(lambda status: status["count"] == routes + 1)
         loop = asyncio.get_running_loop()
-        _, steady = await loop.create_connection(Steady, "127.0.0.1", fleet.gateways["m0"].port)
-        await steady.spell(SPELL_S)
+        _, steady = await loop.create_connection(SteadyClient, "127.0.0.1", fleet.gateways["m0"].port)
+        await steady.run_interval(INTERVAL_S)
         quiet: list[list[float]] = []
         merging: list[list[float]] = []
-        team = Committing(fleet, files, bases)
+        team = CommittingTeam(fleet, files, bases)
         for _ in range(spells):
-            quiet.append(await steady.spell(SPELL_S))
-            team.ends = False
-            task = asyncio.create_task(team.work())
-            merging.append(await steady.spell(SPELL_S))
-            team.ends = True
+            quiet.append(await steady.run_interval(INTERVAL_S))
+            team.stopping = False
+            task = asyncio.create_task(team.run())
+            merging.append(await steady.run_interval(INTERVAL_S))
+            team.stopping = True
             await task
         pid = fleet.gateways["m0"].process
         assert pid is not None
         memory = rss_mb(pid.pid)
     pairs = zip(quiet, merging, strict=True)
-    added = sorted(spread(b)["p99"] - spread(a)["p99"] for a, b in pairs)
+    added = sorted(summary(b)["p99"] - summary(a)["p99"] for a, b in pairs)
     return {
         "routes": routes, "calls_per_s": RATE_PER_S, "teams": len(files),
-        "commit_ms": spread(team.took) | {"commits": len(team.took)},
-        "quiet_ms": spread([each for spell in quiet for each in spell]),
-        "merging_ms": spread([each for spell in merging for each in spell]),
+        "commit_ms": summary(team.commit_times_ms) | {"commits": len(team.took)},
+        "quiet_ms": summary([each for spell in quiet for each in spell]),
+        "merging_ms": summary([each for spell in merging for each in spell]),
         "added_p99_ms": {"median": round(added[len(added) // 2], 3), "goal": 2.0}, "process_rss_mb": memory,
     }  # fmt: skip
 
 
 @dataclass
-class Committing:
+class CommittingTeam:
     """A team after the other edits one of its routes, until `ends`; `took` has the milliseconds of each."""
 
-    fleet: Routed
-    files: list[int]
+    fleet: RoutesFleet
+    first_routes: list[int]
     bases: list[str]
-    ends: bool = False
-    took: list[float] = field(default_factory=list)
-
-    async def work(self) -> None:
-        while not self.ends:
-            at = len(self.took) % len(self.files)
-            first = self.files[at]
-            file = {f"route-{n}": {"path": path(n), "classes": ["transfer"], "limit": 9}
-                    for n in range(first, first + PER_CHANGE)}  # fmt: skip
-            file[f"route-{first}"]["note"] = f"again {len(self.took)}"
+    stopping: bool = False
+    commit_times_ms: list[float] = field(default_factory=list)
+
+    async def run(self) -> None:
+        while not self.stopping:
+            at = len(self.commit_times_ms) % len(self.first_routes)
+            first = self.first_routes[at]
+            file = {f"route-{n}": {"path": route_path(n), "classes": ["transfer"], "limit": 9}
+                    for n in range(first, first + ROUTES_PER_CHANGE)}  # fmt: skip
+            file[f"route-{first}"]["note"] = f"again {len(self.commit_times_ms)}"
             began = time.perf_counter()
             said = await self.fleet.apply("m0", f"team-{at}", file, self.bases[at], "local")
-            self.took.append(1e3 * (time.perf_counter() - began))
+            self.commit_times_ms.append(1e3 * (time.perf_counter() - began))
             self.bases[at] = said["base"]
-            await asyncio.sleep(COMMIT_S)
+            await asyncio.sleep(COMMIT_PAUSE_S)
 
 
 def rss_mb(pid: int) -> float:
--- a/faultlab/routes/draw.py
+++ b/faultlab/routes/random_edits.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Names:
+class NamePool:
     """What edits are drawn from: the settings' names, the teams, and the names of routes."""
 
     teams: tuple[str, ...] = ("red", "green", "blue", "grey")
@@ -28,59 +28,59 @@
     labels: tuple[str, ...] = ("new", "old")
     transforms: tuple[str, ...] = ("mark", "mark-two", "trim")  # the first two write one header
     paths: tuple[str, ...] = PATHS
-    bad: float = 0.1  # share of values that block the plan
+    invalid_share: float = 0.1  # share of values that block the plan
 
 
 FIELDS = ("classes", "callers", "zones", "path", "targets", "attempts", "deadline_ms", "limit", "transforms",
           "before", "note", "later")  # fmt: skip
 
 
-def value(rng: random.Random, names: Names, field: str) -> Any:
+def random_value(rng: random.Random, names: NamePool, field: str) -> Any:
     """A value that `field` may have; in a share of cases one that blocks. `later`: no version knows it."""
     if field in ("classes", "callers", "zones"):
         pool: tuple[str, ...] = getattr(names, field)
-        if rng.random() < names.bad / 2:
+        if rng.random() < names.invalid_share / 2:
             return ["nobody-knows"]
         return sorted(rng.sample(pool, rng.randint(1, len(pool))))
     if field == "path":
         return rng.choice(names.paths)
     if field == "targets":
-        return targets(rng, names)
+        return random_targets(rng, names)
     if field in ("attempts", "deadline_ms", "limit"):
-        if rng.random() < names.bad / 2:
+        if rng.random() < names.invalid_share / 2:
             return rng.choice((0, -1, "x", 1.5))
         return rng.choice((1, 2)) if field == "attempts" else rng.randint(1, 90)
     if field == "transforms":
-        count = rng.choice((0, 1, 1, 2)) if rng.random() < 2 * names.bad else rng.randint(0, 1)
+        count = rng.choice((0, 1, 1, 2)) if rng.random() < 2 * names.invalid_share else rng.randint(0, 1)
         return rng.sample(names.transforms, min(count, len(names.transforms)))
     if field == "before":
         return sorted(rng.sample(names.routes, min(len(names.routes), rng.choice((1, 1, 2)))))
     return f"{field} {rng.randrange(4)}"
 
 
-def targets(rng: random.Random, names: Names) -> list[dict[str, Any]]:
+def random_targets(rng: random.Random, names: NamePool) -> list[dict[str, Any]]:
     found: list[dict[str, Any]] = []
     for _ in range(rng.randint(1, 2)):
         kind = rng.choice(("groups", "types", "labels"))
         share = rng.choice((10, 30, 50))
         found.append({kind: [rng.choice(getattr(names, kind))], "share": share})
-    if rng.random() < names.bad:
+    if rng.random() < names.invalid_share:
         found.append({"groups": [rng.choice(names.groups)], "share": 95})
     return found
 
 
-def route(rng: random.Random, names: Names, name: str, team: str) -> tuple[Edit, ...]:
+def random_route(rng: random.Random, names: NamePool, name: str, team: str) -> tuple[Edit, ...]:
     """A new route, or what is to be one anew."""
-    edits = [Edit(name, "owner", team), Edit(name, "path", value(rng, names, "path"))]
+    edits = [Edit(name, "owner", team), Edit(name, "path", random_value(rng, names, "path"))]
     for field in rng.sample(("classes", "callers", "targets", "limit", "transforms", "note"), 2):
-        edits.append(Edit(name, field, value(rng, names, field)))
+        edits.append(Edit(name, field, random_value(rng, names, field)))
     return tuple(edits)
 
 
-def commit(rng: random.Random, names: Names, view: View) -> Commit:
+def random_commit(rng: random.Random, names: NamePool, view: View) -> Commit:
     """What some team commits having read `view`: mostly of its own routes."""
     draw = rng.random()
-    if draw < 0.15 and (resolved := resolution(rng, names, view)) is not None:
+    if draw < 0.15 and (resolved := random_resolution(rng, names, view)) is not None:
         return resolved
     if draw < 0.25 and view.waiting:
         waiting = rng.choice(view.waiting)
@@ -89,31 +89,31 @@
     held = view.routes.get(name)
     if held is None:
         team = rng.choice(names.teams)
-        return team, route(rng, names, name, team), ()
+        return team, random_route(rng, names, name, team), ()
     team = held.owner if rng.random() < 0.8 else rng.choice(names.teams)
     if draw < 0.4:
         return team, (Edit(name, DELETED, True),), ()
     if draw < 0.45:
         return team, (Edit(name, "owner", rng.choice(names.teams)),), ()
-    edits = changes(rng, names, held, rng.randint(1, 3))
+    edits = random_changes(rng, names, held, rng.randint(1, 3))
     if rng.random() < 0.2:  # of two routes at once
         other = rng.choice(names.routes)
         if other != name:
-            edits += route(rng, names, other, team) if other not in view.routes else (
+            edits += random_route(rng, names, other, team) if other not in view.routes else (
                 Edit(other, "note", f"{rng.randrange(9)}"),)  # fmt: skip
     return team, edits, ()
 
 
-def changes(rng: random.Random, names: Names, held: RouteView, count: int) -> tuple[Edit, ...]:
+def random_changes(rng: random.Random, names: NamePool, held: RouteView, count: int) -> tuple[Edit, ...]:
     """`count` fields of a route get other values; an absent one (None) among them at times."""
     edits = []
     for field in rng.sample(FIELDS, count):
         gone = field in held.values and field not in ("path",) and rng.random() < 0.1
-        edits.append(Edit(held.name, field, None if gone else value(rng, names, field)))
+        edits.append(Edit(held.name, field, None if gone else random_value(rng, names, field)))
     return tuple(edits)
 
 
-def resolution(rng: random.Random, names: Names, view: View) -> Commit | None:
+def random_resolution(rng: random.Random, names: NamePool, view: View) -> Commit | None:
     """An answer to a conflict of a field, of a delete, or of an overlap."""
     open_ones = [c for c in view.conflicts if c.kind in ("field", "delete", "overlap")]
     if not open_ones:
@@ -125,32 +125,34 @@
         return owner, (Edit(name, DELETED, rng.random() < 0.5),), ()
     if conflict.kind == "overlap":
         return owner, (Edit(name, "before", [conflict.routes[-1]]),), ()
-    wanted = rng.choice(conflict.choices).value if conflict.choices else value(rng, names, conflict.field)
+    wanted = (
+        rng.choice(conflict.choices).value if conflict.choices else random_value(rng, names, conflict.field)
+    )
     return owner, (Edit(name, conflict.field, wanted),), ()
 
 
 def as_toml(team: str, base: str, routes: Mapping[str, Mapping[str, Any]]) -> str:
     """A team's file."""
-    lines = [f"team = {_text(team)}"] + ([f"base = {_text(base)}"] if base else [])
+    lines = [f"team = {_toml_string(team)}"] + ([f"base = {_toml_string(base)}"] if base else [])
     for name, fields in routes.items():
-        lines += ["", f"[route.{_text(name)}]"]
-        lines += [f"{field} = {_shown(each)}" for field, each in fields.items()]
+        lines += ["", f"[route.{_toml_string(name)}]"]
+        lines += [f"{field} = {_toml_value(each)}" for field, each in fields.items()]
     return "\n".join(lines) + "\n"
 
 
-def _text(text: str) -> str:
+def _toml_string(text: str) -> str:
     escaped = text.replace("\\", "\\\\").replace('"', '\\"')
     return f'"{escaped}"'
 
 
-def _shown(each: object) -> str:
+def _toml_value(each: object) -> str:
     match each:
         case bool():
             return "true" if each else "false"
         case str():
-            return _text(each)
+            return _toml_string(each)
         case Mapping():
-            return "{" + ", ".join(f"{key} = {_shown(inner)}" for key, inner in each.items()) + "}"
+            return "{" + ", ".join(f"{key} = {_toml_value(inner)}" for key, inner in each.items()) + "}"
         case Sequence():
-            return "[" + ", ".join(map(_shown, each)) + "]"
+            return "[" + ", ".join(map(_toml_value, each)) + "]"
     return str(each)
--- a/faultlab/routes/simulated.py
+++ b/faultlab/routes/simulated.py
@@ -7,17 +7,17 @@
 
 from cloverkeel.fleet.ledger.interface import Action, Level
 
-from faultlab.routes.costs import spread
-from faultlab.routes.draw import Names, commit
+from faultlab.routes.costs import summary
+from faultlab.routes.random_edits import NamePool, random_commit
 from faultlab.storm.cluster.ledger import Member
 from faultlab.storm.cluster.routes import RoutesCluster
 
 TICK_S = 0.2
-START_S = 10.0
-LIMIT_S = 30.0
+FORMATION_S = 10.0
+TIMEOUT_S = 30.0
 
 
-class Watched(RoutesCluster):
+class TimedRoutesCluster(RoutesCluster):
     """Without faults; notes when each write was acknowledged."""
 
     acknowledged_s: float | None = None
@@ -32,10 +32,10 @@
 def run(members: int, rounds: int, seed: int) -> dict[str, Any]:
     """Simulated seconds: 0.5 to 30 ms a message, 1 to 20 ms a disk's write. Acknowledged by a quorum."""
     rng = random.Random(f"simulated {seed}")
-    cluster = Watched(seed, members, TICK_S)
-    names = Names(routes=tuple(f"r{number}" for number in range(40)), bad=0.02)
-    cluster.run(START_S)
-    if not cluster.run(LIMIT_S, cluster.is_quiescent):
+    cluster = TimedRoutesCluster(seed, members, TICK_S)
+    names = NamePool(routes=tuple(f"r{number}" for number in range(40)), invalid_share=0.02)
+    cluster.run(FORMATION_S)
+    if not cluster.run(TIMEOUT_S, cluster.is_quiescent):
         raise RuntimeError("the members do not come to rest before the first edit")
     took: list[float] = []
     for _ in range(rounds):
@@ -43,18 +43,18 @@
         read = cluster.instances[member.name].last_read
         assert read is not None
         cluster.acknowledged_s = None
-        cluster.commit(member, read, commit(rng, names, read.view), Level.QUORUM)
+        cluster.commit(member, read, random_commit(rng, names, read.view), Level.QUORUM)
         dot, began_s = (
             max(cluster.routes_reference.changes, key=list(cluster.routes_reference.changes).index),
             cluster.now_s,
         )
         while any(dot not in r.held or r.stale or r.settling for r in cluster.instances.values()):
-            if cluster.now_s - began_s > LIMIT_S or cluster.violations():
-                raise RuntimeError(f"no end after {LIMIT_S} s: {cluster.violations()}")
+            if cluster.now_s - began_s > TIMEOUT_S or cluster.violations():
+                raise RuntimeError(f"no end after {TIMEOUT_S} s: {cluster.violations()}")
             cluster.run(0.005)
         all_s = cluster.now_s
-        while cluster.acknowledged_s is None and cluster.now_s - began_s < LIMIT_S:
+        while cluster.acknowledged_s is None and cluster.now_s - began_s < TIMEOUT_S:
             cluster.run(0.005)
         assert cluster.acknowledged_s is not None
         took.append(max(0.0, all_s - cluster.acknowledged_s))
-    return {"members": members, "edits": rounds, "acknowledged_to_all_s": spread(took) | {"goal": 2.0}}
+    return {"members": members, "edits": rounds, "acknowledged_to_all_s": summary(took) | {"goal": 2.0}}
--- a/faultlab/storm/cluster/routes.py
+++ b/faultlab/storm/cluster/routes.py
@@ -18,7 +18,7 @@
 from cloverkeel.fleet.routes.interface import View, Environment
 from cloverkeel.fleet.routes.merge import Merge, merge_all
 
-from faultlab.routes.draw import Commit, Names
+from faultlab.routes.random_edits import Commit, NamePool
 from faultlab.storm.cluster.ledger import LedgerCluster, Member
 from faultlab.storm.cluster.routes_reference import RoutesReference, merge_outcome
 
@@ -35,7 +35,7 @@
 
 def environment_at(number: int, groups: frozenset[str] | None = None) -> Environment:
     """The fleet's settings, and its transforms at the `number`-th change: one more published each time."""
-    names = Names()
+    names = NamePool()
     known = dict(list(TRANSFORM_HEADERS.items())[: max(1, number + 1)])
     return Environment(
         frozenset(names.classes), frozenset(names.callers), frozenset(names.zones), frozenset(names.types),
--- a/faultlab/storm/cluster/routes_history.py
+++ b/faultlab/storm/cluster/routes_history.py
@@ -15,7 +15,7 @@
 from cloverkeel.fleet.routes.interface import Environment
 from cloverkeel.fleet.routes.merge import Merge
 
-from faultlab.routes.draw import Names, commit
+from faultlab.routes.random_edits import NamePool, random_commit
 from faultlab.storm.cluster.ledger import TICK_S, Disk
 from faultlab.storm.cluster.ledger_history import apply_fault
 from faultlab.storm.cluster.history_result import HistoryResult, run_history
@@ -44,10 +44,10 @@
     """One random history of 5 to 20 members (or so many), mostly of the fewer."""
     rng = random.Random(seed)
     cluster = RoutesCluster(seed, members or rng.choice(SIZES), tick_s, make)
-    names = Names(
-        teams=Names().teams[: rng.randint(2, 4)],
-        routes=Names().routes[: rng.randint(1, 6)],
-        bad=rng.choice((0.0, 0.05, 0.2)),
+    names = NamePool(
+        teams=NamePool().teams[: rng.randint(2, 4)],
+        routes=NamePool().routes[: rng.randint(1, 6)],
+        invalid_share=rng.choice((0.0, 0.05, 0.2)),
     )
     copies: dict[str, Disk] = {}
     cluster.drop_rate, cluster.duplicate_rate = rng.choice((0.0, 0.05, 0.3)), rng.choice((0.0, 0.1))
@@ -64,7 +64,7 @@
     return run_history(cluster, steps or rng.choice(STEPS), step)
 
 
-def _random_commits(cluster: RoutesCluster, rng: random.Random, names: Names) -> None:
+def _random_commits(cluster: RoutesCluster, rng: random.Random, names: NamePool) -> None:
     """One to four teams at once, at members of their own."""
     for _ in range(rng.choice((1, 1, 2, 4))):
         up = cluster.running_members()
@@ -78,7 +78,7 @@
             read = rng.choice(cluster.exports)  # exported here or elsewhere, now or long ago
         elif rng.random() < 0.3:
             cluster.exports = [*cluster.exports[1 - MAX_EXPORTS :], read]
-        cluster.commit(member, read, commit(rng, names, read.view), rng.choice(tuple(Level)))
+        cluster.commit(member, read, random_commit(rng, names, read.view), rng.choice(tuple(Level)))
         if rng.random() < 0.1:
             _schedule_kill(cluster, rng, member.name)
 
--- a/faultlab/transforms/__init__.py
+++ b/faultlab/transforms/__init__.py
@@ -34,7 +34,7 @@
     lab.add_argument(
         "--faults",
         metavar="NAME,...",
-        type=faults.named,
+        type=faults.parse_cases,
         help=f"hard cases in place of a part: {', '.join(faults.FAULTS)}, or all",
     )
     lab.add_argument("--json", action="store_true", help="one JSON object instead of a table")
--- a/faultlab/transforms/activation.py
+++ b/faultlab/transforms/activation.py
@@ -16,19 +16,21 @@
 from faultlab.lab import ask
 from faultlab.gateways import POLL_S
 from faultlab.transforms.engine import cpu_s
-from faultlab.transforms.published import Published
+from faultlab.transforms.fleet import TransformsFleet
 
 CANARY_S = 0.5
-QUIET_S = 10.0
-CALLS_S = 10.0  # calls a second to each gateway while a bad version is out
+QUIET_PERIOD_S = 10.0
+CALLS_PER_S = 10.0  # calls a second to each gateway while a bad version is out
 SOURCE = 'transform mark owner lab phase request reads x-bad writes x-mark set x-mark = "%d"'
-BAD = 'transform mark owner lab phase request reads x-bad writes x-mark when has("x-bad") { fail "%d" }'
-CALL = b"POST /transfer HTTP/1.1\r\nHost: l\r\nX-Call-Id: l%d\r\nX-Bad: 1\r\nContent-Length: 0\r\n\r\n"
+BAD_SOURCE = (
+    'transform mark owner lab phase request reads x-bad writes x-mark when has("x-bad") { fail "%d" }'
+)
+REQUEST = b"POST /transfer HTTP/1.1\r\nHost: l\r\nX-Call-Id: l%d\r\nX-Bad: 1\r\nContent-Length: 0\r\n\r\n"
 # Of a bad version: published to the first that has the epoch, to the first breaker, to the first that has it
 # quarantined, to the last.
 STEPS = ("to_candidate", "to_trip", "to_quarantined", "to_all")
-_ids = itertools.count()
-BYTES = re.compile(rb"^lb_ledger_bytes_out_total (\d+)$", re.MULTILINE)
+_request_numbers = itertools.count()
+BYTES_OUT_PATTERN = re.compile(rb"^lb_ledger_bytes_out_total (\d+)$", re.MULTILINE)
 
 
 async def run(arguments: argparse.Namespace, folder: Path) -> dict[str, Any]:
@@ -37,23 +39,25 @@
     staged, spread, all_active, stopped = [], [], [], []
     statuses: Counter[int] = Counter()
     steps: dict[str, list[float]] = {step: [] for step in STEPS}
-    async with Published(arguments.gateways, folder, settings) as fleet:
-        quiet = await quiet_bytes(fleet)
-        cpu_before = used(fleet)
+    async with TransformsFleet(arguments.gateways, folder, settings) as fleet:
+        quiet = await quiet_bytes_per_s(fleet)
+        cpu_before = cpu_used_s(fleet)
         for number in range(arguments.rounds):
             began = time.monotonic()
             id = await fleet.publish(fleet.names[number % len(fleet.names)], (SOURCE % number).encode())
-            at = await said(fleet, "event=transforms.staged", f"version={id}", "outcome=staged")
+            at = await wait_log_line(fleet, "event=transforms.staged", f"version={id}", "outcome=staged")
             staged.append(max(at) - began)
-            at = await said(fleet, "event=transforms.epoch", f"active={id}")
+            at = await wait_log_line(fleet, "event=transforms.epoch", f"active={id}")
             spread.append(max(at) - min(at))
             all_active.append(max(at) - began)
-            await fleet.all(rests)
+            await fleet.all(is_quiescent)
             began = time.monotonic()
-            async with load(fleet, statuses):
-                id = await fleet.publish(fleet.names[-1 - number % len(fleet.names)], (BAD % number).encode())
-                tried = await said(fleet, "event=transforms.epoch", f"candidate={id}")
-                ends = await said(fleet, "event=transforms.quarantined", after_s=began)
+            async with send_calls(fleet, statuses):
+                id = await fleet.publish(
+                    fleet.names[-1 - number % len(fleet.names)], (BAD_SOURCE % number).encode()
+                )
+                tried = await wait_log_line(fleet, "event=transforms.epoch", f"candidate={id}")
+                ends = await wait_log_line(fleet, "event=transforms.quarantined", after_s=began)
                 stopped.append(max(ends) - began)
                 trips = [
                     at_s
@@ -63,8 +67,8 @@
                 marks = [began, min(tried), min(trips), min(ends), max(ends)]  # one after the other
                 for step, (since, until) in zip(STEPS, itertools.pairwise(marks), strict=True):
                     steps[step].append(until - since)
-            await fleet.all(rests)
-        cpu = [(now - was) / arguments.rounds for now, was in zip(used(fleet), cpu_before, strict=True)]
+            await fleet.all(is_quiescent)
+        cpu = [(now - was) / arguments.rounds for now, was in zip(cpu_used_s(fleet), cpu_before, strict=True)]
     return {
         "gateways": arguments.gateways,
         "rounds": arguments.rounds,
@@ -81,13 +85,13 @@
     }
 
 
-def used(fleet: Published) -> tuple[float, float]:
+def cpu_used_s(fleet: TransformsFleet) -> tuple[float, float]:
     """CPU seconds so far: of a gateway, the mean of all, and of the lab."""
     pids = [gateway.process.pid for gateway in fleet.gateways.values() if gateway.process is not None]
     return sum(map(cpu_s, pids)) / len(pids), time.process_time()
 
 
-def rests(status: dict[str, Any]) -> bool:
+def is_quiescent(status: dict[str, Any]) -> bool:
     """Nothing is on its way, and all live members run the epoch: the next round begins alike."""
     return all(each["state"] == "active" for each in status["transforms"]) and all(
         member["epoch"] == status["epoch"] for member in status["members"] if member["live"]
@@ -103,7 +107,9 @@
     }
 
 
-async def said(fleet: Published, *words: str, after_s: float = 0.0, timeout_s: float = 60.0) -> list[float]:
+async def wait_log_line(
+    fleet: TransformsFleet, *words: str, after_s: float = 0.0, timeout_s: float = 60.0
+) -> list[float]:
     """When each gateway first wrote a line with these words after `after_s`, once all have. Each line is
     looked at once: the relay runs beside this."""
     left = dict.fromkeys(fleet.names, 0)
@@ -123,15 +129,15 @@
 
 
 @contextlib.asynccontextmanager
-async def load(fleet: Published, statuses: Counter[int]) -> Any:
+async def send_calls(fleet: TransformsFleet, statuses: Counter[int]) -> Any:
     """Calls that a bad version fails on, to each gateway at `CALLS_S`; their statuses are counted."""
     ended = asyncio.Event()
 
     async def one(port: int) -> None:
         while not ended.is_set():
-            statuses[await ask(port, CALL % next(_ids))] += 1
+            statuses[await ask(port, REQUEST % next(_request_numbers))] += 1
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(ended.wait(), 1 / CALLS_S)
+                await asyncio.wait_for(ended.wait(), 1 / CALLS_PER_S)
 
     tasks = [asyncio.create_task(one(gateway.port)) for gateway in fleet.gateways.values()]
     try:
@@ -141,20 +147,20 @@
         await asyncio.gather(*tasks)
 
 
-async def quiet_bytes(fleet: Published) -> float:
+async def quiet_bytes_per_s(fleet: TransformsFleet) -> float:
     """What a member's ledger sends in a second while nothing changes, the mean of all."""
-    before = await _bytes(fleet)
+    before = await _ledger_bytes_out(fleet)
     began = time.monotonic()
-    await asyncio.sleep(QUIET_S)  # the measurement itself
+    await asyncio.sleep(QUIET_PERIOD_S)  # the measurement itself
     passed_s = time.monotonic() - began
-    return round((await _bytes(fleet) - before) / passed_s / len(fleet.names), 1)
+    return round((await _ledger_bytes_out(fleet) - before) / passed_s / len(fleet.names), 1)
 
 
-async def _bytes(fleet: Published) -> int:
+async def _ledger_bytes_out(fleet: TransformsFleet) -> int:
     total = 0
     for name in fleet.names:
         _, body = await fleet.call(name, "/api/telemetry")
-        found = BYTES.search(body)
+        found = BYTES_OUT_PATTERN.search(body)
         if found is None:
             raise RuntimeError(f"{name} gives no ledger's bytes")
         total += int(found[1])
--- a/faultlab/transforms/engine.py
+++ b/faultlab/transforms/engine.py
@@ -33,36 +33,38 @@
 when has("x-route") { set x-route-mark = mark(header("x-route")) }
 remove x-debug
 """
-ENDLESS = b'transform endless owner o phase request steps 10000 writes b def f0(s) = ""\n' + b"".join(
-    b"def f%d(s) = f%d(s) + f%d(s)\n" % (n, n - 1, n - 1) for n in range(1, 20)
-) + b'set b = f19("")'  # fmt: skip
+BUDGET_EXHAUSTING_SOURCE = (
+    b'transform endless owner o phase request steps 10000 writes b def f0(s) = ""\n'
+    + b"".join(b"def f%d(s) = f%d(s) + f%d(s)\n" % (n, n - 1, n - 1) for n in range(1, 20))
+    + b'set b = f19("")'
+)
 HEADERS = [(b"X-Header-%d" % n, b"value-%d" % n) for n in range(8)] + [
     (b"Host", b"lab"), (b"X-Route", b"North"), (b"X-Debug", b"1"), (b"Cookie", b"a=b"),
 ]  # fmt: skip
-HOSTS = 8  # so that no gateway takes the load for more than they can bear
-_ids = itertools.count()
+HOST_COUNT = 8  # so that no gateway takes the load for more than they can bear
+_request_numbers = itertools.count()
 
 
-class Client(asyncio.Protocol):
+class LoadClient(asyncio.Protocol):
     """One request after another on one connection, until `ends`; counts answers of 200 and others."""
 
     def __init__(self, ends: asyncio.Future[None]) -> None:
-        self.ends, self.good, self.other = ends, 0, 0
-        self.lines = b"".join(b"%s: %s\r\n" % pair for pair in HEADERS)
+        self.stop, self.ok_count, self.other_count = ends, 0, 0
+        self.header_lines = b"".join(b"%s: %s\r\n" % pair for pair in HEADERS)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        self.ask()
+        self.send_request()
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         head = b"POST /transfer HTTP/1.1\r\n%sX-Call-Id: l%d\r\nContent-Length: 0\r\n\r\n"
-        self.transport.write(head % (self.lines, next(_ids)))
+        self.transport.write(head % (self.header_lines, next(_request_numbers)))
 
     def data_received(self, data: bytes) -> None:
         good = data.startswith(b"HTTP/1.1 200")
-        self.good, self.other = self.good + good, self.other + (not good)
-        if not self.ends.done():
-            self.ask()
+        self.ok_count, self.other_count = self.ok_count + good, self.other_count + (not good)
+        if not self.stop.done():
+            self.send_request()
 
 
 def cpu_s(pid: int) -> float:
@@ -71,22 +73,24 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-async def load(port: int, connections: int, slice_s: float) -> tuple[int, int]:
+async def run_clients(port: int, connections: int, slice_s: float) -> tuple[int, int]:
     """Answers of 200 and others within a slice."""
     loop = asyncio.get_running_loop()
     ends: asyncio.Future[None] = loop.create_future()
-    made = [await loop.create_connection(lambda: Client(ends), "127.0.0.1", port) for _ in range(connections)]
+    made = [
+        await loop.create_connection(lambda: LoadClient(ends), "127.0.0.1", port) for _ in range(connections)
+    ]
     await asyncio.sleep(slice_s)
     ends.set_result(None)
     for transport, _ in made:
         transport.close()
-    return sum(client.good for _, client in made), sum(client.other for _, client in made)
+    return sum(client.ok_count for _, client in made), sum(client.other_count for _, client in made)
 
 
 async def run(arguments: argparse.Namespace, folder: Path) -> dict[str, Any]:
     """`one_to_none` (goal 0.85) and, with `--before`, `off_to_before` (goal 0.99), by rate and by CPU."""
     loop = asyncio.get_running_loop()
-    servers = [await loop.create_server(Host, "127.0.0.1", 0) for _ in range(HOSTS)]
+    servers = [await loop.create_server(Host, "127.0.0.1", 0) for _ in range(HOST_COUNT)]
     listed = [endpoint(named(n, server)) for n, server in enumerate(servers)]
     discovery = Discovery(endpoints=listed)
     await discovery.start()
@@ -108,7 +112,7 @@
                 for name, (more, _) in variants.items()
             }
             try:
-                await one_start(gateways, variants, slices, order, arguments)
+                await measure_start(gateways, variants, slices, order, arguments)
             finally:
                 for gateway in gateways.values():
                     await gateway.signal(signal.SIGTERM)
@@ -116,10 +120,10 @@
         discovery.close()
         for server in servers:
             server.close()
-    return figures(slices) | {"run": costs()}
+    return summarize(slices) | {"run": measure_costs()}
 
 
-async def one_start(
+async def measure_start(
     gateways: dict[str, Gateway],
     variants: dict[str, tuple[dict[str, Any], Path | None]],
     slices: dict[str, list[dict[str, float]]],
@@ -135,14 +139,14 @@
             raise RuntimeError(f"{name} did not start: {gateways[name].log}")
     for _ in range(arguments.rounds):
         for name in order.sample(list(variants), len(variants)):
-            slices[name].append(await one_slice(gateways[name], arguments))
+            slices[name].append(await measure_slice(gateways[name], arguments))
 
 
-async def one_slice(gateway: Gateway, arguments: argparse.Namespace) -> dict[str, float]:
+async def measure_slice(gateway: Gateway, arguments: argparse.Namespace) -> dict[str, float]:
     assert gateway.process is not None
     pid = gateway.process.pid
     cpu, began = cpu_s(pid), time.monotonic()
-    good, other = await load(gateway.port, arguments.connections, arguments.slice_ms / 1000)
+    good, other = await run_clients(gateway.port, arguments.connections, arguments.slice_ms / 1000)
     return {
         "good": good,
         "other": other,
@@ -152,7 +156,7 @@
     }
 
 
-def figures(slices: dict[str, list[dict[str, float]]]) -> dict[str, Any]:
+def summarize(slices: dict[str, list[dict[str, float]]]) -> dict[str, Any]:
     """Throughput: the median of the rounds' ratios, whose slices lie side by side. CPU: of all slices."""
     rates = {name: [s["good"] / s["s"] for s in these] for name, these in slices.items()}
     total = {name: {key: sum(s[key] for s in these) for key in these[0]} for name, these in slices.items()}
@@ -172,19 +176,19 @@
     return found
 
 
-def costs() -> dict[str, float]:
+def measure_costs() -> dict[str, float]:
     """CPU of compiling, of one run on 12 headers, and of a run that uses up the largest budget."""
     came = Head(tuple(HEADERS), b"transfer")
     compiled = compile(parse(SOURCE))  # the parser is made at the first one
-    endless = compile(parse(ENDLESS))
+    endless = compile(parse(BUDGET_EXHAUSTING_SOURCE))
     return {
-        "compile_ms": 1e3 * _each(lambda: compile(parse(SOURCE)), 20),
-        "run_us": 1e6 * _each(lambda: compiled.run(came), 2_000),
-        "longest_run_ms": 1e3 * _each(lambda: endless.run(came), 20),
+        "compile_ms": 1e3 * _cpu_per_call_s(lambda: compile(parse(SOURCE)), 20),
+        "run_us": 1e6 * _cpu_per_call_s(lambda: compiled.run(came), 2_000),
+        "longest_run_ms": 1e3 * _cpu_per_call_s(lambda: endless.run(came), 20),
     }
 
 
-def _each(work: Callable[[], object], times: int) -> float:
+def _cpu_per_call_s(work: Callable[[], object], times: int) -> float:
     began = time.process_time()
     for _ in range(times):
         work()
--- a/faultlab/transforms/faults/__init__.py
+++ b/faultlab/transforms/faults/__init__.py
@@ -14,12 +14,12 @@
 from typing import Any
 
 from faultlab.transforms.faults import disks, kills, network, upgrade, versions
-from faultlab.transforms.faults.field import SETTINGS, Field
-from faultlab.transforms.faults.hosts import Heads
+from faultlab.transforms.faults.harness import SETTINGS, FaultHarness
+from faultlab.transforms.faults.hosts import HeadChecker
 from faultlab.transforms.faults.mixed import mixed
-from faultlab.transforms.published import Published
+from faultlab.transforms.fleet import TransformsFleet
 
-Case = Callable[[Field], Awaitable[None]]
+Case = Callable[[FaultHarness], Awaitable[None]]
 FAULTS: dict[str, Case] = {
     "publisher": kills.publisher, "staged": kills.staged, "stopped": kills.stopped,
     "lossy": network.lossy, "partitions": network.partitions, "together": network.together,
@@ -27,15 +27,15 @@
     "harmful": versions.harmful, "refused": versions.refused, "upgrade": upgrade.upgrade,
     "old": disks.old, "mixed": functools.partial(mixed, rounds=1),
 }  # fmt: skip
-NOT_FAULTS = {"calls harmed", "calls refused or late"}  # counted beside them
+NON_FAULT_COUNTS = {"calls harmed", "calls refused or late"}  # counted beside them
 # Cases with a fleet of their own: settings of `transforms.fleet` and of `cluster`.
-OWN: dict[str, tuple[dict[str, Any], dict[str, Any]]] = {
+OWN_FLEET_SETTINGS: dict[str, tuple[dict[str, Any], dict[str, Any]]] = {
     "harmful": ({"canary_s": versions.CANARY_S}, {}),
-    "old": ({}, {"reap_after_s": disks.REAP_S}),
+    "old": ({}, {"reap_after_s": disks.REAP_AFTER_S}),
 }
 
 
-def named(text: str) -> list[str]:
+def parse_cases(text: str) -> list[str]:
     """The cases of an argument, in the order given. Raises argparse.ArgumentTypeError."""
     names = list(FAULTS) if text == "all" else text.split(",")
     if unknown := [name for name in names if name not in FAULTS]:
@@ -55,28 +55,35 @@
     left = list(arguments.faults)
     while left:
         first = left[0]
-        together = [first] if first in OWN else [name for name in left if name not in OWN]
-        heads = Heads()
+        together = (
+            [first]
+            if first in OWN_FLEET_SETTINGS
+            else [name for name in left if name not in OWN_FLEET_SETTINGS]
+        )
+        heads = HeadChecker()
         place = folder / f"fleet-{len(took)}"
         place.mkdir()
-        settings, cluster = OWN.get(first, ({}, {}))
-        made = Published(arguments.gateways, place, SETTINGS | settings, heads.protocol, cluster)
+        settings, cluster = OWN_FLEET_SETTINGS.get(first, ({}, {}))
+        made = TransformsFleet(arguments.gateways, place, SETTINGS | settings, heads.make_protocol, cluster)
         async with made as fleet:
-            field = await Field(fleet, heads, rng).begin()
+            field = await FaultHarness(fleet, heads, rng).publish_first()
             for name in together:
                 left.remove(name)
                 began = time.monotonic()
-                fault = await play(name, field)
+                fault = await run_case(name, field)
                 took[name] = round(time.monotonic() - began, 1)
-                end = fault or f"{len(field.broken)} broken, {len(field.lost)} lost so far on this fleet"
+                end = (
+                    fault
+                    or f"{len(field.violations)} broken, {len(field.lost_orders)} lost so far on this fleet"
+                )
                 print(f"{name}: {took[name]} s, {end}", file=sys.stderr, flush=True)
                 if fault:
                     break  # the next ones get a fleet that is whole
-            injected, answers = injected + field.injected, answers + field.answers
+            injected, answers = injected + field.injected, answers + field.order_outcomes
             refusals += field.refusals
-            broken += field.broken
-            lost += field.lost
-    faults = {kind: count for kind, count in sorted(injected.items()) if kind not in NOT_FAULTS}
+            broken += field.violations
+            lost += field.lost_orders
+    faults = {kind: count for kind, count in sorted(injected.items()) if kind not in NON_FAULT_COUNTS}
     return {
         "gateways": arguments.gateways, "seed": arguments.seed,
         "faults": sum(faults.values()), "injected": faults,
@@ -88,12 +95,12 @@
     }  # fmt: skip
 
 
-async def play(name: str, field: Field) -> str:
+async def run_case(name: str, field: FaultHarness) -> str:
     """Play a case; where it did not come to its end, why, which is kept as broken too."""
     try:
         await FAULTS[name](field)
     except (TimeoutError, RuntimeError, OSError) as error:
         why = f"{name}: {type(error).__name__}: {error}"
-        field.broken.append(why)
+        field.violations.append(why)
         return why
     return ""
--- a/faultlab/transforms/faults/hosts.py
+++ b/faultlab/transforms/faults/hosts.py
@@ -11,61 +11,61 @@
 
 from faultlab.lab import ask
 
-SENT = (b"X-Bad: 1", b"X-Keep: k", b"Cookie: a=b")
-CALL = b"POST /transfer HTTP/1.1\r\nHost: l\r\nX-Call-Id: f%d\r\n" + b"\r\n".join(SENT) + (
+SENT_LINES = (b"X-Bad: 1", b"X-Keep: k", b"Cookie: a=b")
+REQUEST = b"POST /transfer HTTP/1.1\r\nHost: l\r\nX-Call-Id: f%d\r\n" + b"\r\n".join(SENT_LINES) + (
     b"\r\nContent-Length: 0\r\n\r\n")  # fmt: skip
-GOOD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-SICK = b"HTTP/1.1 500 X\r\nContent-Length: 2\r\n\r\nno"
-OURS = (b"x-mark:", b"x-sick:")  # what the lab's transforms may write
-ADDED = (b"host:", b"x-call-id:", b"x-budget-ms:", b"content-length:")
-_ids = itertools.count()
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+ERROR_RESPONSE = b"HTTP/1.1 500 X\r\nContent-Length: 2\r\n\r\nno"
+TRANSFORM_PREFIXES = (b"x-mark:", b"x-sick:")  # what the lab's transforms may write
+GATEWAY_PREFIXES = (b"host:", b"x-call-id:", b"x-budget-ms:", b"content-length:")
+_request_numbers = itertools.count()
 
 
-class Heads:
+class HeadChecker:
     """What the hosts of one fleet have seen: marks, and what no transform of the lab's may have done."""
 
     def __init__(self) -> None:
         self.marks: Counter[bytes] = Counter()  # b"": none
-        self.faults: Counter[str] = Counter()
+        self.violations: Counter[str] = Counter()
 
-    def protocol(self) -> asyncio.Protocol:
-        return _Host(self)
+    def make_protocol(self) -> asyncio.Protocol:
+        return _CheckingHost(self)
 
-    def take(self, head: bytes) -> bytes:
+    def check_head(self, head: bytes) -> bytes:
         """The answer to one request."""
         lines = head.split(b"\r\n")[1:]
         marks = [line[7:].strip() for line in lines if line.lower().startswith(b"x-mark:")]
         self.marks[marks[-1] if marks else b""] += 1
-        for sent in SENT:
+        for sent in SENT_LINES:
             if sent not in lines:
-                self.faults[f"{sent.decode()} is gone"] += 1
+                self.violations[f"{sent.decode()} is gone"] += 1
         for line in lines:
-            if line not in SENT and not line.lower().startswith(OURS + ADDED):
-                self.faults[f"{line[:40]!r} has come"] += 1
-        return SICK if any(line.lower().startswith(b"x-sick:") for line in lines) else GOOD
+            if line not in SENT_LINES and not line.lower().startswith(TRANSFORM_PREFIXES + GATEWAY_PREFIXES):
+                self.violations[f"{line[:40]!r} has come"] += 1
+        return ERROR_RESPONSE if any(line.lower().startswith(b"x-sick:") for line in lines) else OK_RESPONSE
 
 
-class _Host(asyncio.Protocol):
-    def __init__(self, heads: Heads) -> None:
-        self.heads, self.held = heads, b""
+class _CheckingHost(asyncio.Protocol):
+    def __init__(self, heads: HeadChecker) -> None:
+        self.checker, self.buffer = heads, b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        *whole, self.held = (self.held + data).split(b"\r\n\r\n")
+        *whole, self.buffer = (self.buffer + data).split(b"\r\n\r\n")
         for head in whole:
-            self.transport.write(self.heads.take(head))
+            self.transport.write(self.checker.check_head(head))
 
 
 @contextlib.asynccontextmanager
-async def calls(ports: Iterable[int], a_second: float) -> AsyncIterator[Counter[int]]:
+async def send_calls(ports: Iterable[int], a_second: float) -> AsyncIterator[Counter[int]]:
     """Single-shot calls at this rate to each port; gives their statuses (0: no answer in time)."""
     ended, statuses = asyncio.Event(), Counter[int]()
 
     async def one(port: int) -> None:
         while not ended.is_set():
-            statuses[await ask(port, CALL % next(_ids))] += 1
+            statuses[await ask(port, REQUEST % next(_request_numbers))] += 1
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(ended.wait(), 1 / a_second)
 
--- a/faultlab/transforms/faults/network.py
+++ b/faultlab/transforms/faults/network.py
@@ -7,84 +7,84 @@
 from typing import Any
 
 from faultlab.relay import Rule
-from faultlab.transforms.faults.field import CLEAN, REST_S, Field
+from faultlab.transforms.faults.harness import PASS_THROUGH, QUIESCENCE_TIMEOUT_S, FaultHarness
 from faultlab.gateways import POLL_S
 
-LOSSY = Rule(drop=0.05, duplicate=0.02, reorder=0.1, delay_s=(0.0, 0.01))
+LOSSY_RULE = Rule(drop=0.05, duplicate=0.02, reorder=0.1, delay_s=(0.0, 0.01))
 ROUNDS = 3
-PAD = 24 * 1024  # so that a payload is fetched by the pieces, not told with its head
+PAD_BYTES = 24 * 1024  # so that a payload is fetched by the pieces, not told with its head
 
 
-async def lossy(field: Field) -> None:
+async def lossy(field: FaultHarness) -> None:
     """5 % loss, doubles, reordering, delays on each path, and streams reset, while versions come and go."""
-    field.fleet.relay.set(LOSSY)
-    field.count("lossy network")
+    field.fleet.relay.set_rule(LOSSY_RULE)
+    field.count_fault("lossy network")
     try:
         for number in range(ROUNDS):
-            await field.publish(field.fleet.names[number], field.source(pad=PAD))
-            field.reset()
-            await field.rest()
+            await field.publish(field.fleet.names[number], field.make_source(pad=PAD_BYTES))
+            field.reset_streams()
+            await field.wait_quiescent()
     finally:
-        field.fleet.relay.set(CLEAN)
+        field.fleet.relay.set_rule(PASS_THROUGH)
 
 
-async def partitions(field: Field) -> None:
+async def partitions(field: FaultHarness) -> None:
     """A third cut off, the member that proposes among them, during a publication on each side, an activation
     and a rollback, each healed."""
     fleet = field.fleet
     few = fleet.names[: max(1, len(fleet.names) // 3)]
     most = [name for name in fleet.names if name not in few]
     # During a publication: at both sides, as the cut comes.
-    orders = [asyncio.create_task(field.publish(at, field.source())) for at in (few[-1], most[-1])]
-    await _cut(field, few, most)
+    orders = [asyncio.create_task(field.publish(at, field.make_source())) for at in (few[-1], most[-1])]
+    await _cut_until_quiescent(field, few, most)
     await asyncio.gather(*orders)
-    await _heal(field)
+    await _heal_and_wait(field)
     # During an activation: cut while a candidate is out.
-    id = await field.publish(most[-1], field.source())
-    async with asyncio.timeout(REST_S):
-        while not candidate_or_active(await fleet.status(most[-1]), id):
+    id = await field.publish(most[-1], field.make_source())
+    async with asyncio.timeout(QUIESCENCE_TIMEOUT_S):
+        while not is_candidate_or_active(await fleet.status(most[-1]), id):
             await asyncio.sleep(POLL_S)
-    await _cut(field, few, most)
-    await _heal(field)
+    await _cut_until_quiescent(field, few, most)
+    await _heal_and_wait(field)
     # During a rollback.
     order = asyncio.create_task(field.rollback(most[0]))
-    await _cut(field, few, most)
+    await _cut_until_quiescent(field, few, most)
     await order
-    await _heal(field)
+    await _heal_and_wait(field)
 
 
-def candidate_or_active(status: dict[str, Any], id: str) -> bool:
+def is_candidate_or_active(status: dict[str, Any], id: str) -> bool:
     entry = status["versions"].get("mark", {}) if status else {}
     return any((entry.get(key) or {}).get("id") == id for key in ("active", "candidate"))
 
 
-async def _cut(field: Field, few: list[str], most: list[str]) -> None:
+async def _cut_until_quiescent(field: FaultHarness, few: list[str], most: list[str]) -> None:
     """Cut off until the others have come to rest: the few take no epoch that the others do not know."""
     field.cut(few)
-    await field.rest(most)
-    seen = await field.look()
+    await field.wait_quiescent(most)
+    seen = await field.check_statuses()
     top = max(status["epoch"] for at, status in seen.items() if at in most)
     ahead = [at for at in few if at in seen and seen[at]["epoch"] > top]
     if ahead:
-        field.broken.append(f"{', '.join(ahead)}: a minority is ahead of epoch {top}")
+        field.violations.append(f"{', '.join(ahead)}: a minority is ahead of epoch {top}")
 
 
-async def _heal(field: Field) -> None:
+async def _heal_and_wait(field: FaultHarness) -> None:
     field.fleet.relay.heal()
-    await field.rest()
+    await field.wait_quiescent()
 
 
-async def together(field: Field) -> None:
+async def together(field: FaultHarness) -> None:
     """Two developers publish one name at once, at two gateways: one is taken, on all."""
     names = field.fleet.names
     for number in range(ROUNDS):
-        field.count("two at once")
+        field.count_fault("two at once")
         pair = names[number % len(names)], names[-1 - number % len(names)]
-        await asyncio.gather(*(field.publish(at, field.source()) for at in pair))
-        await field.rest()
+        await asyncio.gather(*(field.publish(at, field.make_source()) for at in pair))
+        await field.wait_quiescent()
 
 
-async def flipped(field: Field) -> None:
+async def flipped(field: FaultHarness) -> None:
     """A byte of a payload flipped on its way, or its stream torn in it: fetched again, and never run."""
     relay, left = field.fleet.relay, 0
 
@@ -95,10 +95,12 @@
             return data
         left -= 1
         if left % 2:
-            field.count("payload flipped")
+            field.count_fault("payload flipped")
             return data[:at] + b"!" + data[at + 1 :]
-        field.count("payload torn")
-        for stream in list(relay.places[target].streams.open | relay.places[source].streams.open):
+        field.count_fault("payload torn")
+        for stream in list(
+            relay.members[target].streams.open_streams | relay.members[source].streams.open_streams
+        ):
             if {stream.source, stream.target} == {source, target}:
                 stream.reset()
         return data[:at]
@@ -107,9 +109,9 @@
         left = 2
         relay.mangle = mangle
         try:
-            await field.publish(field.fleet.names[number], field.source(pad=PAD))
-            await field.rest()
+            await field.publish(field.fleet.names[number], field.make_source(pad=PAD_BYTES))
+            await field.wait_quiescent()
         finally:
             relay.mangle = None
     if not field.injected["payload flipped"] or not field.injected["payload torn"]:
-        field.broken.append("no payload was hurt on its way: the case shows nothing")
+        field.violations.append("no payload was hurt on its way: the case shows nothing")
--- a/faultlab/transforms/published.py
+++ b/faultlab/transforms/fleet.py
@@ -11,7 +11,7 @@
 from faultlab.gateways import Gateways, Host
 
 
-class Published(Gateways):
+class TransformsFleet(Gateways):
     """`async with Published(4, folder, {...}) as fleet`: gateways that may all decide. `settings` go into
     every gateway's `transforms.fleet`, `cluster` into its `cluster`."""
 
--- a/tests/test_duties_lab.py
+++ b/tests/test_duties_lab.py
@@ -7,24 +7,24 @@
 
 import pytest
 
-from faultlab.duties.command import DUTY, befall, cut_off
+from faultlab.duties.command import DUTY, apply_fault, stop_majority
 from faultlab.duties.resource import Resource
-from faultlab.duties.site import Site
+from faultlab.duties.site import DutySite
 from tests.sockets import on_loop
 
 TTL_S = 1.0
 
 
 def sound(resource: Resource) -> None:
-    assert resource.overlaps == resource.repeated == 0
+    assert resource.overlaps == resource.repeated_tokens == 0
 
 
 @on_loop
 async def test_ten_race_and_each_fault_is_followed_by_one_holder_under_a_higher_token(tmp_path: Path) -> None:
-    async with Site(tmp_path, 10, {DUTY: TTL_S}) as site:
-        holder = await site.held(DUTY)
+    async with DutySite(tmp_path, 10, {DUTY: TTL_S}) as site:
+        holder = await site.wait_held(DUTY)
         for kind in ("kill", "end", "stop", "lock", "replace", "restart-all"):
-            after = await befall(site, kind, holder, TTL_S)
+            after = await apply_fault(site, kind, holder, TTL_S)
             assert after is not None and after.token > holder.token, kind
             holder = after
         sound(site.resource)
@@ -34,54 +34,54 @@
 async def test_who_does_not_look_whether_it_still_holds_the_duty_is_rejected_by_its_token(
     tmp_path: Path,
 ) -> None:
-    async with Site(tmp_path, 2, {DUTY: TTL_S}, careless=2) as site:
-        holder = await site.held(DUTY)
-        after = await befall(site, "stop", holder, TTL_S)
+    async with DutySite(tmp_path, 2, {DUTY: TTL_S}, careless=2) as site:
+        holder = await site.wait_held(DUTY)
+        after = await apply_fault(site, "stop", holder, TTL_S)
         assert after is not None and after.holder != holder.holder
         while not site.resource.rejected[DUTY]:
-            site.resource.seen.clear()
-            again = await befall(site, "stop", after, TTL_S)
+            site.resource.first_action_seen.clear()
+            again = await apply_fault(site, "stop", after, TTL_S)
             assert again is not None
             after = again
 
 
 @on_loop
 async def test_a_duty_that_is_no_longer_named_passes_on_and_the_others_stay(tmp_path: Path) -> None:
-    async with Site(tmp_path, 2, {"first": TTL_S, "second": TTL_S}) as site:
-        second = await site.held("second")
-        site.worker(second.holder).send(signal.SIGHUP)
-        after = await site.resource.after("second", second.token, 10.0)
+    async with DutySite(tmp_path, 2, {"first": TTL_S, "second": TTL_S}) as site:
+        second = await site.wait_held("second")
+        site.worker_of(second.holder).send_signal(signal.SIGHUP)
+        after = await site.resource.wait_first_action("second", second.token, 10.0)
         assert after is not None and after.holder != second.holder
-        await site.held("first")
+        await site.wait_held("first")
         sound(site.resource)
 
 
 @on_loop
 async def test_a_quorum_grants_anew_after_a_kill_and_a_minority_does_nothing(tmp_path: Path) -> None:
-    async with Site(tmp_path, 3, {DUTY: TTL_S}, backend="quorum") as site:
-        holder = await site.held(DUTY)
+    async with DutySite(tmp_path, 3, {DUTY: TTL_S}, backend="quorum") as site:
+        holder = await site.wait_held(DUTY)
         for kind in ("kill", "stop", "end"):
-            after = await befall(site, kind, holder, TTL_S)
+            after = await apply_fault(site, kind, holder, TTL_S)
             assert after is not None and after.token > holder.token, kind
             holder = after
-        assert await cut_off(site, holder, TTL_S) == 0
-        assert await site.resource.after(DUTY, holder.token, 10.0) is not None
+        assert await stop_majority(site, holder, TTL_S) == 0
+        assert await site.resource.wait_first_action(DUTY, holder.token, 10.0) is not None
         sound(site.resource)
 
 
 def test_the_resource_finds_an_overlap_a_repeated_token_and_a_stale_one() -> None:
     resource = Resource()
-    resource.act("d", 1, "a/1", 10.0)
-    resource.act("d", 1, "a/1", 11.0)
-    resource.act("d", 2, "b/1", 10.9)  # sent before the holder before had sent its last
-    resource.act("d", 1, "a/1", 11.1)
-    resource.act("d", 2, "c/1", 12.0)
-    assert (resource.overlaps, resource.rejected["d"], resource.repeated) == (1, 1, 1)
+    resource.receive_action("d", 1, "a/1", 10.0)
+    resource.receive_action("d", 1, "a/1", 11.0)
+    resource.receive_action("d", 2, "b/1", 10.9)  # sent before the holder before had sent its last
+    resource.receive_action("d", 1, "a/1", 11.1)
+    resource.receive_action("d", 2, "c/1", 12.0)
+    assert (resource.overlaps, resource.rejected["d"], resource.repeated_tokens) == (1, 1, 1)
 
 
 @pytest.mark.parametrize("sent_s", [11.0, 11.5])
 def test_one_after_the_other_is_no_overlap(sent_s: float) -> None:
     resource = Resource()
-    resource.act("d", 1, "a/1", 11.0)
-    resource.act("d", 2, "b/1", sent_s)
+    resource.receive_action("d", 1, "a/1", 11.0)
+    resource.receive_action("d", 2, "b/1", sent_s)
     assert resource.overlaps == 0
--- a/tests/test_duties_local.py
+++ b/tests/test_duties_local.py
@@ -23,7 +23,7 @@
 from cloverkeel.fleet.duties.local import LocalBackend, list_leases
 from cloverkeel.fleet.duties.shell import NotHeldError, DutyService
 from cloverkeel.fleet.state.database import STATE_FILE
-from faultlab.duties.site import begin
+from faultlab.duties.site import create_state_file
 from tests.sockets import on_loop
 
 DUTY = Duty("chore", ttl_s=2.0)
@@ -55,7 +55,7 @@
 
 
 def test_one_holds_until_it_lets_go_or_its_time_is_over_and_tokens_grow(tmp_path: Path) -> None:
-    begin(tmp_path)
+    create_state_file(tmp_path)
     clock = Clock()
     one, other = pair(tmp_path, clock)
     first = granted(call(one, "acquire"))
@@ -82,7 +82,7 @@
 
 @pytest.mark.parametrize("how", ["new", "copy"])
 def test_a_file_that_was_replaced_grants_nothing_for_a_time_to_live(tmp_path: Path, how: str) -> None:
-    begin(tmp_path)
+    create_state_file(tmp_path)
     clock = Clock()
     one, other = pair(tmp_path, clock)
     path = tmp_path / STATE_FILE
@@ -96,7 +96,7 @@
     if how == "copy":
         path.write_bytes(old)
     else:
-        begin(tmp_path)
+        create_state_file(tmp_path)
     assert isinstance(call(other, "acquire"), Held)
     assert call(one, "renew", token) == NotHeld()
     clock.now_s += 2.0
@@ -109,7 +109,7 @@
     assert isinstance(call(one, "acquire"), Unreachable)  # no file yet
     with pytest.raises(FileNotFoundError):
         list_leases(str(tmp_path))
-    begin(tmp_path)
+    create_state_file(tmp_path)
     one, other = pair(tmp_path, clock)
     token = granted(call(one, "acquire"))
     writer = sqlite3.connect(tmp_path / STATE_FILE, isolation_level=None)
@@ -125,7 +125,7 @@
 
 @on_loop
 async def test_services_hand_over_at_the_end_and_guard_what_they_do(tmp_path: Path) -> None:
-    begin(tmp_path)
+    create_state_file(tmp_path)
     duty = Duty("chore", ttl_s=0.4)
     heard: asyncio.Queue[tuple[str, int | None]] = asyncio.Queue()
 
--- a/tests/test_duties_parts.py
+++ b/tests/test_duties_parts.py
@@ -15,7 +15,7 @@
 from cloverkeel.fleet.duties.interface import BackendCall, Duty, Granted
 from cloverkeel.fleet.duties.local import LocalBackend
 from cloverkeel.fleet.duties.settings import parse_duties
-from faultlab.duties.site import begin
+from faultlab.duties.site import create_state_file
 
 
 def test_the_raft_library_leaves_the_addresses_of_the_process_alone() -> None:
@@ -116,7 +116,7 @@
     where = ["--state-dir", str(tmp_path)]
     assert run(["duties", *where]) == 1
     assert capsys.readouterr().err.count("\n") == 1
-    begin(tmp_path)
+    create_state_file(tmp_path)
     duty = Duty("chore", ttl_s=0.0)  # a new file grants nothing for a time to live
     held = Duty("chore", ttl_s=60.0)
     backend = LocalBackend(str(tmp_path), "g1/1f")
--- a/tests/test_lab_starts.py
+++ b/tests/test_lab_starts.py
@@ -23,7 +23,7 @@
 from faultlab.lab import READY, ROOT, Gateway, ask, configuration
 from faultlab.ports import free_port, free_ports, listens
 from faultlab.standins import Host, endpoint
-from faultlab.transforms.published import Published
+from faultlab.transforms.fleet import TransformsFleet
 
 
 def with_foreign_gateway(folder: Path, steps: Callable[[Gateway, Host], Awaitable[None]]) -> None:
@@ -97,7 +97,7 @@
     async def steps(foreign: Gateway, host: Host) -> None:
         given = itertools.chain([foreign.port], iter(free_port, None))
         monkeypatch.setattr("faultlab.gateways.free_port", lambda: next(given))
-        async with Published(1, tmp_path, {}) as fleet:
+        async with TransformsFleet(1, tmp_path, {}) as fleet:
             assert fleet.gateways["m0"].port != foreign.port
 
     with_foreign_gateway(tmp_path, steps)
@@ -109,7 +109,7 @@
     async def steps(foreign: Gateway, host: Host) -> None:
         monkeypatch.setattr("faultlab.gateways.free_port", lambda: foreign.port)
         with pytest.raises(RuntimeError, match="m0 did not start"):
-            await Published(1, tmp_path, {}).__aenter__()
+            await TransformsFleet(1, tmp_path, {}).__aenter__()
 
     with_foreign_gateway(tmp_path, steps)
     said = capsys.readouterr().err
--- a/tests/test_membership_lab.py
+++ b/tests/test_membership_lab.py
@@ -18,7 +18,7 @@
 from cloverkeel.fleet.membership.messages import Ping, Push
 from cloverkeel.fleet.membership.updates import MemberUpdate, Status
 from faultlab.fleet import CLUSTER, Fleet, Light
-from faultlab.relay import Place, Rule
+from faultlab.relay import RelayMember, Rule
 
 Case = Callable[[Callable[[Fleet], Awaitable[None]]], None]
 SETTINGS = {"push_pull_s": 2.0}
@@ -54,7 +54,7 @@
 
 @asynccontextmanager
 async def process(
-    fleet: Fleet, place: Place, name: str, settings: dict[str, Any], *words: str
+    fleet: Fleet, place: RelayMember, name: str, settings: dict[str, Any], *words: str
 ) -> AsyncIterator[Light]:
     """A further process, behind the fleet's relay and no part of the fleet."""
     light = Light(name, place, fleet.changed, [])
@@ -98,7 +98,7 @@
 
 def test_loss_on_all_paths_and_stops_of_a_fifth_of_a_second_kill_nobody(case: Case) -> None:
     async def steps(fleet: Fleet) -> None:
-        fleet.relay.set(Rule(drop=0.05, duplicate=0.05, reorder=0.05, delay_s=(0.0, 0.005)))
+        fleet.relay.set_rule(Rule(drop=0.05, duplicate=0.05, reorder=0.05, delay_s=(0.0, 0.005)))
         rng = random.Random(3)
         for _ in range(10):
             member = rng.choice(fleet.running())
@@ -106,7 +106,7 @@
             await asyncio.sleep(0.2)  # the stop itself
             member.signal(signal.SIGCONT)
             await fleet.counters([member])
-        fleet.relay.set(Rule())
+        fleet.relay.set_rule(Rule())
         assert not fleet.deaths and fleet.relay.counts["lost"] > 0
 
     case(steps)
@@ -168,7 +168,7 @@
 def test_a_second_process_of_a_name_runs_without_membership_and_the_first_is_not_touched(case: Case) -> None:
     async def steps(fleet: Fleet) -> None:
         others = [m for m in fleet.running() if m.name != "m1"]
-        place = await fleet.relay.add("twin")
+        place = await fleet.relay.add_member("twin")
         async with process(fleet, place, "m1", {}, "--incarnation", str(2**60)) as twin:
             await fleet.until(lambda: bool(twin.says("state")))
             assert twin.says("state")[0]["state"] == "name_taken" and not twin.view
@@ -185,7 +185,7 @@
     case: Case,
 ) -> None:
     async def steps(fleet: Fleet) -> None:
-        places = [await fleet.relay.add(name) for name in ("loner", "late")]
+        places = [await fleet.relay.add_member(name) for name in ("loner", "late")]
         settings = {"name": "elsewhere", "seeds": [places[1].advertise], "join_wait_s": 0.2}
         async with process(fleet, places[0], "loner", settings) as loner:
             await fleet.until(lambda: bool(loner.says("state")))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -9,21 +9,21 @@
 from cloverkeel.fleet.cluster import ClusterSettings
 from cloverkeel.fleet.membership.calls import CallFailed
 from cloverkeel.fleet.membership.service import Membership
-from faultlab.relay import Place, Relay, Rule
+from faultlab.relay import RelayMember, Relay, Rule
 from faultlab.relay.rules import Rules
 
 LIMIT_S = 5.0
 
 
 def fates(rules: Rules, source: str, target: str, count: int) -> list[tuple[float, ...]]:
-    return [rules.copies(source, target) for _ in range(count)]
+    return [rules.copy_delays_s(source, target) for _ in range(count)]
 
 
 def test_a_pairs_fate_depends_on_the_seed_and_the_pair_alone() -> None:
     rule = Rule(drop=0.3, duplicate=0.2, reorder=0.1, delay_s=(0.01, 0.02))
     alone, among, other = Rules(5), Rules(5), Rules(6)
     for rules in (alone, among, other):
-        rules.set(rule)
+        rules.set_rule(rule)
     fates(among, "b", "a", 17)
     expected = fates(alone, "a", "b", 2_000)
     assert expected == fates(among, "a", "b", 2_000) != fates(other, "a", "b", 2_000)
@@ -36,18 +36,18 @@
 def test_the_last_rule_that_fits_a_pair_holds_and_cuts_have_a_direction() -> None:
     rules = Rules()
     slow, lossy = Rule(delay_s=(0.1, 0.1)), Rule(drop=1.0)
-    rules.set(slow, sources=["a"])
-    rules.set(lossy, targets=["c"])
-    assert rules.copies("a", "b") == (0.1,) and rules.copies("b", "a") == (0.0,)
-    assert rules.copies("a", "c") == () == rules.copies("b", "c")
-    rules.set(Rule())
-    assert rules.copies("a", "c") == (0.0,)
+    rules.set_rule(slow, sources=["a"])
+    rules.set_rule(lossy, targets=["c"])
+    assert rules.copy_delays_s("a", "b") == (0.1,) and rules.copy_delays_s("b", "a") == (0.0,)
+    assert rules.copy_delays_s("a", "c") == () == rules.copy_delays_s("b", "c")
+    rules.set_rule(Rule())
+    assert rules.copy_delays_s("a", "c") == (0.0,)
     rules.cut(["a", "b"], ["c"], one_way=True)
-    assert rules.copies("b", "c") == () and rules.copies("c", "b") == (0.0,)
+    assert rules.copy_delays_s("b", "c") == () and rules.copy_delays_s("c", "b") == (0.0,)
     rules.cut(["a"], ["a", "b"])
-    assert rules.copies("b", "a") == () and not rules.is_cut("a", "a")
+    assert rules.copy_delays_s("b", "a") == () and not rules.is_cut("a", "a")
     rules.heal()
-    assert rules.copies("b", "a") == (0.0,) and not rules.cuts
+    assert rules.copy_delays_s("b", "a") == (0.0,) and not rules.cuts
 
 
 @pytest.mark.parametrize("bad", [{"drop": 1.5}, {"reorder": -0.1}, {"delay_s": (0.2, 0.1)}, {"hold_s": -1.0}])
@@ -66,22 +66,22 @@
         self.heard.put_nowait((data, addr))
 
 
-async def socket_at(place: Place) -> tuple[asyncio.DatagramTransport, Ear]:
+async def socket_at(place: RelayMember) -> tuple[asyncio.DatagramTransport, Ear]:
     loop = asyncio.get_running_loop()
     transport, ear = await loop.create_datagram_endpoint(Ear, local_addr=(place.host, place.port))
     return transport, ear
 
 
-def address(place: Place) -> tuple[str, int]:
+def address(place: RelayMember) -> tuple[str, int]:
     return "127.0.0.1", place.relay_port
 
 
 def test_datagrams_come_from_the_senders_advertised_address_and_obey_the_rules() -> None:
     async def run() -> None:
         relay = Relay(3)
-        a, b = await relay.add("a"), await relay.add("b")
+        a, b = await relay.add_member("a"), await relay.add_member("b")
         with pytest.raises(ValueError, match="a has its place"):
-            await relay.add("a")
+            await relay.add_member("a")
         (at_a, _), (at_b, ear) = await socket_at(a), await socket_at(b)
         async with asyncio.timeout(LIMIT_S):
             at_a.sendto(b"clean", address(b))
@@ -91,14 +91,14 @@
             while relay.counts["lost"] < 1:
                 await asyncio.sleep(0)
             relay.heal()
-            relay.set(Rule(duplicate=1.0))
+            relay.set_rule(Rule(duplicate=1.0))
             at_a.sendto(b"twice", address(b))
             assert [(await ear.heard.get())[0] for _ in range(2)] == [b"twice", b"twice"]
-            relay.set(Rule(reorder=1.0, hold_s=0.02))
+            relay.set_rule(Rule(reorder=1.0, hold_s=0.02))
             at_a.sendto(b"first", address(b))
-            while relay.sent["a"] < 4:
+            while relay.sent_by_member["a"] < 4:
                 await asyncio.sleep(0)
-            relay.set(Rule())
+            relay.set_rule(Rule())
             at_a.sendto(b"second", address(b))
             assert [(await ear.heard.get())[0] for _ in range(2)] == [b"second", b"first"]
             stranger, _ = await asyncio.get_running_loop().create_datagram_endpoint(
@@ -118,7 +118,7 @@
 def test_streams_stand_still_in_a_cut_go_on_after_it_and_break_on_reset() -> None:
     async def run() -> None:
         relay = Relay(4)
-        a, b = await relay.add("a"), await relay.add("b")
+        a, b = await relay.add_member("a"), await relay.add_member("b")
         accepted = 0
 
         async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -147,7 +147,7 @@
             assert await reader.readexactly(4) == b"held" and await hung.readexactly(3) == b"new"
             hung_writer.write_eof()
             assert await hung.read() == b""
-            assert relay.reset(["b"], ["a"]) >= 1
+            assert relay.reset_streams(["b"], ["a"]) >= 1
             with pytest.raises(ConnectionResetError):
                 await reader.readexactly(1)
             stranger, stranger_writer = await connect("127.0.0.1")
@@ -167,8 +167,8 @@
         relay = Relay(5)
         members: list[Membership] = []
         for number, name in enumerate(("a", "b", "c")):
-            place = await relay.add(name)
-            seeds = (relay.places["a"].advertise,) if number else ()
+            place = await relay.add_member(name)
+            seeds = (relay.members["a"].advertise,) if number else ()
             settings = ClusterSettings(name="lab", bind=place.bind, advertise=place.advertise, seeds=seeds)
             members.append(Membership(settings, name, "", 1))
             await members[-1].start()
@@ -178,9 +178,9 @@
         async with asyncio.timeout(LIMIT_S):
             while any(len(member.live()) < 3 for member in members):
                 await asyncio.sleep(0.01)
-            addresses = {name: place.advertise for name, place in relay.places.items()}
+            addresses = {name: place.advertise for name, place in relay.members.items()}
             assert {r.name: r.address for r in b.live()} == addresses
-            assert set(relay.sent) == {"a", "b", "c"} and not relay.counts["strangers"]
+            assert set(relay.sent_by_member) == {"a", "b", "c"} and not relay.counts["strangers"]
             assert await b.calls.call(addresses["c"], "who", 7, 1.0) == ["b", 7]
             assert relay.counts["streams"] == 1
             relay.cut(["a"], ["b"], one_way=True)
--- a/tests/test_rollout_lab.py
+++ b/tests/test_rollout_lab.py
@@ -5,8 +5,8 @@
 import signal
 from pathlib import Path
 
-from faultlab.rollout.command import bad, lost, two_starts
-from faultlab.rollout.site import Rolling
+from faultlab.rollout.command import run_bad_set, lose_conductor, start_twice
+from faultlab.rollout.fleet import RolloutFleet
 from tests.sockets import on_loop
 
 RATE, COUNT = 40, 4_000
@@ -16,34 +16,34 @@
 @on_loop
 async def test_a_bad_set_is_stopped_in_the_first_stage_and_a_good_one_takes_all(tmp_path: Path) -> None:
     wrong: list[str] = []
-    async with Rolling(3, tmp_path) as fleet:
-        await fleet.conductor()
-        fleet.send(RATE, COUNT)
-        await bad(fleet, "failing", BAKE_S, wrong)
+    async with RolloutFleet(3, tmp_path) as fleet:
+        await fleet.wait_conductor()
+        fleet.start_traffic(RATE, COUNT)
+        await run_bad_set(fleet, "failing", BAKE_S, wrong)
         assert wrong == []
-        assert await fleet.order("start", steps=[50, 100], bake_s=BAKE_S) == "taken"
-        await fleet.until("done")
+        assert await fleet.send_order("start", steps=[50, 100], bake_s=BAKE_S) == "taken"
+        await fleet.wait_state("done")
         for name in fleet.names:
-            await fleet.until("done", at=name)
-        old, new = fleet.got()
-        while fleet.got()[1] < new + 50:
+            await fleet.wait_state("done", at=name)
+        old, new = fleet.request_counts()
+        while fleet.request_counts()[1] < new + 50:
             await fleet.status(fleet.names[0])
         # What was on its way when the last gateway took the step may still reach the old hosts.
-        assert fleet.got()[0] - old <= 10
-        assert await fleet.order("undo", "other") == "refused: other is not the rollout at hand (new)"
-        assert await fleet.order("undo") == "taken"
-        await fleet.until("rolled-back")
-        tally = await fleet.quiet()
+        assert fleet.request_counts()[0] - old <= 10
+        assert await fleet.send_order("undo", "other") == "refused: other is not the rollout at hand (new)"
+        assert await fleet.send_order("undo") == "taken"
+        await fleet.wait_state("rolled-back")
+        tally = await fleet.stop_traffic()
         assert 0 not in tally.statuses, tally  # each request has had an answer
 
 
 @on_loop
 async def test_a_conductor_that_is_killed_within_a_stage_is_followed(tmp_path: Path) -> None:
     wrong: list[str] = []
-    async with Rolling(3, tmp_path) as fleet:
-        await fleet.conductor()
-        fleet.send(RATE, COUNT)
-        await lost(fleet, signal.SIGKILL, 2 * BAKE_S, wrong)
+    async with RolloutFleet(3, tmp_path) as fleet:
+        await fleet.wait_conductor()
+        fleet.start_traffic(RATE, COUNT)
+        await lose_conductor(fleet, signal.SIGKILL, 2 * BAKE_S, wrong)
         assert wrong == []
 
 
@@ -52,9 +52,9 @@
     tmp_path: Path,
 ) -> None:
     wrong: list[str] = []
-    async with Rolling(3, tmp_path) as fleet:
-        await fleet.conductor()
-        fleet.send(RATE, COUNT)
-        await lost(fleet, signal.SIGSTOP, 2 * BAKE_S, wrong)
-        assert "is under way" in await two_starts(fleet, wrong)
+    async with RolloutFleet(3, tmp_path) as fleet:
+        await fleet.wait_conductor()
+        fleet.start_traffic(RATE, COUNT)
+        await lose_conductor(fleet, signal.SIGSTOP, 2 * BAKE_S, wrong)
+        assert "is under way" in await start_twice(fleet, wrong)
         assert wrong == []
--- a/tests/test_routes_lab.py
+++ b/tests/test_routes_lab.py
@@ -14,9 +14,9 @@
 
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.routes.changes import Change, Edit
-from faultlab.routes.fleet import Routed, agreement, leave, lost, seen
+from faultlab.routes.fleet import RoutesFleet, wait_agreement, store_change, find_lost_edits, base_context
 
-Case = Callable[[Callable[[Routed], Awaitable[None]]], None]
+Case = Callable[[Callable[[RoutesFleet], Awaitable[None]]], None]
 AGREED_S = 20.0
 CLOCKS_S = {"m1": 600.0, "m2": -600.0}
 
@@ -28,15 +28,15 @@
 
 
 @pytest.fixture(scope="module")
-def fleet(runner: asyncio.Runner, tmp_path_factory: pytest.TempPathFactory) -> Iterator[Routed]:
-    made = runner.run(Routed(4, tmp_path_factory.mktemp("routes"), CLOCKS_S).__aenter__())
+def fleet(runner: asyncio.Runner, tmp_path_factory: pytest.TempPathFactory) -> Iterator[RoutesFleet]:
+    made = runner.run(RoutesFleet(4, tmp_path_factory.mktemp("routes"), CLOCKS_S).__aenter__())
     yield made
     runner.run(made.close())
 
 
 @pytest.fixture
-def case(runner: asyncio.Runner, fleet: Routed) -> Case:
-    def run(steps: Callable[[Routed], Awaitable[None]]) -> None:
+def case(runner: asyncio.Runner, fleet: RoutesFleet) -> Case:
+    def run(steps: Callable[[RoutesFleet], Awaitable[None]]) -> None:
         async def bounded() -> None:
             async with asyncio.timeout(50.0):
                 await steps(fleet)
@@ -55,7 +55,7 @@
     return str(id)
 
 
-async def parted(fleet: Routed, *edits: tuple[str, str, dict[str, Any], str]) -> dict[str, Any]:
+async def parted(fleet: RoutesFleet, *edits: tuple[str, str, dict[str, Any], str]) -> dict[str, Any]:
     """Apply edits (gateway, team, routes, base) during a partition; returns the status all agree on
     afterwards."""
     few, most = fleet.names[:1], fleet.names[1:]
@@ -63,26 +63,28 @@
     said = [await fleet.apply(at, team, routes, base, "local") for at, team, routes, base in edits]
     fleet.relay.heal()
     changes = {each["change"] for each in said}
-    await fleet.all(lambda _: changes <= set(fleet.changes("m0")) and changes <= set(fleet.changes("m3")))
-    return await agreement(fleet, AGREED_S)
+    await fleet.all(
+        lambda _: changes <= set(fleet.stored_changes("m0")) and changes <= set(fleet.stored_changes("m3"))
+    )
+    return await wait_agreement(fleet, AGREED_S)
 
 
 def test_concurrent_commits_of_teams_merge_to_the_same_plan_everywhere(case: Case) -> None:
-    async def steps(fleet: Routed) -> None:
+    async def steps(fleet: RoutesFleet) -> None:
         files = {f"team-{n}": {f"own-{n}": {"path": f"/transfer/{n}"}} for n in range(4)}
         said = await asyncio.gather(
             *(fleet.apply(f"m{n}", team, file) for n, (team, file) in enumerate(files.items()))
         )
         await fleet.all(lambda status: status["count"] == 5)
-        assert not (await agreement(fleet, AGREED_S))["conflicts"]
+        assert not (await wait_agreement(fleet, AGREED_S))["conflicts"]
         plan = await fleet.plan("m2")
-        assert not lost(plan, fleet.changes("m2"), [each["change"] for each in said])
+        assert not find_lost_edits(plan, fleet.stored_changes("m2"), [each["change"] for each in said])
 
     case(steps)
 
 
 def test_a_plan_that_leaves_a_class_without_hosts_is_refused_and_the_last_one_stays(case: Case) -> None:
-    async def steps(fleet: Routed) -> None:
+    async def steps(fleet: RoutesFleet) -> None:
         before = await fleet.status("m0")
         with pytest.raises(RuntimeError, match="400"):
             nowhere = {"classes": ["transfer"], "targets": [{"groups": ["nowhere"], "share": 100}]}
@@ -93,7 +95,7 @@
 
 
 def test_conflicts_from_both_sides_of_a_partition_are_resolved_after_it(case: Case) -> None:
-    async def steps(fleet: Routed) -> None:
+    async def steps(fleet: RoutesFleet) -> None:
         base, routes = await fleet.export("m0", "team-1")
         other, theirs = await fleet.export("m3", "team-2")
         agreed = (await fleet.status("m0"))["count"]
@@ -113,7 +115,7 @@
         await fleet.resolve("m1", conflict(status, "field", "own-1"), "team-1", "value", '"settled"')
         await fleet.resolve("m2", conflict(status, "delete", "own-2"), "team-2", "delete")
         await fleet.all(lambda s: not kinds(s, "own-1") and not kinds(s, "own-2"))
-        await agreement(fleet, AGREED_S)
+        await wait_agreement(fleet, AGREED_S)
         plan = await fleet.plan("m3")
         assert "own-2" not in plan["routes"]
 
@@ -121,7 +123,7 @@
 
 
 def test_no_edit_is_lost_by_concurrent_resolutions(case: Case) -> None:
-    async def steps(fleet: Routed) -> None:
+    async def steps(fleet: RoutesFleet) -> None:
         base, routes = await fleet.export("m0", "team-0")
         mine, other = routes["own-0"] | {"note": "a"}, routes["own-0"] | {"note": "b"}
         status = await parted(
@@ -134,9 +136,9 @@
             fleet.apply("m3", "team-0", {"own-0": routes["own-0"] | {"note": "c"}}, base),
         )
         changes = {each["change"] for each in said}
-        await fleet.all(lambda _: all(changes <= set(fleet.changes(name)) for name in fleet.names))
-        await agreement(fleet, AGREED_S)
-        assert not lost(await fleet.plan("m0"), fleet.changes("m0"), changes)
+        await fleet.all(lambda _: all(changes <= set(fleet.stored_changes(name)) for name in fleet.names))
+        await wait_agreement(fleet, AGREED_S)
+        assert not find_lost_edits(await fleet.plan("m0"), fleet.stored_changes("m0"), changes)
 
     case(steps)
 
@@ -150,22 +152,24 @@
 def test_a_gateway_killed_after_its_acknowledgement_loses_nothing_and_comes_back_with_old_edits(
     case: Case,
 ) -> None:
-    async def steps(fleet: Routed) -> None:
+    async def steps(fleet: RoutesFleet) -> None:
         base, routes = await fleet.export("m3", "team-3")
         said = await fleet.apply("m3", "team-3", {"own-3": routes["own-3"] | {"limit": 9}}, base)
         await fleet.gateways["m3"].signal(signal.SIGKILL)
         rest = fleet.names[:3]
-        await fleet.all(lambda _: all(said["change"] in fleet.changes(name) for name in rest), names=rest)
+        await fleet.all(
+            lambda _: all(said["change"] in fleet.stored_changes(name) for name in rest), names=rest
+        )
         newer = await fleet.apply("m0", "team-3", {"own-3": routes["own-3"] | {"limit": 11}}, said["base"])
         directory = fleet.gateways["m3"].state_dir
-        leave(str(directory), later(seen(said["base"])))
+        store_change(str(directory), later(base_context(said["base"])))
         await fleet.start("m3")
         old = await fleet.apply("m3", "team-3", {"own-3": routes["own-3"] | {"note": "old"}}, base, "local")
         changes = {said["change"], newer["change"], old["change"], "m3/4d/1"}
-        await fleet.all(lambda _: all(changes <= set(fleet.changes(name)) for name in fleet.names))
-        await agreement(fleet, AGREED_S)
+        await fleet.all(lambda _: all(changes <= set(fleet.stored_changes(name)) for name in fleet.names))
+        await wait_agreement(fleet, AGREED_S)
         plan = await fleet.plan("m1")
-        assert not lost(plan, fleet.changes("m1"), changes)
+        assert not find_lost_edits(plan, fleet.stored_changes("m1"), changes)
         route = plan["routes"]["own-3"]
         values = route["values"]
         assert (values["limit"], values["note"], values["attempts"]) == (11, "old", 1)
--- a/tests/test_routes_storm.py
+++ b/tests/test_routes_storm.py
@@ -40,7 +40,7 @@
 def test_costs_are_measured_on_the_plan_of_a_full_merge() -> None:
     found = costs.run(routes=100, rounds=1, seed=1)
     assert (found["routes"], found["rebuild_steps"] > 10) == (100, True)
-    assert set(costs.lookups((10, 100), seed=1)) == {"10", "100", "goal", "greatest_to_least"}
+    assert set(costs.measure_lookups((10, 100), seed=1)) == {"10", "100", "goal", "greatest_to_least"}
 
 
 def test_each_edit_reaches_all_members_of_the_simulated_fleet() -> None:
--- a/tests/test_transforms_faults.py
+++ b/tests/test_transforms_faults.py
@@ -9,10 +9,10 @@
 import pytest
 
 from faultlab.__main__ import main
-from faultlab.transforms.faults import FAULTS, OWN, play
-from faultlab.transforms.faults.field import SETTINGS, Field
-from faultlab.transforms.faults.hosts import Heads
-from faultlab.transforms.published import Published
+from faultlab.transforms.faults import FAULTS, OWN_FLEET_SETTINGS, run_case
+from faultlab.transforms.faults.harness import SETTINGS, FaultHarness
+from faultlab.transforms.faults.hosts import HeadChecker
+from faultlab.transforms.fleet import TransformsFleet
 
 CASE_S = 120.0
 QUICK = {"probe_interval_s": 0.3, "probe_timeout_s": 0.15, "push_pull_s": 2.0}  # who is dead is known soon
@@ -29,10 +29,10 @@
 class Played:
     """Each case's field after it, and why a group's fleet did not come to its end, by the group's cases."""
 
-    fields: dict[str, Field] = field(default_factory=dict)
+    fields: dict[str, FaultHarness] = field(default_factory=dict)
     errors: dict[str, str] = field(default_factory=dict)
 
-    def field_of(self, name: str) -> Field:
+    def field_of(self, name: str) -> FaultHarness:
         assert name in self.fields, self.errors.get(name, "a case before it did not come to its end")
         return self.fields[name]
 
@@ -43,19 +43,19 @@
     result = Played()
 
     async def group(names: tuple[str, ...]) -> None:
-        heads = Heads()
-        settings, cluster = OWN.get(names[0], ({}, {}))
+        heads = HeadChecker()
+        settings, cluster = OWN_FLEET_SETTINGS.get(names[0], ({}, {}))
         folder = tmp_path_factory.mktemp(names[0])
-        made = Published(5, folder, SETTINGS | settings, heads.protocol, QUICK | cluster)
+        made = TransformsFleet(5, folder, SETTINGS | settings, heads.make_protocol, QUICK | cluster)
         async with made as fleet:
             for name in names:
-                case = result.fields[name] = Field(fleet, heads, random.Random(1))
+                case = result.fields[name] = FaultHarness(fleet, heads, random.Random(1))
                 try:
                     async with asyncio.timeout(CASE_S):
-                        await case.begin()
-                        await play(name, case)
+                        await case.publish_first()
+                        await run_case(name, case)
                 except TimeoutError as error:
-                    case.broken.append(f"{name}: not over in time {error}")
+                    case.violations.append(f"{name}: not over in time {error}")
                     return  # the others of the group have no fleet that is whole
                 except Exception as error:
                     result.errors[name] = repr(error)
@@ -79,7 +79,7 @@
 def test_a_hard_case_breaks_nothing(played: Played, name: str) -> None:
     case = played.field_of(name)
     assert name not in played.errors, played.errors[name]
-    assert (case.broken, case.lost) == ([], [])
+    assert (case.violations, case.lost_orders) == ([], [])
     assert case.injected, "the case has injected nothing"
 
 
@@ -90,13 +90,15 @@
         return {"epoch": epoch, "versions": {"mark": entry}}
 
     fleet = played.field_of("old").fleet
-    judged = Field(fleet, Heads(), random.Random(1), shas={"v1": "sha-v1", "v2": "other"})
-    judged.see("m0", status(2, "v1", 1))
-    assert not judged.broken
-    judged.see("m1", status(2, "v2", 2))
-    assert "other bytes" in judged.broken[0] and "epoch 2 is" in judged.broken[1]
-    judged.see("m0", status(1, "v1", 1))
-    assert judged.broken[2] == "m0 fell from epoch 2 to 1"
+    judged = FaultHarness(
+        fleet, HeadChecker(), random.Random(1), sha256_by_id={"v1": "sha-v1", "v2": "other"}
+    )
+    judged.check_status("m0", status(2, "v1", 1))
+    assert not judged.violations
+    judged.check_status("m1", status(2, "v2", 2))
+    assert "other bytes" in judged.violations[0] and "epoch 2 is" in judged.violations[1]
+    judged.check_status("m0", status(1, "v1", 1))
+    assert judged.violations[2] == "m0 fell from epoch 2 to 1"
 
 
 def test_an_unknown_case_is_one_line(capsys: pytest.CaptureFixture[str]) -> None:
--- a/tests/test_transforms_lab.py
+++ b/tests/test_transforms_lab.py
@@ -14,9 +14,9 @@
 import pytest
 
 from faultlab.lab import ROOT, ask
-from faultlab.transforms.published import Published
+from faultlab.transforms.fleet import TransformsFleet
 
-Case = Callable[[Callable[[Published], Awaitable[None]]], None]
+Case = Callable[[Callable[[TransformsFleet], Awaitable[None]]], None]
 SETTINGS = {"canary_s": 0.2, "stage_timeout_s": 3.0, "canary_share": 0.3}
 SOURCE = 'transform mark owner o phase request reads x-bad writes x-mark set x-mark = "%d"'
 FAILING = 'transform mark owner o phase request reads x-bad writes x-mark when has("x-bad") { fail "no" }'
@@ -30,15 +30,15 @@
 
 
 @pytest.fixture(scope="module")
-def fleet(runner: asyncio.Runner, tmp_path_factory: pytest.TempPathFactory) -> Iterator[Published]:
-    made = runner.run(Published(4, tmp_path_factory.mktemp("fleet"), SETTINGS).__aenter__())
+def fleet(runner: asyncio.Runner, tmp_path_factory: pytest.TempPathFactory) -> Iterator[TransformsFleet]:
+    made = runner.run(TransformsFleet(4, tmp_path_factory.mktemp("fleet"), SETTINGS).__aenter__())
     yield made
     runner.run(made.close())
 
 
 @pytest.fixture
-def case(runner: asyncio.Runner, fleet: Published) -> Case:
-    def run(steps: Callable[[Published], Awaitable[None]]) -> None:
+def case(runner: asyncio.Runner, fleet: TransformsFleet) -> Case:
+    def run(steps: Callable[[TransformsFleet], Awaitable[None]]) -> None:
         async def bounded() -> None:
             async with asyncio.timeout(30.0):
                 await steps(fleet)
@@ -71,7 +71,7 @@
 
 
 def test_the_commands_publish_tell_and_roll_back(case: Case, tmp_path: Path) -> None:
-    async def steps(fleet: Published) -> None:
+    async def steps(fleet: TransformsFleet) -> None:
         file, operator = tmp_path / "mark.transform", ("--operator", fleet.operator("m3"))
         file.write_text("transform mark")
         code, out, errors = await command("publish", str(file), *operator)
@@ -101,7 +101,7 @@
 
 
 def test_the_publisher_is_killed_after_its_acknowledgement_and_comes_back(case: Case) -> None:
-    async def steps(fleet: Published) -> None:
+    async def steps(fleet: TransformsFleet) -> None:
         id = await fleet.publish("m0", (SOURCE % 3).encode())  # the first by name, who proposes too
         await fleet.gateways["m0"].signal(signal.SIGKILL)
         await fleet.all(active(id), names=fleet.names[1:])
@@ -115,7 +115,7 @@
 
 
 def test_a_version_that_fails_is_quarantined_and_the_one_before_runs_again(case: Case) -> None:
-    async def steps(fleet: Published) -> None:
+    async def steps(fleet: TransformsFleet) -> None:
         good = (await fleet.status("m3"))["versions"]["mark"]["active"]["id"]
         bad = await fleet.publish("m2", FAILING.encode())
         ids = itertools.count()
@@ -137,7 +137,7 @@
 
 
 def test_a_minority_keeps_its_set_and_all_agree_after_the_heal(case: Case) -> None:
-    async def steps(fleet: Published) -> None:
+    async def steps(fleet: TransformsFleet) -> None:
         before = await fleet.status("m0")
         old = before["versions"]["mark"]["active"]["id"]
         few, most = fleet.names[:1], fleet.names[1:]
