--- a/faultlab/child.py
+++ b/faultlab/child.py
@@ -17,8 +17,8 @@
 import uvloop
 
 ANSWER_TIMEOUT_S = 30.0
-PRIORITY = -10
-LINE_LIMIT = 64 * 1024 * 1024  # an answer may hold a whole run's log
+NICENESS = -10
+MAX_LINE_BYTES = 64 * 1024 * 1024  # an answer may hold a whole run's log
 
 Handler = Callable[[str, dict[str, Any]], Awaitable[Any]]
 
@@ -29,11 +29,11 @@
     _, most = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
     with contextlib.suppress(PermissionError):  # it stands for other machines: not slowed by hundreds here
-        os.setpriority(os.PRIO_PROCESS, 0, PRIORITY)
+        os.setpriority(os.PRIO_PROCESS, 0, NICENESS)
 
     async def run() -> None:
         handle = await make(json.loads(sys.argv[1]))
-        reader = asyncio.StreamReader(limit=LINE_LIMIT)
+        reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
         loop = asyncio.get_running_loop()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
         while line := await reader.readline():
@@ -49,21 +49,21 @@
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
-        self.turn = asyncio.Lock()
+        self.lock = asyncio.Lock()
 
     @classmethod
     async def start(cls, module: str, settings: dict[str, Any]) -> Child:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", module, json.dumps(settings), limit=LINE_LIMIT,
+            sys.executable, "-m", module, json.dumps(settings), limit=MAX_LINE_BYTES,
             stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE,
         )  # fmt: skip
         return cls(process)
 
-    async def ask(self, do: str, **order: Any) -> Any:
+    async def call(self, do: str, **order: Any) -> Any:
         """Send one command; its answer. ConnectionError where the process ended, TimeoutError if silent."""
         process = self.process
         assert process.stdin is not None and process.stdout is not None
-        async with self.turn, asyncio.timeout(ANSWER_TIMEOUT_S):
+        async with self.lock, asyncio.timeout(ANSWER_TIMEOUT_S):
             process.stdin.write(json.dumps(order | {"do": do}).encode() + b"\n")
             await process.stdin.drain()
             line = await process.stdout.readline()
--- a/faultlab/coldstart/command.py
+++ b/faultlab/coldstart/command.py
@@ -15,13 +15,13 @@
 from faultlab.coldstart import drains, experiment
 from faultlab.coldstart.faults import FAULTS
 from faultlab.coldstart.settings import Plan
-from faultlab.lab import ROOT
-from faultlab.report import Parts, positive
+from faultlab.gateway_process import ROOT
+from faultlab.report import Subcommands, positive_int
 
-BUILT = ("caperdrift", "cloverkeel")
+COMPILED_PACKAGES = ("caperdrift", "cloverkeel")
 
 
-def listed(known: tuple[str, ...]) -> Callable[[str], list[str]]:
+def name_list(known: tuple[str, ...]) -> Callable[[str], list[str]]:
     """An argument that names some of `known`, or `all` of them."""
 
     def read(text: str) -> list[str]:
@@ -34,68 +34,74 @@
     return read
 
 
-def sizes(text: str) -> list[int]:
-    return [positive(size) for size in text.split(",")]
+def parse_sizes(text: str) -> list[int]:
+    return [positive_int(size) for size in text.split(",")]
 
 
-def register(parts: Parts) -> None:
+def register(parts: Subcommands) -> None:
     """Add `coldstart` and its arguments to the lab's commands."""
     lab = parts.add_parser("coldstart", help="hundreds of gateways start at once, with `cluster` off and on")
-    lab.add_argument("--gateways", type=positive, default=200)
-    lab.add_argument("--hosts", type=positive, default=60)
+    lab.add_argument("--gateways", type=positive_int, default=200)
+    lab.add_argument("--hosts", type=positive_int, default=60)
     lab.add_argument("--seed", type=int, default=1)
-    lab.add_argument("--rate", type=positive, default=int(Plan.rate_per_s), help="requests a second over all")
+    lab.add_argument(
+        "--rate", type=positive_int, default=int(Plan.rate_per_s), help="requests a second over all"
+    )
     names = ", ".join(FAULTS)
-    lab.add_argument("--faults", type=listed(tuple(FAULTS)), default=["none"],
+    lab.add_argument("--faults", type=name_list(tuple(FAULTS)), default=["none"],
                      help=f"played one by one: {names}; or all")  # fmt: skip
     modes = tuple(experiment.MODES)
-    lab.add_argument("--modes", type=listed(modes), default=list(modes), help="off, on or both")
-    lab.add_argument("--scale", type=sizes, help="sizes of the fleet, in place of --gateways: 50,100,200")
-    lab.add_argument("--drains", type=positive, help="so many drains, each with a fault at a relay")
+    lab.add_argument("--modes", type=name_list(modes), default=list(modes), help="off, on or both")
+    lab.add_argument(
+        "--scale", type=parse_sizes, help="sizes of the fleet, in place of --gateways: 50,100,200"
+    )
+    lab.add_argument("--drains", type=positive_int, help="so many drains, each with a fault at a relay")
     lab.add_argument("--json", action="store_true", help="one JSON object instead of a table")
     lab.set_defaults(run=command)
 
 
 def command(arguments: argparse.Namespace) -> int:
     plan = Plan(arguments.gateways, arguments.hosts, arguments.seed, rate_per_s=arguments.rate)
-    for package in BUILT:  # as the build does: else every gateway of hundreds compiles what was changed since
+    for package in (
+        COMPILED_PACKAGES
+    ):  # as the build does: else every gateway of hundreds compiles what was changed since
         compileall.compile_dir(ROOT / package, quiet=2)
     with tempfile.TemporaryDirectory(prefix="faultlab-") as place:
         folder = Path(place)
         if arguments.drains:
             figures = uvloop.run(drains.run(plan, folder, arguments.drains))
-            text = table({"drains": figures})
+            text = format_columns({"drains": figures})
         elif arguments.scale:
-            figures = uvloop.run(experiment.scale(plan, folder, arguments.modes, arguments.scale))
-            text = growth(figures, arguments.modes)
+            figures = uvloop.run(experiment.run_sizes(plan, folder, arguments.modes, arguments.scale))
+            text = format_scale(figures, arguments.modes)
         else:
             figures = uvloop.run(experiment.run(plan, folder, arguments.modes, arguments.faults))
-            text = side_by_side(figures)
+            text = format_plays(figures)
     print(json.dumps(figures) if arguments.json else text)
     return 0
 
 
-def side_by_side(figures: dict[str, Any]) -> str:
+def format_plays(figures: dict[str, Any]) -> str:
     """Each play a table, with a column for each mode."""
     alone = f"{figures['alone_99_s']:.2f} s, {figures['alone_cpu_ready_ms']:.0f} ms of processor each"
     texts = [f"start by the processor alone (99 %): {alone}"]
-    texts += [f"\n{fault}\n{table(plays)}" for fault, plays in figures["plays"].items()]
+    texts += [f"\n{fault}\n{format_columns(plays)}" for fault, plays in figures["plays"].items()]
     return "\n".join(texts)
 
 
-def growth(figures: dict[str, Any], modes: list[str]) -> str:
+def format_scale(figures: dict[str, Any], modes: list[str]) -> str:
     """One table, with a column for each mode and size."""
-    return table({
+    return format_columns({
         f"{size} {mode}": seen["plays"]["none"][mode] | {"alone_99_s": seen["alone_99_s"]}
         for mode in modes for size, seen in figures.items()
     })  # fmt: skip
 
 
-def table(columns: dict[str, dict[str, Any]]) -> str:
+def format_columns(columns: dict[str, dict[str, Any]]) -> str:
     """Rows by name, columns by heading."""
     names = list(dict.fromkeys(name for column in columns.values() for name in column))
     rows = [["", *columns]]
-    rows += [[name, *(_shown(column.get(name, "")) for column in columns.values())] for name in names]
+    rows += [[name, *(_format(column.get(name, "")) for column in columns.values())] for name in names]
     widths = [max(len(row[place]) for row in rows) for place in range(len(rows[0]))]
     return "\n".join(
         "  ".join(
@@ -106,5 +112,5 @@
     )
 
 
-def _shown(value: object) -> str:
+def _format(value: object) -> str:
     return f"{value:.2f}" if isinstance(value, float) else str(value)
--- a/faultlab/coldstart/experiment.py
+++ b/faultlab/coldstart/experiment.py
@@ -11,19 +11,19 @@
 
 from faultlab.coldstart.faults import FAULTS
 from faultlab.coldstart.settings import Plan
-from faultlab.coldstart.site import FIRST_S, Site
+from faultlab.coldstart.site import FIRST_TRAFFIC_S, ColdStartSite
 
 MODES = {"off": False, "on": True}
 
 
-async def processor_alone(plan: Plan, folder: Path) -> dict[str, Any]:
+async def measure_cpu_bound_start(plan: Plan, folder: Path) -> dict[str, Any]:
     """The start of the same gateways with a list at hand and nobody to ask: until 99 % are ready, the seconds
     and the processor's milliseconds for each."""
-    site = Site(plan, folder, shared=False)
+    site = ColdStartSite(plan, folder, shared=False)
     try:
-        await site.open(known=True)
-        await site.release_alone()
-        await site.until_ready(0.99)
+        await site.set_up(known=True)
+        await site.start_gateways_only()
+        await site.wait_ready(0.99)
         cpu_ms = site.cpu_ready_s * 1000 / plan.gateways
         return {"alone_99_s": site.ready_s(0.99), "alone_cpu_ready_ms": cpu_ms}
     finally:
@@ -33,21 +33,21 @@
 async def play(plan: Plan, folder: Path, shared: bool, fault: str) -> dict[str, Any]:
     """One cold start: until every gateway has had its first seconds of traffic, then the late part."""
     parts = FAULTS[fault]
-    site = Site(plan, folder, shared)
+    site = ColdStartSite(plan, folder, shared)
     early: asyncio.Task[None] | None = None
     try:
-        await site.open(relayed=shared and parts.relayed)
-        if parts.early is not None:
-            early = asyncio.ensure_future(parts.early(site))
-        await site.release()
-        await site.until_ready(1.0)
+        await site.set_up(relayed=shared and parts.through_relay)
+        if parts.during_start is not None:
+            early = asyncio.ensure_future(parts.during_start(site))
+        await site.start_all()
+        await site.wait_ready(1.0)
         last_s = max(site.first_ready.values(), default=0.0)
-        await asyncio.sleep(max(0.0, last_s + FIRST_S - time.monotonic()))
+        await asyncio.sleep(max(0.0, last_s + FIRST_TRAFFIC_S - time.monotonic()))
         if early is not None:
             await early
-        if parts.late is not None:
-            await parts.late(site)
-        return await site.figures()
+        if parts.after_start is not None:
+            await parts.after_start(site)
+        return await site.collect_figures()
     finally:
         if early is not None:
             early.cancel()
@@ -56,7 +56,7 @@
 
 async def run(plan: Plan, folder: Path, modes: list[str], faults: list[str]) -> dict[str, Any]:
     """The figures by fault and mode, and the start that the processor alone needs."""
-    alone = await processor_alone(plan, folder / "alone")
+    alone = await measure_cpu_bound_start(plan, folder / "alone")
     seen: dict[str, Any] = {**alone, "plays": {}}
     for fault in faults:
         plays = seen["plays"][fault] = {}
@@ -68,7 +68,7 @@
     return seen
 
 
-async def scale(plan: Plan, folder: Path, modes: list[str], sizes: list[int]) -> dict[str, Any]:
+async def run_sizes(plan: Plan, folder: Path, modes: list[str], sizes: list[int]) -> dict[str, Any]:
     """The start alone, in several sizes of the fleet, with the same hosts and the same traffic over all."""
     return {
         str(size): await run(replace(plan, gateways=size), folder / str(size), modes, ["none"])
--- a/faultlab/coldstart/faults.py
+++ b/faultlab/coldstart/faults.py
@@ -11,103 +11,103 @@
 from cloverkeel.fleet.lists.relays import Peer
 from faultlab.child import Child
 from faultlab.coldstart.liar import relay_name
-from faultlab.coldstart.site import FIRST_S, Site
+from faultlab.coldstart.site import FIRST_TRAFFIC_S, ColdStartSite
 
 DOWN_S = 8.0
 SLOW_S = 1.0  # on top of each answer
 COLLAPSE_S = 20.0
 DRAIN_S = 4.0  # a host drains for so long: twice what the rule gives
-CUT_FROM_S = 1.0
-SEEDS_AWAY_S = 5.0
-MASS = 0.7
+CUT_DELAY_S = 1.0
+SEEDS_DOWN_S = 5.0
+MASS_KILL_SHARE = 0.7
 SETTLE_S = 1.0
 
-Part = Callable[[Site], Awaitable[None]]
+FaultStep = Callable[[ColdStartSite], Awaitable[None]]
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
     """`early` begins with the gateways' start, `late` once each has had its first seconds of traffic."""
 
-    early: Part | None = None
-    late: Part | None = None
-    relayed: bool = False  # the members' paths lead through `faultlab.relay`
+    during_start: FaultStep | None = None
+    after_start: FaultStep | None = None
+    through_relay: bool = False  # the members' paths lead through `faultlab.relay`
 
 
-async def drained(site: Site) -> None:
+async def drain_once(site: ColdStartSite) -> None:
     """One drain and its end."""
     drain = await site.drain()
     await asyncio.sleep(DRAIN_S)
     await site.undrain(drain)
 
 
-async def service_down(site: Site) -> None:
-    await site.service.ask("mode", down=True)
+async def service_down(site: ColdStartSite) -> None:
+    await site.service.call("mode", down=True)
     await asyncio.sleep(DOWN_S)
-    await site.service.ask("mode")
+    await site.service.call("mode")
 
 
-async def service_slow(site: Site) -> None:
-    await site.service.ask("mode", slow_s=SLOW_S)
+async def service_slow(site: ColdStartSite) -> None:
+    await site.service.call("mode", slow_s=SLOW_S)
 
 
-async def service_collapse(site: Site) -> None:
-    await site.service.ask("mode", rate_per_s=site.plan.calls_per_s / 5)
+async def service_collapse(site: ColdStartSite) -> None:
+    await site.service.call("mode", rate_per_s=site.plan.calls_per_s / 5)
     await asyncio.sleep(COLLAPSE_S)
-    await site.service.ask("mode", rate_per_s=site.plan.calls_per_s)
+    await site.service.call("mode", rate_per_s=site.plan.calls_per_s)
 
 
-async def service_restart(site: Site) -> None:
+async def service_restart(site: ColdStartSite) -> None:
     """It begins at an index far below the one that all know, and tells of a drain soon after."""
-    await drained_thrice(site)  # some changes, so that the index has a way to fall
-    await site.service.ask("restart", index=1)
+    await drain_three_times(site)  # some changes, so that the index has a way to fall
+    await site.service.call("restart", index=1)
     await asyncio.sleep(SETTLE_S)
-    await drained(site)
+    await drain_once(site)
 
 
-async def seeds_killed(site: Site) -> None:
+async def seeds_killed(site: ColdStartSite) -> None:
     """The seeds die once one gateway in ten is ready, and are back after a while."""
-    while len(await site.ready()) < site.plan.gateways / 10:
+    while len(await site.poll_ready()) < site.plan.gateways / 10:
         await asyncio.sleep(0.02)
     seeds = list(range(site.plan.seeds))
     await site.kill(seeds)
-    await asyncio.sleep(SEEDS_AWAY_S)
-    await site.start_again(seeds)
+    await asyncio.sleep(SEEDS_DOWN_S)
+    await site.restart_gateways(seeds)
 
 
-async def mass_kill(site: Site) -> None:
+async def mass_kill(site: ColdStartSite) -> None:
     """Seven in ten die and start again at one moment."""
-    count = round(MASS * site.plan.gateways)
+    count = round(MASS_KILL_SHARE * site.plan.gateways)
     struck = sorted(site.random.sample(range(site.plan.gateways), count))
     began_s = time.monotonic()
     await site.kill(struck)
-    await site.start_again(struck)
-    await site.until_ready_again(struck)
-    ready = await site.ready()
+    await site.restart_gateways(struck)
+    await site.wait_ready_again(struck)
+    ready = await site.poll_ready()
     again = {number: ready[number] for number in struck if number in ready}
-    await asyncio.sleep(max(0.0, max(again.values(), default=began_s) + FIRST_S - time.monotonic()))
-    site.again = (began_s, again, struck)
-    await drained(site)
+    await asyncio.sleep(max(0.0, max(again.values(), default=began_s) + FIRST_TRAFFIC_S - time.monotonic()))
+    site.restart_record = (began_s, again, struck)
+    await drain_once(site)
 
 
-async def zone_cut(site: Site) -> None:
+async def zone_cut(site: ColdStartSite) -> None:
     """Members of the last zone are cut from the others while all start, and until a drain has passed."""
     if site.relay is None:  # no members
         return
-    await asyncio.sleep(CUT_FROM_S)
+    await asyncio.sleep(CUT_DELAY_S)
     zones = {f"gw-{n}": n % 3 for n in range(site.plan.gateways)}
     site.relay.cut([n for n, z in zones.items() if z == 2], [n for n, z in zones.items() if z != 2])
 
 
-async def zone_heal(site: Site) -> None:
-    await drained(site)
+async def zone_heal(site: ColdStartSite) -> None:
+    await drain_once(site)
     if site.relay is not None:
         site.relay.heal()
     await asyncio.sleep(SETTLE_S)
-    await drained(site)
+    await drain_once(site)
 
 
-async def relay_stop(site: Site) -> None:
+async def relay_stop(site: ColdStartSite) -> None:
     """One that watches the service for others is SIGSTOPped with a drain in flight, three times."""
     for _ in range(3):
         watching = await site.watchers()
@@ -122,7 +122,7 @@
         await asyncio.sleep(SETTLE_S)
 
 
-async def bad_peer(site: Site) -> None:
+async def bad_peer(site: ColdStartSite) -> None:
     """A member that is a relay and tells bad lists from the first moment on."""
     if not site.shared:
         return
@@ -134,20 +134,20 @@
     site.children.append(await Child.start("faultlab.coldstart.liar", settings))
 
 
-async def drained_thrice(site: Site) -> None:
+async def drain_three_times(site: ColdStartSite) -> None:
     for _ in range(3):
-        await drained(site)
+        await drain_once(site)
 
 
 FAULTS: dict[str, Fault] = {
-    "none": Fault(late=drained),
-    "service-down": Fault(service_down, drained),
-    "service-slow": Fault(service_slow, drained),
-    "service-collapse": Fault(service_collapse, drained),
-    "service-restart": Fault(late=service_restart),
-    "seeds-killed": Fault(seeds_killed, drained),
-    "mass-kill": Fault(late=mass_kill),
-    "zone-cut": Fault(zone_cut, zone_heal, relayed=True),
-    "relay-stop": Fault(late=relay_stop),
-    "bad-peer": Fault(bad_peer, drained_thrice),
+    "none": Fault(after_start=drain_once),
+    "service-down": Fault(service_down, drain_once),
+    "service-slow": Fault(service_slow, drain_once),
+    "service-collapse": Fault(service_collapse, drain_once),
+    "service-restart": Fault(after_start=service_restart),
+    "seeds-killed": Fault(seeds_killed, drain_once),
+    "mass-kill": Fault(after_start=mass_kill),
+    "zone-cut": Fault(zone_cut, zone_heal, through_relay=True),
+    "relay-stop": Fault(after_start=relay_stop),
+    "bad-peer": Fault(bad_peer, drain_three_times),
 }
--- a/faultlab/coldstart/figures.py
+++ b/faultlab/coldstart/figures.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-RULE_S = 2.0  # after word of a drain: nothing new to that host
+STOP_SENDING_S = 2.0  # after word of a drain: nothing new to that host
 SLACK_S = 0.05  # on sockets each time limit is that much longer
 
 
@@ -23,7 +23,7 @@
     until_s: float
 
 
-def most_within(times: Iterable[float], window_s: float) -> int:
+def max_within(times: Iterable[float], window_s: float) -> int:
     """The most moments that lie in any one window."""
     ordered = sorted(times)
     most = first = 0
@@ -34,12 +34,12 @@
     return most
 
 
-def per_host_s(events: Iterable[tuple[float, int]], from_s: float, until_s: float, hosts: int) -> float:
+def rate_per_host(events: Iterable[tuple[float, int]], from_s: float, until_s: float, hosts: int) -> float:
     """The mean for each host and second of what came in that time."""
     return sum(from_s <= at < until_s for at, _ in events) / (hosts * max(1.0, until_s - from_s))
 
 
-def worst_host_second(events: Iterable[tuple[float, int]]) -> int:
+def max_per_host_second(events: Iterable[tuple[float, int]]) -> int:
     """The most that came to one host in one second of the clock."""
     counts = Counter((host, int(at)) for at, host in events)
     return max(counts.values(), default=0)
@@ -55,7 +55,7 @@
     )
 
 
-def told_s(told: Iterable[tuple[float, int, int]], drain: Drain, shared: bool) -> dict[int, float]:
+def notified_s(told: Iterable[tuple[float, int, int]], drain: Drain, shared: bool) -> dict[int, float]:
     """When each gateway was told of a drain; where lists are shared by peers, all with the first of them."""
     first: dict[int, float] = {}
     for at, caller, index in told:
@@ -73,11 +73,11 @@
     shared: bool,
 ) -> list[tuple[float, int]]:
     """The requests that came to a draining host against the rule: seconds after the word, and from whom."""
-    known = told_s(told, drain, shared)
+    known = notified_s(told, drain, shared)
     return [
         (at - known[gateway], gateway) for at, host, gateway in arrivals
         if host == drain.host and gateway in known
-        and known[gateway] + RULE_S + SLACK_S < at < drain.until_s
+        and known[gateway] + STOP_SENDING_S + SLACK_S < at < drain.until_s
     ]  # fmt: skip
 
 
@@ -88,7 +88,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Answers:
+class ResponseCounts:
     """What the clients got in each gateway's first seconds after it was ready."""
 
     sent: int
@@ -96,13 +96,13 @@
     refused: int  # 429, 503
 
 
-def answers(
+def count_responses(
     results: Iterable[tuple[float, int, int, float]], ready: dict[int, float], span_s: float
-) -> Answers:
+) -> ResponseCounts:
     sent = failed = refused = 0
     for at, gateway, status, _ in results:
         if gateway in ready and ready[gateway] <= at < ready[gateway] + span_s:
             sent += 1
             refused += status in (429, 503)
             failed += status not in (200, 429, 503)
-    return Answers(sent, failed, refused)
+    return ResponseCounts(sent, failed, refused)
--- a/faultlab/coldstart/fall.py
+++ b/faultlab/coldstart/host_capacity.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True)
-class HostAccount:
+class HostCapacity:
     """One host: its queue as work to be done one after the other, and the work of the last window.
 
     `work_s` is what a request takes of a warm host. Work is counted in requests: a handshake or a probe is
@@ -26,40 +26,42 @@
     multiple: float
     window_s: float
     started_s: float = 0.0
-    free_s: float = 0.0  # when all that it has is done
-    came: deque[tuple[float, float]] = field(default_factory=deque)
-    total: float = 0.0
+    busy_until_s: float = 0.0  # when all that it has is done
+    recent_work: deque[tuple[float, float]] = field(default_factory=deque)
+    recent_total: float = 0.0
     falls: int = 0
 
     def restart(self, now_s: float) -> None:
-        self.started_s = self.free_s = now_s
-        self.came.clear()
-        self.total = 0.0
+        self.started_s = self.busy_until_s = now_s
+        self.recent_work.clear()
+        self.recent_total = 0.0
 
-    def capacity(self, now_s: float) -> float:
+    def capacity_share(self, now_s: float) -> float:
         """Its present share of a warm host's capacity."""
         age = min(1.0, max(0.0, now_s - self.started_s) / self.warm_s) if self.warm_s else 1.0
         return self.start + (1.0 - self.start) * age
 
-    def bound(self, now_s: float) -> float:
+    def work_limit(self, now_s: float) -> float:
         """The requests' worth of work that a window may hold now."""
-        whole = self.multiple * self.capacity(now_s) * self.window_s / self.work_s
+        whole = self.multiple * self.capacity_share(now_s) * self.window_s / self.work_s
         return whole + 3.0 * math.sqrt(whole) + 3.0
 
-    def take(self, now_s: float, requests: float) -> bool:
+    def add_work(self, now_s: float, requests: float) -> bool:
         """Count work that has come; True where it pushes the host over. A warm one does not fall."""
-        self.came.append((now_s, requests))
-        self.total += requests
-        while self.came[0][0] <= now_s - self.window_s:
-            self.total -= self.came.popleft()[1]
-        if self.capacity(now_s) >= 1.0 or self.total <= self.bound(now_s):
+        self.recent_work.append((now_s, requests))
+        self.recent_total += requests
+        while self.recent_work[0][0] <= now_s - self.window_s:
+            self.recent_total -= self.recent_work.popleft()[1]
+        if self.capacity_share(now_s) >= 1.0 or self.recent_total <= self.work_limit(now_s):
             return False
         self.falls += 1
-        self.came.clear()
-        self.total = 0.0
+        self.recent_work.clear()
+        self.recent_total = 0.0
         return True
 
-    def finish(self, now_s: float, requests: float) -> float:
+    def completion_s(self, now_s: float, requests: float) -> float:
         """When work that begins now in its turn is done."""
-        self.free_s = max(self.free_s, now_s) + requests * self.work_s / self.capacity(now_s)
-        return self.free_s
+        self.busy_until_s = max(self.busy_until_s, now_s) + requests * self.work_s / self.capacity_share(
+            now_s
+        )
+        return self.busy_until_s
--- a/faultlab/coldstart/hosts.py
+++ b/faultlab/coldstart/hosts.py
@@ -13,16 +13,16 @@
 from typing import Any, cast
 
 from faultlab import child
-from faultlab.coldstart.fall import HostAccount
-from faultlab.messages import take_message
-from faultlab.standins import reply
+from faultlab.coldstart.host_capacity import HostCapacity
+from faultlab.messages import parse_message
+from faultlab.standins import make_response
 
-HANDSHAKE = 0.2  # of a request's work, for a new connection
-PROBE = 0.1  # the same for a probe
-QUEUE_S = 1.0  # work that waits longer is turned away
-DOWN_S = 1.0  # a host that fell answers nothing else for so long
-REJECTED = b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-SERVED, FAILED = reply(200, b"ok", "OK"), reply(500, b"failed")
+HANDSHAKE_WORK = 0.2  # of a request's work, for a new connection
+PROBE_WORK = 0.1  # the same for a probe
+MAX_QUEUE_S = 1.0  # work that waits longer is turned away
+FALL_DURATION_S = 1.0  # a host that fell answers nothing else for so long
+REJECTED_RESPONSE = b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+OK_RESPONSE, ERROR_RESPONSE = make_response(200, b"ok", "OK"), make_response(500, b"failed")
 
 
 def call_id(gateway: int, number: int) -> str:
@@ -35,90 +35,90 @@
     """One host: what came to it and when, and how it stands."""
 
     name: str
-    account: HostAccount
-    cap: int
+    capacity: HostCapacity
+    max_connections: int
     fails: bool
     connections: int = 0
     fallen_until_s: float = 0.0
 
 
-class Log:
+class ArrivalLog:
     """What came to all hosts: times, hosts and gateways."""
 
     def __init__(self) -> None:
         self.requests: list[tuple[float, int, int]] = []  # (time, host, gateway)
         self.opened: list[tuple[float, int]] = []
         self.probes: list[tuple[float, int]] = []
-        self.turned_away: dict[str, int] = {"connections": 0, "queue": 0, "fallen": 0}
+        self.rejected: dict[str, int] = {"connections": 0, "queue": 0, "fallen": 0}
 
 
-class Connection(asyncio.Protocol):
+class ColdHostConnection(asyncio.Protocol):
     """One connection; it carries one request at a time, each with a whole head and a short body."""
 
-    def __init__(self, number: int, host: ColdHost, log: Log) -> None:
+    def __init__(self, number: int, host: ColdHost, log: ArrivalLog) -> None:
         self.number, self.host, self.log = number, host, log
-        self.over = False
-        self.fresh = True
+        self.over_limit = False
+        self.is_new = True
         self.data = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
         self.host.connections += 1
-        self.over = self.host.connections > self.host.cap
+        self.over_limit = self.host.connections > self.host.max_connections
         self.log.opened.append((time.monotonic(), self.number))
 
     def connection_lost(self, error: Exception | None) -> None:
         self.host.connections -= 1
 
     def data_received(self, data: bytes) -> None:
-        message, self.data = take_message(self.data + data)
+        message, self.data = parse_message(self.data + data)
         if message is not None:
-            self.request(message.target, message.headers.get(b"x-call-id", b""))
+            self.on_request(message.target, message.headers.get(b"x-call-id", b""))
 
-    def request(self, target: bytes, call: bytes) -> None:
+    def on_request(self, target: bytes, call: bytes) -> None:
         now_s, host = time.monotonic(), self.host
         is_probe = target in (b"/health/live", b"/stats")
-        work = (PROBE if is_probe else 1.0) + (HANDSHAKE if self.fresh else 0.0)
-        self.fresh = False
+        work = (PROBE_WORK if is_probe else 1.0) + (HANDSHAKE_WORK if self.is_new else 0.0)
+        self.is_new = False
         if is_probe:
             self.log.probes.append((now_s, self.number))
         else:
             self.log.requests.append((now_s, self.number, int(call[:4] or b"ffff", 16)))
-        if host.account.take(now_s, work):
-            host.fallen_until_s = now_s + DOWN_S
+        if host.capacity.add_work(now_s, work):
+            host.fallen_until_s = now_s + FALL_DURATION_S
         if now_s < host.fallen_until_s:
-            self.turn_away("fallen")
-        elif self.over:
-            self.turn_away("connections")
+            self.reject("fallen")
+        elif self.over_limit:
+            self.reject("connections")
         elif host.fails:
-            self.answer(FAILED)
-        elif host.account.free_s - now_s > QUEUE_S:
-            self.turn_away("queue")
+            self.respond(ERROR_RESPONSE)
+        elif host.capacity.busy_until_s - now_s > MAX_QUEUE_S:
+            self.reject("queue")
         else:
-            done_s = host.account.finish(now_s, work)
-            asyncio.get_running_loop().call_later(done_s - now_s, self.answer, SERVED)
+            done_s = host.capacity.completion_s(now_s, work)
+            asyncio.get_running_loop().call_later(done_s - now_s, self.respond, OK_RESPONSE)
 
-    def turn_away(self, why: str) -> None:
-        self.log.turned_away[why] += 1
-        self.answer(REJECTED)
-        if self.over:
+    def reject(self, why: str) -> None:
+        self.log.rejected[why] += 1
+        self.respond(REJECTED_RESPONSE)
+        if self.over_limit:
             self.transport.close()
 
-    def answer(self, data: bytes) -> None:
+    def respond(self, data: bytes) -> None:
         if not self.transport.is_closing():
             self.transport.write(data)
 
 
-async def _make(settings: dict[str, Any]) -> child.Handler:
-    log, loop = Log(), asyncio.get_running_loop()
+async def _make_handler(settings: dict[str, Any]) -> child.Handler:
+    log, loop = ArrivalLog(), asyncio.get_running_loop()
     hosts: list[ColdHost] = []
     addresses: list[str] = []
     for number, entry in enumerate(settings["hosts"]):
-        account = HostAccount(**settings["account"])
+        account = HostCapacity(**settings["account"])
         host = ColdHost(entry["name"], account, settings["cap"], entry["fails"])
         hosts.append(host)
         server = await loop.create_server(
-            lambda number=number, host=host: Connection(number, host, log),  # type: ignore[misc]
+            lambda number=number, host=host: ColdHostConnection(number, host, log),  # type: ignore[misc]
             "127.0.0.1", 0, backlog=1024,
         )  # fmt: skip
         addresses.append(f"127.0.0.1:{server.sockets[0].getsockname()[1]}")
@@ -129,15 +129,15 @@
                 return addresses
             case "restart":
                 for host in hosts:
-                    host.account.restart(time.monotonic())
+                    host.capacity.restart(time.monotonic())
                 return None
             case "used":  # the hosts in good order that requests came to after a moment
                 came = {number for at_s, number, _ in reversed(log.requests) if at_s > order["after_s"]}
                 return sorted(number for number in came if not hosts[number].fails)
             case "log":
-                falls = sum(host.account.falls for host in hosts)
+                falls = sum(host.capacity.falls for host in hosts)
                 return {"requests": log.requests, "opened": log.opened, "probes": log.probes,
-                        "turned_away": log.turned_away, "falls": falls}  # fmt: skip
+                        "turned_away": log.rejected, "falls": falls}  # fmt: skip
             case _:
                 raise ValueError(f"no command of the hosts: {do}")
 
@@ -145,4 +145,4 @@
 
 
 if __name__ == "__main__":
-    child.serve(_make)
+    child.serve(_make_handler)
--- a/faultlab/coldstart/liar.py
+++ b/faultlab/coldstart/liar.py
@@ -24,8 +24,8 @@
 from cloverkeel.tasks import BackgroundTasks
 from faultlab import child
 
-SAY_S = 0.2
-AHEAD = 1_000_000  # an index that the service does not reach
+SEND_INTERVAL_S = 0.2
+UNREACHED_INDEX = 1_000_000  # an index that the service does not reach
 
 
 def relay_name(cluster: str, members: list[Peer], relays: int, zone: str) -> str:
@@ -34,23 +34,23 @@
     return next(n for n in names if n in choose_relays(cluster, [*members, Peer(n, zone)], relays))
 
 
-def lies(entries: list[dict[str, Any]], oldest: int) -> Iterable[Any]:
+def bad_lists(entries: list[dict[str, Any]], oldest: int) -> Iterable[Any]:
     """Lists without end: the one from the start, one of another digest, one with entries that are none, no
     list at all, one of many megabytes."""
     digest = sum(map(entry_digest, entries)) % 2**64
     old = encode(ListUpdate(ListVersion(0, oldest), digest, None, tuple(entries)))
-    ahead = [0, AHEAD]
+    ahead = [0, UNREACHED_INDEX]
     broken = old | {"v": ahead, "digest": (digest + 1) % 2**64}
     no_entries = old | {"v": ahead, "entries": [7, "host-1", None]}
     enormous = old | {"v": ahead, "entries": [{"name": "x" * 1024}] * (MAX_FRAME_BYTES // 1024 + 100)}
     return itertools.cycle([old, broken, no_entries, "no list", enormous])
 
 
-async def _make(settings: dict[str, Any]) -> child.Handler:
+async def _make_handler(settings: dict[str, Any]) -> child.Handler:
     cluster = parse_cluster(settings["cluster"], settings["name"])
     membership = Membership(cluster, settings["name"], settings["zone"], time.time_ns() // 1_000_000)
     membership.calls.frame_codec.max_bytes = 64 * MAX_FRAME_BYTES  # its own bound does not hold it back
-    told = lies(settings["entries"], settings["oldest"])
+    told = bad_lists(settings["entries"], settings["oldest"])
     lied = 0
 
     def lie() -> Any:
@@ -61,7 +61,7 @@
     async def shout(feed: Feed) -> None:
         while not feed.closed:
             feed.send({"depth": 0, "list": lie()})
-            await asyncio.sleep(SAY_S)
+            await asyncio.sleep(SEND_INTERVAL_S)
 
     tasks = BackgroundTasks()
     membership.calls.serve(LIST_GET, lambda peer, body: {"list": lie()})
@@ -77,4 +77,4 @@
 
 
 if __name__ == "__main__":
-    child.serve(_make)
+    child.serve(_make_handler)
--- a/faultlab/coldstart/processes.py
+++ b/faultlab/coldstart/processes.py
@@ -16,14 +16,14 @@
 from pathlib import Path
 from typing import Any
 
-from faultlab.lab import ROOT
+from faultlab.gateway_process import ROOT
 
 
-class Gateways:
+class GatewayProcesses:
     """The processes by number; each has its configuration and its log in `folder`."""
 
     def __init__(self, folder: Path, files: list[dict[str, Any]]) -> None:
-        self.folder, self.files = folder, files
+        self.folder, self.configs = folder, files
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
         keeper = shutil.which("setpriv")
         tied = f"{keeper} --pdeathsig KILL " if keeper else ""
@@ -31,7 +31,7 @@
         for number, file in enumerate(files):
             (folder / f"{number}.json").write_text(json.dumps(file))
 
-    def prepare(self, numbers: list[int]) -> int:
+    def spawn_waiting(self, numbers: list[int]) -> int:
         """Have these wait at a pipe; the descriptor whose closing starts them."""
         inner, outer = os.pipe()
         for number in numbers:
@@ -52,10 +52,10 @@
         if signum == signal.SIGKILL:
             process.wait(10.0)
 
-    def start_again(self, numbers: list[int]) -> None:
-        os.close(self.prepare(numbers))
+    def restart(self, numbers: list[int]) -> None:
+        os.close(self.spawn_waiting(numbers))
 
-    def living(self) -> list[int]:
+    def running(self) -> list[int]:
         return [number for number, process in self.processes.items() if process.poll() is None]
 
     def close(self) -> None:
@@ -68,7 +68,7 @@
     def memory_mb(self) -> float:
         """Mean proportional set size of those that live, in MB."""
         sizes = []
-        for number in self.living():
+        for number in self.running():
             with contextlib.suppress(OSError):
                 text = Path(f"/proc/{self.processes[number].pid}/smaps_rollup").read_text()
                 sizes += [
@@ -79,17 +79,17 @@
     def cpu_s(self) -> float:
         """Processor seconds of all that live, since their starts."""
         ticks = 0
-        for number in self.living():
+        for number in self.running():
             with contextlib.suppress(OSError):
                 text = Path(f"/proc/{self.processes[number].pid}/stat").read_text()
                 fields = text.rpartition(")")[2].split()
                 ticks += int(fields[11]) + int(fields[12])
         return ticks / os.sysconf("SC_CLK_TCK")
 
-    def lines(self, text: str) -> int:
+    def count_lines(self, text: str) -> int:
         """The log lines of all that hold `text`."""
         count = 0
-        for number in range(len(self.files)):
+        for number in range(len(self.configs)):
             with contextlib.suppress(OSError):
                 count += (self.folder / f"{number}.log").read_text(errors="replace").count(text)
         return count
--- a/faultlab/coldstart/settings.py
+++ b/faultlab/coldstart/settings.py
@@ -17,8 +17,8 @@
     seed: int
     rate_per_s: float = 240.0
     cold_load: float = 0.6  # share of what the hosts can do at the start that the traffic asks for
-    failing: float = 0.1  # share of the hosts that answer every request with an error
-    host_cap: int = 48  # connections
+    failing_share: float = 0.1  # share of the hosts that answer every request with an error
+    max_host_connections: int = 48  # connections
     start_capacity: float = 0.33
     warm_s: float = 9.0
     fall_multiple: float = 2.5
@@ -39,11 +39,11 @@
     def zone(self, number: int) -> str:
         return ZONES[number % len(ZONES)]
 
-    def fails(self, host: int) -> bool:
+    def is_failing(self, host: int) -> bool:
         """The failing hosts lie evenly among the others."""
-        return self.failing > 0 and host % round(1 / self.failing) == 0
+        return self.failing_share > 0 and host % round(1 / self.failing_share) == 0
 
-    def account(self) -> dict[str, float]:
+    def host_capacity(self) -> dict[str, float]:
         """The figures of `fall.HostAccount`."""
         return {"work_s": self.work_s, "start": self.start_capacity, "warm_s": self.warm_s,
                 "multiple": self.fall_multiple, "window_s": self.fall_s}  # fmt: skip
--- a/faultlab/coldstart/site.py
+++ b/faultlab/coldstart/site.py
@@ -13,47 +13,47 @@
 from faultlab.child import Child
 from faultlab.coldstart import figures
 from faultlab.coldstart.figures import Drain
-from faultlab.coldstart.processes import Gateways
+from faultlab.coldstart.processes import GatewayProcesses
 from faultlab.coldstart.settings import Plan
 from faultlab.ports import free_port, free_ports
 from faultlab.relay import Relay
 
-FIRST_S = 10.0
-MOST_START_S = 60.0
+FIRST_TRAFFIC_S = 10.0
+START_TIMEOUT_S = 60.0
 POLL_S = 0.05
 
 
-class Site:
+class ColdStartSite:
     """One play; `shared` where the gateways form a cluster."""
 
     def __init__(self, plan: Plan, folder: Path, shared: bool) -> None:
         self.plan, self.folder, self.shared = plan, folder, shared
         self.random = random.Random(plan.seed)
         self.children: list[Child] = []
-        self.gateways = Gateways(folder, [])
+        self.gateways = GatewayProcesses(folder, [])
         self.first_ready: dict[int, float] = {}
         self.drains: list[Drain] = []
         self.seeds: list[str] = []
         self.relay: Relay | None = None
-        self.again: tuple[float, dict[int, float], list[int]] | None = (
+        self.restart_record: tuple[float, dict[int, float], list[int]] | None = (
             None  # a second start: began, ready, who
         )
         self.began_s = 0.0
         self.cpu_ready_s = 0.0  # what all have used when 99 % are ready
-        self.load = os.getloadavg()[0]
+        self.load_average = os.getloadavg()[0]
 
-    async def open(self, known: bool = False, relayed: bool = False) -> None:
+    async def set_up(self, known: bool = False, relayed: bool = False) -> None:
         """Have all at hand but for the gateways' start; `known`: with the list in their files, and no
         service; `relayed`: with a relay on the members' paths."""
         plan = self.plan
         self.folder.mkdir(parents=True, exist_ok=True)
-        hosts = [{"name": f"host-{n}", "fails": plan.fails(n)} for n in range(plan.hosts)]
+        hosts = [{"name": f"host-{n}", "fails": plan.is_failing(n)} for n in range(plan.hosts)]
         ports = free_ports(plan.gateways)
         clients = {"ports": ports, "rate_per_s": plan.rate_per_s, "work_us": int(plan.work_s * 1e6),
                    "seed": plan.seed}  # fmt: skip
         service = {"rate_per_s": plan.calls_per_s, "queue": plan.queue, "patience_s": plan.patience_s,
                    "collapses": True}  # fmt: skip
-        at_hosts = {"hosts": hosts, "account": plan.account(), "cap": plan.host_cap}
+        at_hosts = {"hosts": hosts, "account": plan.host_capacity(), "cap": plan.max_host_connections}
         for module, settings in (
             ("faultlab.listservice", service),
             ("faultlab.coldstart.hosts", at_hosts),
@@ -61,9 +61,11 @@
         ):
             self.children.append(await Child.start(module, settings))
         self.service, self.hosts, self.clients = self.children
-        discovery = await self.service.ask("listen", callers=plan.gateways)
-        self.addresses: list[str] = await self.hosts.ask("addresses")
-        clusters = await self.relayed() if relayed else self.clusters(free_ports(plan.seeds))
+        discovery = await self.service.call("listen", callers=plan.gateways)
+        self.addresses: list[str] = await self.hosts.call("addresses")
+        clusters = (
+            await self.relayed_cluster_configs() if relayed else self.cluster_configs(free_ports(plan.seeds))
+        )
         files = [
             plan.configuration(n, ports[n], discovery[n], clusters[n] if self.shared else None)
             for n in range(plan.gateways)
@@ -71,16 +73,16 @@
         if known:
             listed = {"index": 1, "snapshot": True, "endpoints": self.endpoints()}
             files = [file | {"known": listed, "discovery": f"127.0.0.1:{free_port()}"} for file in files]
-        self.gateways = Gateways(self.folder, files)
-        self.gate = self.gateways.prepare(list(range(plan.gateways)))
+        self.gateways = GatewayProcesses(self.folder, files)
+        self.gate = self.gateways.spawn_waiting(list(range(plan.gateways)))
 
-    def clusters(self, ports: list[int]) -> list[dict[str, Any]]:
+    def cluster_configs(self, ports: list[int]) -> list[dict[str, Any]]:
         """Each gateway's `cluster` object: the first few are the seeds, at ports known ahead."""
         self.seeds = [f"127.0.0.1:{port}" for port in ports]
         binds = [*self.seeds, *["127.0.0.1:0"] * self.plan.gateways]
         return [self.plan.cluster(self.seeds) | {"bind": bind} for bind in binds[: self.plan.gateways]]
 
-    async def relayed(self) -> list[dict[str, Any]]:
+    async def relayed_cluster_configs(self) -> list[dict[str, Any]]:
         """The same, with each member behind the relay."""
         self.relay = Relay(self.plan.seed)
         places = [await self.relay.add_member(f"gw-{n}") for n in range(self.plan.gateways)]
@@ -91,20 +93,20 @@
         since_ms = int(time.time() * 1000)
         return [self.plan.endpoint(n, address, since_ms) for n, address in enumerate(self.addresses)]
 
-    async def release(self) -> None:
+    async def start_all(self) -> None:
         """The power is back: hosts and gateways start."""
-        await self.hosts.ask("restart")
-        await self.service.ask("hosts", endpoints=self.endpoints())
+        await self.hosts.call("restart")
+        await self.service.call("hosts", endpoints=self.endpoints())
         self.began_s = time.monotonic()
         os.close(self.gate)
-        await self.clients.ask("poll", gateways=list(range(self.plan.gateways)))
-        await self.clients.ask("send", on=True)
+        await self.clients.call("poll", gateways=list(range(self.plan.gateways)))
+        await self.clients.call("send", on=True)
 
-    async def release_alone(self) -> None:
+    async def start_gateways_only(self) -> None:
         """The gateways start, and nobody sends."""
         self.began_s = time.monotonic()
         os.close(self.gate)
-        await self.clients.ask("poll", gateways=list(range(self.plan.gateways)))
+        await self.clients.call("poll", gateways=list(range(self.plan.gateways)))
 
     async def close(self) -> None:
         self.gateways.close()
@@ -113,18 +115,18 @@
         for child in self.children:
             await child.close()
 
-    async def ready(self) -> dict[int, float]:
+    async def poll_ready(self) -> dict[int, float]:
         """Since when each gateway that is ready now has been so; remembers each one's first moment."""
-        now = {gateway: since_s for gateway, since_s in await self.clients.ask("ready")}
+        now = {gateway: since_s for gateway, since_s in await self.clients.call("ready")}
         for gateway, since_s in now.items():
             self.first_ready.setdefault(gateway, since_s)
         return now
 
-    async def until_ready(self, share: float, timeout_s: float = MOST_START_S) -> bool:
+    async def wait_ready(self, share: float, timeout_s: float = START_TIMEOUT_S) -> bool:
         """Wait until so large a share has been ready once; False where it is not in time."""
         end_s = time.monotonic() + timeout_s
         while time.monotonic() < end_s:
-            await self.ready()
+            await self.poll_ready()
             count = len(self.first_ready)
             if not self.cpu_ready_s and count >= 0.99 * self.plan.gateways:
                 self.cpu_ready_s = self.gateways.cpu_s()
@@ -133,34 +135,34 @@
             await asyncio.sleep(POLL_S)
         return False
 
-    async def until_ready_again(self, numbers: list[int], timeout_s: float = MOST_START_S) -> bool:
+    async def wait_ready_again(self, numbers: list[int], timeout_s: float = START_TIMEOUT_S) -> bool:
         """Wait until these are ready now; False where they are not in time."""
         end_s = time.monotonic() + timeout_s
         while time.monotonic() < end_s:
-            if (await self.ready()).keys() >= set(numbers):
+            if (await self.poll_ready()).keys() >= set(numbers):
                 return True
             await asyncio.sleep(POLL_S)
         return False
 
     def ready_s(self, share: float) -> float:
         """When so large a share had been ready once, in seconds from the start; inf: never."""
-        return start_s(self.began_s, self.first_ready, self.plan.gateways, share)
+        return start_duration_s(self.began_s, self.first_ready, self.plan.gateways, share)
 
     async def drain(self) -> Drain:
         """Have the list service say that a host drains, one that is in use if any; `undrain` ends it."""
-        used = await self.hosts.ask("used", after_s=time.monotonic() - 1.0)
+        used = await self.hosts.call("used", after_s=time.monotonic() - 1.0)
         host = self.random.choice(used or range(self.plan.hosts))
-        set_s, index = await self.service.ask("set", name=f"host-{host}", fields={"status": "DRAINING"})
+        set_s, index = await self.service.call("set", name=f"host-{host}", fields={"status": "DRAINING"})
         return Drain(host, index, set_s, float("inf"))
 
     async def undrain(self, drain: Drain) -> None:
         until_s = time.monotonic()
-        await self.service.ask("set", name=f"host-{drain.host}", fields={"status": "SERVING"})
+        await self.service.call("set", name=f"host-{drain.host}", fields={"status": "SERVING"})
         self.drains.append(Drain(drain.host, drain.index, drain.set_s, until_s))
 
     async def watchers(self) -> list[int]:
         """The gateways that hold a watch at the list service: with `shared`, its relays."""
-        watching: list[int] = await self.service.ask("watchers")
+        watching: list[int] = await self.service.call("watchers")
         return watching
 
     async def kill(self, numbers: list[int]) -> None:
@@ -170,53 +172,53 @@
         for number in numbers:
             self.gateways.signal(number, signal.SIGKILL)
 
-    async def start_again(self, numbers: list[int]) -> None:
-        self.gateways.start_again(numbers)
-        await self.clients.ask("poll", gateways=numbers)
+    async def restart_gateways(self, numbers: list[int]) -> None:
+        self.gateways.restart(numbers)
+        await self.clients.call("poll", gateways=numbers)
 
     def start_figures(
         self, began_s: float, ready: dict[int, float], count: int, calls: list[float], results: Any
     ) -> dict[str, Any]:
         """What one start of `count` gateways cost."""
-        early = [at for at in calls if began_s <= at < began_s + FIRST_S]
-        start = [at for at in calls if began_s <= at < max(ready.values(), default=began_s) + FIRST_S]
-        seen = figures.answers(results, ready, FIRST_S)
+        early = [at for at in calls if began_s <= at < began_s + FIRST_TRAFFIC_S]
+        start = [at for at in calls if began_s <= at < max(ready.values(), default=began_s) + FIRST_TRAFFIC_S]
+        seen = figures.count_responses(results, ready, FIRST_TRAFFIC_S)
         return {
             "ready": len(ready),
-            "ready_median_s": start_s(began_s, ready, count, 0.5),
-            "ready_99_s": start_s(began_s, ready, count, 0.99),
+            "ready_median_s": start_duration_s(began_s, ready, count, 0.5),
+            "ready_99_s": start_duration_s(began_s, ready, count, 0.99),
             "list_calls_10s": len(early),
-            "list_calls_most_10s": figures.most_within(start, FIRST_S),
-            "list_calls_most_100ms": figures.most_within(start, 0.1),
+            "list_calls_most_10s": figures.max_within(start, FIRST_TRAFFIC_S),
+            "list_calls_most_100ms": figures.max_within(start, 0.1),
             "sent_10s": seen.sent,
             "failed_10s": seen.failed,
             "refused_10s": seen.refused,
         }
 
-    async def figures(self) -> dict[str, Any]:
+    async def collect_figures(self) -> dict[str, Any]:
         """What was seen, as one flat object."""
         plan = self.plan
         memory_mb, cpu_s = self.gateways.memory_mb(), self.gateways.cpu_s()
-        await self.ready()
-        await self.clients.ask("send", on=False)
-        service, hosts = await self.service.ask("log"), await self.hosts.ask("log")
-        results = await self.clients.ask("log")
+        await self.poll_ready()
+        await self.clients.call("send", on=False)
+        service, hosts = await self.service.call("log"), await self.hosts.call("log")
+        results = await self.clients.call("log")
         calls = [at for at, _, _ in service["calls"]]
         first_s = min(self.first_ready.values(), default=self.began_s)
-        started_s = max(self.first_ready.values(), default=self.began_s) + FIRST_S
+        started_s = max(self.first_ready.values(), default=self.began_s) + FIRST_TRAFFIC_S
         told, arrivals = service["told"], hosts["requests"]
         late = [figures.late_sends(arrivals, told, drain, self.shared) for drain in self.drains]
         seen: dict[str, Any] = {
             "gateways": plan.gateways,
-            "load_before": self.load,
+            "load_before": self.load_average,
             **self.start_figures(self.began_s, self.first_ready, plan.gateways, calls, results),
             "list_calls": len(calls),
             "list_calls_whole": sum(since < 0 for _, _, since in service["calls"]),
             "list_calls_failed": service["failed"],
-            "connections_per_host_s": figures.per_host_s(hosts["opened"], first_s, started_s, plan.hosts),
+            "connections_per_host_s": figures.rate_per_host(hosts["opened"], first_s, started_s, plan.hosts),
             "connections_per_host": sum(at < started_s for at, _ in hosts["opened"]) / plan.hosts,
-            "connections_worst_host_s": figures.worst_host_second(hosts["opened"]),
-            "probes_per_host_s": figures.per_host_s(hosts["probes"], first_s, started_s, plan.hosts),
+            "connections_worst_host_s": figures.max_per_host_second(hosts["opened"]),
+            "probes_per_host_s": figures.rate_per_host(hosts["probes"], first_s, started_s, plan.hosts),
             "hosts_pushed_over": hosts["falls"],
             "turned_away_at_hosts": sum(hosts["turned_away"].values()),
             "attempts_per_request": len(arrivals) / max(1, len(results)),
@@ -227,19 +229,19 @@
             "drains_broken": sum(map(bool, late)),
             "late_sends": sum(map(len, late)),
             "drain_last_send_s": max((figures.last_send_s(arrivals, d) for d in self.drains), default=0.0),
-            "peers_set_aside": self.gateways.lines("event=lists.peer_refused"),
-            "fallbacks": self.gateways.lines("event=lists.fallback"),
+            "peers_set_aside": self.gateways.count_lines("event=lists.peer_refused"),
+            "fallbacks": self.gateways.count_lines("event=lists.fallback"),
             "watchers": len(await self.watchers()),
-            "tracebacks": self.gateways.lines("Traceback"),
+            "tracebacks": self.gateways.count_lines("Traceback"),
         }
-        if self.again is not None:
-            began_s, ready, struck = self.again
+        if self.restart_record is not None:
+            began_s, ready, struck = self.restart_record
             again = self.start_figures(began_s, ready, len(struck), calls, results)
             seen |= {f"again_{name}": value for name, value in again.items()}
         return seen
 
 
-def start_s(began_s: float, ready: dict[int, float], count: int, share: float) -> float:
+def start_duration_s(began_s: float, ready: dict[int, float], count: int, share: float) -> float:
     """When so large a share of `count` gateways was ready, in seconds from the start; inf: never."""
     starts = [at - began_s for at in ready.values()]
     return figures.quantile(starts + [float("inf")] * (count - len(starts)), share)
--- a/faultlab/duties/command.py
+++ b/faultlab/duties/command.py
@@ -19,7 +19,7 @@
 
 from faultlab.duties.resource import FirstAction
 from faultlab.duties.site import DutySite
-from faultlab.report import Parts, positive, report
+from faultlab.report import Subcommands, positive_int, report
 
 DUTY = "chore"
 KINDS = {
@@ -50,12 +50,12 @@
     cut_off_actions: int = 0  # actions sent by a holder without a majority, a time to live after it lost it
 
 
-def register(parts: Parts) -> None:
+def register(parts: Subcommands) -> None:
     """Add `duties` and its arguments to the lab's commands."""
     lab = parts.add_parser("duties", help="who holds a duty while holders and the store fail")
-    lab.add_argument("--processes", type=positive, default=10)
-    lab.add_argument("--faults", type=positive, default=50, help="for each site (default 50)")
-    lab.add_argument("--sites", type=positive, default=1)
+    lab.add_argument("--processes", type=positive_int, default=10)
+    lab.add_argument("--faults", type=positive_int, default=50, help="for each site (default 50)")
+    lab.add_argument("--sites", type=positive_int, default=1)
     lab.add_argument("--ttl", type=float, default=2.0, metavar="SECONDS")
     lab.add_argument("--backend", choices=tuple(KINDS), default="local")
     lab.add_argument("--seed", type=int, default=1)
--- a/faultlab/duties/site.py
+++ b/faultlab/duties/site.py
@@ -17,7 +17,7 @@
 from cloverkeel.fleet.state import STATE_FILE, StoreCounters, Store
 
 from faultlab.duties.resource import FirstAction, Resource
-from faultlab.lab import ROOT
+from faultlab.gateway_process import ROOT
 from faultlab.ports import free_port
 
 
--- a/faultlab/gateways.py
+++ b/faultlab/gateway_fleet.py
@@ -14,33 +14,33 @@
 from pathlib import Path
 from typing import Any, Self, cast
 
-from faultlab.lab import Gateway, configuration
+from faultlab.gateway_process import GatewayProcess, configuration
 from faultlab.ports import free_port
 from faultlab.relay import Relay
 from faultlab.standins import Discovery, endpoint
 from faultlab.standins import Host as Named
 
-SEEDS = 3
-HOSTS = 4
+SEED_COUNT = 3
+HOST_COUNT = 4
 POLL_S = 0.02
-START_S = 180.0  # for all to find each other, on a machine that may be loaded beside it
-STARTS = 3
-LOG_LINES = 20  # of each gateway, where a set-up fails
-AT_ONCE = 4  # gateways that start at the same time: each is busy for a second
-ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+FORMATION_TIMEOUT_S = 180.0  # for all to find each other, on a machine that may be loaded beside it
+START_ATTEMPTS = 3
+FAILURE_LOG_LINES = 20  # of each gateway, where a set-up fails
+CONCURRENT_STARTS = 4  # gateways that start at the same time: each is busy for a second
+RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-class Host(asyncio.Protocol):
+class InstantHost(asyncio.Protocol):
     """Answers each bodyless request at once: far cheaper than the gateway, which is what is measured."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        self.transport.write(ANSWER * data.count(b"\r\n\r\n"))
+        self.transport.write(RESPONSE * data.count(b"\r\n\r\n"))
 
 
-def named(number: int, server: asyncio.Server) -> Named:
+def stand_in_host(number: int, server: asyncio.Server) -> Named:
     """A listening server as the discovery lists it."""
     host = Named(f"host-{number}")
     host.server = server
@@ -48,47 +48,47 @@
 
 
 @dataclass
-class Timed(Gateway):
+class TimedGatewayProcess(GatewayProcess):
     """Its log's lines with the moment at which each was read."""
 
-    times: list[float] = field(default_factory=list)
+    line_times: list[float] = field(default_factory=list)
 
     async def _read_log(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
-        self.times = []
+        self.line_times = []
         async for line in process.stderr:
-            self.times.append(time.monotonic())
+            self.line_times.append(time.monotonic())
             self.log.append(line.decode(errors="replace").rstrip())
 
-    def said_s(self, *words: str) -> float | None:
+    def last_line_s(self, *words: str) -> float | None:
         """When it last wrote a line with all of these, by the lab's clock."""
-        pairs = zip(reversed(self.log), reversed(self.times), strict=False)
+        pairs = zip(reversed(self.log), reversed(self.line_times), strict=False)
         return next((at_s for line, at_s in pairs if all(word in line.split() for word in words)), None)
 
-    def first_s(self, seen: int, after_s: float, *words: str) -> float | None:
+    def first_line_s(self, seen: int, after_s: float, *words: str) -> float | None:
         """When it first wrote such a line after `after_s`, of the lines from number `seen` on."""
-        pairs = zip(self.log[seen:], self.times[seen:], strict=False)
+        pairs = zip(self.log[seen:], self.line_times[seen:], strict=False)
         return next(
             (at_s for line, at_s in pairs if at_s > after_s and all(word in line.split() for word in words)),
             None,
         )
 
 
-class Gateways:
+class GatewayFleet:
     """`async with Derived(4, folder) as fleet`: gateways m0, m1, ... whose hosts answer all at once. `host`
     makes a host's side of a connection."""
 
-    def __init__(self, count: int, folder: Path, host: Callable[[], asyncio.Protocol] = Host) -> None:
+    def __init__(self, count: int, folder: Path, host: Callable[[], asyncio.Protocol] = InstantHost) -> None:
         self.folder, self.host = folder, host
         self.hosts: list[asyncio.Server] = []
         self.discovery: Discovery | None = None
         self.names = [f"m{number}" for number in range(count)]
         self.relay = Relay()
-        self.gateways: dict[str, Timed] = {}
+        self.gateways: dict[str, TimedGatewayProcess] = {}
 
     # What a derived one says.
 
-    def configured(self, config: dict[str, Any]) -> dict[str, Any]:
+    def extend_config(self, config: dict[str, Any]) -> dict[str, Any]:
         """A gateway's configuration, with what it needs beyond a cluster and an operators' address."""
         raise NotImplementedError
 
@@ -100,23 +100,23 @@
         """What a gateway says of itself; {}: it gave no answer."""
         raise NotImplementedError
 
-    def ready(self, status: dict[str, Any]) -> object:
+    def is_ready(self, status: dict[str, Any]) -> object:
         """Whether a gateway with this status has come to its place among all."""
         raise NotImplementedError
 
-    async def listed(self) -> list[dict[str, Any]]:
+    async def start_hosts(self) -> list[dict[str, Any]]:
         """Start the hosts; how discovery lists them."""
         loop = asyncio.get_running_loop()
-        self.hosts = [await loop.create_server(self.host, "127.0.0.1", 0) for _ in range(HOSTS)]
-        return [endpoint(named(number, server)) for number, server in enumerate(self.hosts)]
+        self.hosts = [await loop.create_server(self.host, "127.0.0.1", 0) for _ in range(HOST_COUNT)]
+        return [endpoint(stand_in_host(number, server)) for number, server in enumerate(self.hosts)]
 
     async def __aenter__(self) -> Self:
         try:
-            listed = await self.listed()
+            listed = await self.start_hosts()
             self.discovery = Discovery(endpoints=listed)
             await self.discovery.start()
             places = [await self.relay.add_member(name) for name in self.names]
-            seeds = [place.advertise for place in places[:SEEDS]]
+            seeds = [place.advertise for place in places[:SEED_COUNT]]
             for place in places:
                 config = configuration(place.name, free_port(), self.discovery.address, listed)
                 config |= {
@@ -125,12 +125,12 @@
                                 "seeds": seeds},
                 }  # fmt: skip
                 state = self.folder / f"state-{place.name}"
-                made = Timed(place.name, self.folder, self.configured(config), state)
+                made = TimedGatewayProcess(place.name, self.folder, self.extend_config(config), state)
                 made.environment = self.environment(place.name)
                 self.gateways[place.name] = made
-            for at in range(0, len(self.names), AT_ONCE):
-                await asyncio.gather(*map(self.start, self.names[at : at + AT_ONCE]))
-            await self.all(self.ready, START_S)
+            for at in range(0, len(self.names), CONCURRENT_STARTS):
+                await asyncio.gather(*map(self.start, self.names[at : at + CONCURRENT_STARTS]))
+            await self.wait_all(self.is_ready, FORMATION_TIMEOUT_S)
         except BaseException:
             self.print_logs()
             await self.close()
@@ -143,7 +143,7 @@
             process = gateway.process
             code = process.returncode if process is not None else None
             print(f"{name}: {gateway.config['listen']}, exit code {code}", file=sys.stderr)
-            print(*(f"  {line}" for line in gateway.log[-LOG_LINES:]), sep="\n", file=sys.stderr)
+            print(*(f"  {line}" for line in gateway.log[-FAILURE_LOG_LINES:]), sep="\n", file=sys.stderr)
 
     async def __aexit__(self, *_: object) -> None:
         await self.close()
@@ -152,11 +152,11 @@
         gateway = self.gateways[name]
         assert gateway.state_dir is not None
         gateway.state_dir.mkdir(exist_ok=True)
-        for _ in range(STARTS):
+        for _ in range(START_ATTEMPTS):
             if await gateway.start() < float("inf"):
                 return
             await gateway.signal(signal.SIGKILL)
-            if gateway.listener is None:  # the ports may have been taken meanwhile
+            if gateway.listener_fd is None:  # the ports may have been taken meanwhile
                 gateway.config["listen"] = f"127.0.0.1:{free_port()}"
             gateway.config["operator"] = f"127.0.0.1:{free_port()}"
         raise RuntimeError(f"{name} did not start: {gateway.log[-5:]}")
@@ -169,12 +169,12 @@
         for server in self.hosts:
             server.close()
 
-    def operator(self, name: str) -> str:
+    def operator_address(self, name: str) -> str:
         return str(self.gateways[name].config["operator"])
 
-    async def call(self, name: str, target: str, body: bytes | None = None) -> tuple[int, bytes]:
+    async def call_operator(self, name: str, target: str, body: bytes | None = None) -> tuple[int, bytes]:
         """The answer to an operators' call of one gateway; (0, b"") where there is none."""
-        host, _, port = self.operator(name).rpartition(":")
+        host, _, port = self.operator_address(name).rpartition(":")
         kind = "" if body is None else "Content-Type: application/octet-stream\r\n"
         length = len(body or b"")
         head = f"{'GET' if body is None else 'POST'} {target} HTTP/1.1\r\nHost: o\r\n{kind}"
@@ -191,7 +191,7 @@
         first, _, found = answer.partition(b"\r\n\r\n")
         return int(first.split()[1]) if first else 0, found
 
-    async def all(
+    async def wait_all(
         self,
         holds: Callable[[dict[str, Any]], object],
         timeout_s: float = 15.0,
--- a/faultlab/lab.py
+++ b/faultlab/gateway_process.py
@@ -20,13 +20,13 @@
 from faultlab.ports import free_port, listens
 
 ROOT = Path(__file__).parent.parent
-READY = b"GET /health/ready HTTP/1.1\r\nHost: lab\r\n\r\n"
-OPERATORS_READY = b"GET /api/ready HTTP/1.1\r\nHost: lab\r\n\r\n"
+READY_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: lab\r\n\r\n"
+OPERATOR_READY_REQUEST = b"GET /api/ready HTTP/1.1\r\nHost: lab\r\n\r\n"
 START_TIMEOUT_S = 10.0
-READY_TIMEOUT_S = 0.5  # for one call
+READY_CALL_TIMEOUT_S = 0.5  # for one call
 POLL_S = 0.005
 CALL_TIMEOUT_S = 2.0
-_ids = itertools.count()
+_request_numbers = itertools.count()
 
 
 def configuration(name: str, port: int, discovery: str, endpoints: list[dict[str, Any]]) -> dict[str, Any]:
@@ -53,18 +53,18 @@
 
 
 @dataclass
-class Gateway:
+class GatewayProcess:
     """One `python -m cloverkeel` process of the lab, with its configuration file and state directory."""
 
     name: str
     folder: Path
     config: dict[str, Any]
     state_dir: Path | None
-    listener: int | None = None  # a listening socket's descriptor to inherit ($LB_ACCEPT_FD)
+    listener_fd: int | None = None  # a listening socket's descriptor to inherit ($LB_ACCEPT_FD)
     process: asyncio.subprocess.Process | None = None
     log: list[str] = field(default_factory=list)
-    reader: asyncio.Task[None] | None = None
-    logged: asyncio.Event = field(default_factory=asyncio.Event)
+    log_reader: asyncio.Task[None] | None = None
+    line_logged: asyncio.Event = field(default_factory=asyncio.Event)
     root: Path = ROOT  # of the program that it runs
     environment: dict[str, str] = field(default_factory=dict)  # variables beside the lab's own
 
@@ -74,7 +74,7 @@
 
     async def start(self) -> float:
         """Start the process; returns the seconds until it was ready (inf: it ended, or never in 10 s)."""
-        if self.listener is not None and "operator" not in self.config:
+        if self.listener_fd is not None and "operator" not in self.config:
             self.config = self.config | {"operator": f"127.0.0.1:{free_port()}"}
         file = self.folder / f"{self.name}.json"
         file.write_text(json.dumps(self.config))
@@ -82,16 +82,16 @@
         environment.pop("LB_STATE_DIR", None)
         if self.state_dir is not None:
             environment["LB_STATE_DIR"] = str(self.state_dir)
-        if self.listener is not None:
-            environment["LB_ACCEPT_FD"] = str(self.listener)
+        if self.listener_fd is not None:
+            environment["LB_ACCEPT_FD"] = str(self.listener_fd)
         self.log = []  # of this process only
         began = time.monotonic()
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "cloverkeel", cwd=self.root, env=environment,
             stdout=asyncio.subprocess.DEVNULL, stderr=asyncio.subprocess.PIPE,
-            pass_fds=() if self.listener is None else (self.listener,),
+            pass_fds=() if self.listener_fd is None else (self.listener_fd,),
         )  # fmt: skip
-        self.reader = asyncio.create_task(self._read_log(self.process))
+        self.log_reader = asyncio.create_task(self._read_log(self.process))
         while time.monotonic() - began < START_TIMEOUT_S and self.process.returncode is None:
             if await self.is_ready(self.process):
                 return time.monotonic() - began
@@ -104,10 +104,10 @@
         An answer alone does not tell: another process may have the port, and it was taken for this one. On an
         inherited socket the process before answers too, so the operators' address is asked, which is its own.
         """
-        port, call = self.port, READY
-        if self.listener is not None:
-            port, call = int(self.config["operator"].rpartition(":")[2]), OPERATORS_READY
-        if await ask(port, call, READY_TIMEOUT_S) != 200:
+        port, call = self.port, READY_REQUEST
+        if self.listener_fd is not None:
+            port, call = int(self.config["operator"].rpartition(":")[2]), OPERATOR_READY_REQUEST
+        if await send_request(port, call, READY_CALL_TIMEOUT_S) != 200:
             return False
         return process.returncode is None and listens(process.pid, port)
 
@@ -115,31 +115,31 @@
         assert process.stderr is not None
         async for line in process.stderr:
             self.log.append(line.decode(errors="replace").rstrip())
-            self.logged.set()
-            self.logged = asyncio.Event()
+            self.line_logged.set()
+            self.line_logged = asyncio.Event()
 
-    def events(self, name: str) -> list[str]:
+    def event_lines(self, name: str) -> list[str]:
         return [line for line in self.log if f"event={name} " in line + " "]
 
-    async def line(self, text: str, timeout_s: float = 10.0) -> str:
+    async def wait_line(self, text: str, timeout_s: float = 10.0) -> str:
         """The first line of its log that holds `text`, once it has come; TimeoutError if not in time."""
         async with asyncio.timeout(timeout_s):
             while True:
                 for line in self.log:
                     if text in line:
                         return line
-                await self.logged.wait()
+                await self.line_logged.wait()
 
     async def signal(self, signum: int) -> None:
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(signum)
             if signum in (signal.SIGKILL, signal.SIGTERM):
                 await asyncio.wait_for(self.process.wait(), 10.0)
-                if self.reader is not None:
-                    await asyncio.wait_for(self.reader, 5.0)
+                if self.log_reader is not None:
+                    await asyncio.wait_for(self.log_reader, 5.0)
 
 
-async def snapshot_after(directory: Path, after_unix_s: float, timeout_s: float = 10.0) -> None:
+async def wait_snapshot(directory: Path, after_unix_s: float, timeout_s: float = 10.0) -> None:
     """Once the state file in `directory` holds a snapshot taken after `after_unix_s`."""
     from cloverkeel.fleet.state import read_snapshots
 
@@ -148,7 +148,7 @@
             await asyncio.sleep(POLL_S)
 
 
-async def ask(port: int, head: bytes, timeout_s: float = CALL_TIMEOUT_S) -> int:
+async def send_request(port: int, head: bytes, timeout_s: float = CALL_TIMEOUT_S) -> int:
     """One request on a connection of its own; its status, or 0 where none came in time."""
     try:
         async with asyncio.timeout(timeout_s):
@@ -163,9 +163,9 @@
         return 0
 
 
-def transfer() -> bytes:
+def transfer_request() -> bytes:
     return (b"POST /transfer HTTP/1.1\r\nHost: lab\r\nX-Call-Id: lab-%d\r\nContent-Length: 0\r\n\r\n"
-            % next(_ids))  # fmt: skip
+            % next(_request_numbers))  # fmt: skip
 
 
 @dataclass
@@ -183,12 +183,12 @@
         return sum(n for status, n in self.statuses.items() if status != 200)
 
 
-async def traffic(port: int, count: int, rate_per_s: float) -> Tally:
+async def send_traffic(port: int, count: int, rate_per_s: float) -> Tally:
     """`count` single-shot requests at `rate_per_s`, each on its own connection: bounded in count and time."""
     tally = Tally()
 
     async def one() -> None:
-        status = await ask(port, transfer())
+        status = await send_request(port, transfer_request())
         tally.statuses[status] = tally.statuses.get(status, 0) + 1
 
     tasks = []
--- a/faultlab/listservice.py
+++ b/faultlab/listservice.py
@@ -16,13 +16,15 @@
 from urllib.parse import parse_qs, urlsplit
 
 from faultlab import child
-from faultlab.standins import read_request, reply
+from faultlab.standins import read_request, make_response
 
-LONGEST_HOLD_S = 60.0
-THRASH = 2.0  # a collapsing service with a full queue answers a third of what one without does: 1 / (1 + 2)
+MAX_HOLD_S = 60.0
+COLLAPSE_FACTOR = (
+    2.0  # a collapsing service with a full queue answers a third of what one without does: 1 / (1 + 2)
+)
 
 
-class Capacity:
+class CapacityModel:
     """Calls answered one after the other, `rate_per_s` of them; pure, times in seconds.
 
     At most `queue` calls wait; one that waited over `patience_s` fails when its turn comes, at no cost. Where
@@ -42,14 +44,14 @@
             return False
         self.waiting.append((now_s, call))
         if len(self.waiting) == 1:
-            self._begin(now_s)
+            self._start_first(now_s)
         return True
 
-    def _begin(self, now_s: float) -> None:
+    def _start_first(self, now_s: float) -> None:
         filled = len(self.waiting) / self.queue if self.collapses else 0.0
-        self.done_s = now_s + (1.0 + THRASH * filled) / self.rate_per_s
+        self.done_s = now_s + (1.0 + COLLAPSE_FACTOR * filled) / self.rate_per_s
 
-    def leave(self, call: int) -> bool:
+    def cancel(self, call: int) -> bool:
         """A waiting call's caller has gone away; False where the call is being answered already."""
         for place, (_, other) in enumerate(self.waiting):
             if other == call and place > 0:  # the first is being answered
@@ -58,7 +60,7 @@
         return False
 
     @property
-    def next_s(self) -> float | None:
+    def next_event_s(self) -> float | None:
         """When `advance` has something to tell next; None where nothing waits."""
         return self.done_s if self.waiting else None
 
@@ -70,7 +72,7 @@
             while self.waiting and self.done_s - self.waiting[0][0] > self.patience_s:
                 ended.append((self.waiting.popleft()[1], False))
             if self.waiting:
-                self._begin(max(self.done_s, self.waiting[0][0]))
+                self._start_first(max(self.done_s, self.waiting[0][0]))
         return ended
 
 
@@ -80,43 +82,45 @@
 
     endpoints: dict[str, dict[str, Any]]
     index: int = 1
-    oldest: int = 1  # the first index of this service's life: what is older it does not know
-    changed: dict[str, int] | None = None
+    first_index: int = 1  # the first index of this service's life: what is older it does not know
+    changed_at_index: dict[str, int] | None = None
 
-    def set(self, name: str, **fields: Any) -> int:
+    def update(self, name: str, **fields: Any) -> int:
         """Change a host; returns the new index."""
         self.index += 1
         self.endpoints[name] = self.endpoints[name] | fields
-        self.changed = (self.changed or {}) | {name: self.index}
+        self.changed_at_index = (self.changed_at_index or {}) | {name: self.index}
         return self.index
 
     def restart(self, index: int) -> None:
         """A service started anew: its index begins again and it has no changes to tell."""
-        self.index = self.oldest = index
-        self.changed = None
+        self.index = self.first_index = index
+        self.changed_at_index = None
 
-    def answer(self, since: int | None) -> dict[str, Any]:
+    def response(self, since: int | None) -> dict[str, Any]:
         """The changes after `since`, or the whole list where that is unknown here."""
-        if since is None or not self.oldest <= since <= self.index:
+        if since is None or not self.first_index <= since <= self.index:
             return {"index": self.index, "snapshot": True, "endpoints": list(self.endpoints.values())}
-        news = [self.endpoints[name] for name, index in (self.changed or {}).items() if index > since]
+        news = [
+            self.endpoints[name] for name, index in (self.changed_at_index or {}).items() if index > since
+        ]
         return {"index": self.index, "snapshot": False, "endpoints": news}
 
 
 class ListService:
     """The service on sockets: a port for each caller, and a log of calls, answers and changes."""
 
-    def __init__(self, listing: Listing, capacity: Capacity) -> None:
+    def __init__(self, listing: Listing, capacity: CapacityModel) -> None:
         self.listing, self.capacity = listing, capacity
         self.down = False
         self.slow_s = 0.0
         self.calls: list[tuple[float, int, int]] = []  # (time, caller, from: -1 for the whole list)
-        self.told: list[tuple[float, int, int]] = []  # (time, caller, index)
+        self.responses: list[tuple[float, int, int]] = []  # (time, caller, index)
         self.failed = 0  # calls turned away, or that waited too long
-        self.held: dict[int, int] = {}  # the watches that wait now, by caller
-        self.news = asyncio.Event()
-        self.numbers = 0
-        self.turns: dict[int, tuple[asyncio.Future[bool], asyncio.StreamReader]] = {}
+        self.open_watches: dict[int, int] = {}  # the watches that wait now, by caller
+        self.changed = asyncio.Event()
+        self.last_call = 0
+        self.queued_calls: dict[int, tuple[asyncio.Future[bool], asyncio.StreamReader]] = {}
         self.timer: asyncio.TimerHandle | None = None
         self.servers: list[asyncio.Server] = []
         self.writers: set[asyncio.StreamWriter] = set()
@@ -137,16 +141,16 @@
     def close(self) -> None:
         for server in self.servers:
             server.close()
-        self.reset()
+        self.reset_connections()
 
-    def reset(self) -> None:
+    def reset_connections(self) -> None:
         for writer in list(self.writers):
             writer.transport.abort()
 
-    def tell(self) -> None:
+    def wake_watches(self) -> None:
         """Wake the watches: there is something newer."""
-        self.news.set()
-        self.news = asyncio.Event()
+        self.changed.set()
+        self.changed = asyncio.Event()
 
     async def serve(self, caller: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
@@ -154,78 +158,78 @@
             while (request := await read_request(reader)) is not None:
                 query = parse_qs(urlsplit(request[0]).query)
                 since = int(query["from"][0]) if "from" in query else None
-                hold_s = min(LONGEST_HOLD_S, int(query.get("hold_ms", ["0"])[0]) / 1000)
+                hold_s = min(MAX_HOLD_S, int(query.get("hold_ms", ["0"])[0]) / 1000)
                 self.calls.append((time.monotonic(), caller, -1 if since is None else since))
                 if self.down:
                     await reader.read()  # silent until the caller leaves
                     return
-                if not await self.turn(reader):
+                if not await self.wait_turn(reader):
                     self.failed += 1
                     if writer.is_closing() or reader.at_eof():
                         return
-                    writer.write(reply(503, b"", "Service Unavailable"))
+                    writer.write(make_response(503, b"", "Service Unavailable"))
                     continue
                 if self.slow_s:
                     await asyncio.sleep(self.slow_s)
                 if since is not None and since == self.listing.index:
-                    await self.hold(caller, reader, hold_s)
+                    await self.hold_watch(caller, reader, hold_s)
                 if self.down:
                     await reader.read()
                 if writer.is_closing() or reader.at_eof():
                     return
-                body = self.listing.answer(since)
-                writer.write(reply(200, json.dumps(body).encode(), "OK"))
-                self.told.append((time.monotonic(), caller, body["index"]))
+                body = self.listing.response(since)
+                writer.write(make_response(200, json.dumps(body).encode(), "OK"))
+                self.responses.append((time.monotonic(), caller, body["index"]))
         except (ConnectionError, asyncio.IncompleteReadError, ValueError, asyncio.CancelledError):
             pass
         finally:
             self.writers.discard(writer)
             writer.close()
 
-    async def hold(self, caller: int, reader: asyncio.StreamReader, hold_s: float) -> None:
+    async def hold_watch(self, caller: int, reader: asyncio.StreamReader, hold_s: float) -> None:
         """Wait for news, or until the caller leaves: it says nothing while it waits."""
-        self.held[caller] = self.held.get(caller, 0) + 1
-        ends = [asyncio.ensure_future(self.news.wait()), asyncio.ensure_future(reader.read(1))]
+        self.open_watches[caller] = self.open_watches.get(caller, 0) + 1
+        ends = [asyncio.ensure_future(self.changed.wait()), asyncio.ensure_future(reader.read(1))]
         try:
             await asyncio.wait(ends, timeout=hold_s, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            self.held[caller] -= 1
+            self.open_watches[caller] -= 1
             for end in ends:
                 end.cancel()
             await asyncio.gather(*ends, return_exceptions=True)
 
-    async def turn(self, reader: asyncio.StreamReader) -> bool:
+    async def wait_turn(self, reader: asyncio.StreamReader) -> bool:
         """Wait for the call's turn; False where it fails."""
-        self.numbers += 1
-        number = self.numbers
+        self.last_call += 1
+        number = self.last_call
         if not self.capacity.arrive(time.monotonic(), number):
             return False
         turn: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self.turns[number] = turn, reader
-        self.wait()
+        self.queued_calls[number] = turn, reader
+        self.schedule_advance()
         return await turn
 
-    def wait(self) -> None:
-        next_s = self.capacity.next_s
+    def schedule_advance(self) -> None:
+        next_s = self.capacity.next_event_s
         if self.timer is None and next_s is not None:
             wait_s = max(0.0, next_s - time.monotonic())
             self.timer = asyncio.get_running_loop().call_later(wait_s, self.advance)
 
     def advance(self) -> None:
         self.timer = None
-        for number, (_, reader) in list(self.turns.items()):
-            if reader.at_eof() and self.capacity.leave(number):
-                self.end(number, False)
+        for number, (_, reader) in list(self.queued_calls.items()):
+            if reader.at_eof() and self.capacity.cancel(number):
+                self.finish_call(number, False)
         for number, answered in self.capacity.advance(time.monotonic()):
-            self.end(number, answered)
-        self.wait()
+            self.finish_call(number, answered)
+        self.schedule_advance()
 
-    def end(self, number: int, answered: bool) -> None:
-        turn, _ = self.turns.pop(number)
+    def finish_call(self, number: int, answered: bool) -> None:
+        turn, _ = self.queued_calls.pop(number)
         if not turn.done():  # else its connection has been reset
             turn.set_result(answered)
 
-    async def obey(self, do: str, order: dict[str, Any]) -> Any:
+    async def handle_command(self, do: str, order: dict[str, Any]) -> Any:
         """One command of the lab; ValueError where it is none."""
         match do:
             case "listen":
@@ -233,11 +237,11 @@
             case "hosts":
                 self.listing.endpoints = {entry["name"]: entry for entry in order["endpoints"]}
                 self.listing.index += 1
-                self.tell()
+                self.wake_watches()
                 return self.listing.index
             case "set":
-                index = self.listing.set(order["name"], **order["fields"])
-                self.tell()
+                index = self.listing.update(order["name"], **order["fields"])
+                self.wake_watches()
                 return [time.monotonic(), index]
             case "mode":
                 self.down, self.slow_s = order.get("down", False), order.get("slow_s", 0.0)
@@ -246,22 +250,22 @@
                 return None
             case "restart":
                 self.listing.restart(order["index"])
-                self.reset()
+                self.reset_connections()
                 return None
             case "watchers":
-                return [caller for caller, count in self.held.items() if count > 0]
+                return [caller for caller, count in self.open_watches.items() if count > 0]
             case "log":
-                return {"calls": self.calls, "told": self.told, "failed": self.failed}
+                return {"calls": self.calls, "told": self.responses, "failed": self.failed}
             case _:
                 raise ValueError(f"no command of the list service: {do}")
 
 
-async def _make(settings: dict[str, Any]) -> child.Handler:
-    capacity = Capacity(
+async def _make_handler(settings: dict[str, Any]) -> child.Handler:
+    capacity = CapacityModel(
         settings["rate_per_s"], settings["queue"], settings["patience_s"], settings["collapses"]
     )
-    return ListService(Listing({}), capacity).obey
+    return ListService(Listing({}), capacity).handle_command
 
 
 if __name__ == "__main__":
-    child.serve(_make)
+    child.serve(_make_handler)
--- a/faultlab/lookups.py
+++ b/faultlab/lookups.py
@@ -27,84 +27,90 @@
 from cloverkeel.fleet.routes.serving import RouteTable
 from cloverkeel.front.requests import ResponseWriter, Request, build_call
 from cloverkeel.gateway import Gateway
-from faultlab.report import Parts, positive, report
+from faultlab.report import Subcommands, positive_int, report
 
-SIZES = (10, 1_000, 10_000)
-ASKED = 2_000  # requests of a round, over all routes alike
-CLASSES, CALLERS = 4, 50
-NAMES = Names({b"k%d" % n: n for n in range(CLASSES)}, (), {}, {"z": 0}, {})
+ROUTE_COUNTS = (10, 1_000, 10_000)
+REQUESTS_PER_ROUND = 2_000  # requests of a round, over all routes alike
+CLASS_COUNT, CALLER_COUNT = 4, 50
+NAMES = Names({b"k%d" % n: n for n in range(CLASS_COUNT)}, (), {}, {"z": 0}, {})
 
 
-def register(parts: Parts) -> None:
+def register(parts: Subcommands) -> None:
     """Add `lookups` and its arguments to the lab's commands."""
     lab = parts.add_parser("lookups", help="what routes cost a request and a gateway, in CPU time")
-    lab.add_argument("--rounds", type=positive, default=30)
+    lab.add_argument("--rounds", type=positive_int, default=30)
     lab.add_argument("--seed", type=int, default=1)
     lab.add_argument("--json", action="store_true", help="one JSON object instead of a table")
     lab.set_defaults(run=command)
 
 
 def command(arguments: argparse.Namespace) -> int:
-    figures = measured(arguments.rounds, arguments.seed)
+    figures = measure(arguments.rounds, arguments.seed)
     report(figures, arguments.json)
     return 0
 
 
-def measured(rounds: int, seed: int) -> dict[str, Any]:
-    figures: dict[str, Any] = {"lookup_us": lookups(rounds, seed), "index_mb": memory_mb(max(SIZES))}
+def measure(rounds: int, seed: int) -> dict[str, Any]:
+    figures: dict[str, Any] = {
+        "lookup_us": measure_lookups(rounds, seed),
+        "index_mb": index_memory_mb(max(ROUTE_COUNTS)),
+    }
     medians = [spread["p50"] for spread in figures["lookup_us"].values()]
     figures["lookup_flat"] = round(max(medians) / min(medians), 2)
-    return figures | {"read_us": reading(rounds, seed), "serving_ms": serving(max(SIZES), rounds, seed)}
+    return figures | {
+        "read_us": measure_reading(rounds, seed),
+        "serving_ms": measure_serving(max(ROUTE_COUNTS), rounds, seed),
+    }
 
 
-def route(number: int, **more: Any) -> RouteView:
+def make_route(number: int, **more: Any) -> RouteView:
     """Each at a path of its own under a few that share their beginnings, every third for one caller."""
-    values: dict[str, Any] = {"classes": [f"k{number % CLASSES}"], "path": path(number)}
+    values: dict[str, Any] = {"classes": [f"k{number % CLASS_COUNT}"], "path": route_path(number)}
     if number % 3 == 0:
-        values["callers"] = [f"c{number % CALLERS}"]
+        values["callers"] = [f"c{number % CALLER_COUNT}"]
     values["targets"] = [{"groups": [str(number % 8)], "share": 5}]
     return RouteView(f"route-{number}", "team", values | more, {})
 
 
-def path(number: int) -> str:
-    return f"/k{number % CLASSES}/team-{number // 500}/service-{number // 20}/call-{number}"
+def route_path(number: int) -> str:
+    return f"/k{number % CLASS_COUNT}/team-{number // 500}/service-{number // 20}/call-{number}"
 
 
-def filled(size: int) -> Index:
-    routes = [route(number) for number in range(size)]
+def build_index(size: int) -> Index:
+    routes = [make_route(number) for number in range(size)]
     index = Index("z", {each.name: number for number, each in enumerate(routes, 1)})
     for each in routes:
         index.put(each)
     return index
 
 
-def asked(size: int, rng: random.Random) -> list[tuple[bytes, bytes, bytes]]:
+def random_requests(size: int, rng: random.Random) -> list[tuple[bytes, bytes, bytes]]:
     """Four in five meet a route."""
     found = []
-    for _ in range(ASKED):
+    for _ in range(REQUESTS_PER_ROUND):
         number = rng.randrange(size)
-        where = f"{path(number)}/7" if rng.random() < 0.8 else f"/k{number % CLASSES}/none/of/them"
-        found.append((b"k%d" % (number % CLASSES), b"c%d" % rng.randrange(CALLERS), where.encode()))
+        where = f"{route_path(number)}/7" if rng.random() < 0.8 else f"/k{number % CLASS_COUNT}/none/of/them"
+        found.append((b"k%d" % (number % CLASS_COUNT), b"c%d" % rng.randrange(CALLER_COUNT), where.encode()))
     return found
 
 
-def lookups(rounds: int, seed: int) -> dict[str, dict[str, float]]:
-    indices = {size: filled(size) for size in SIZES}
+def measure_lookups(rounds: int, seed: int) -> dict[str, dict[str, float]]:
+    indices = {size: build_index(size) for size in ROUTE_COUNTS}
     gc.freeze()
-    took: dict[int, list[float]] = {size: [] for size in SIZES}
+    took: dict[int, list[float]] = {size: [] for size in ROUTE_COUNTS}
     rng = random.Random(f"lookups {seed}")
     for _ in range(rounds):
         for size, index in indices.items():
-            questions = asked(size, rng)
-            took[size].append(each_us(lambda index=index, qs=questions: [index.find(*q) for q in qs]))  # type: ignore[misc]
-    return {str(size): spread(times) for size, times in took.items()}
+            questions = random_requests(size, rng)
+            took[size].append(mean_us(lambda index=index, qs=questions: [index.find(*q) for q in qs]))  # type: ignore[misc]
+    return {str(size): summary(times) for size, times in took.items()}
 
 
-def memory_mb(size: int) -> float:
+def index_memory_mb(size: int) -> float:
     gc.collect()
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
-    routes = [route(number) for number in range(size)]
+    routes = [make_route(number) for number in range(size)]
     numbers = {each.name: number for number, each in enumerate(routes, 1)}
     outside = tracemalloc.get_traced_memory()[0]
     index = Index("z", numbers)
@@ -116,23 +122,23 @@
     return round(held / 1e6, 2)
 
 
-def reading(rounds: int, seed: int) -> dict[str, dict[str, float]]:
+def measure_reading(rounds: int, seed: int) -> dict[str, dict[str, float]]:
     """A request's way from its headers to a call: no routes, no plan yet, and the largest plan."""
-    empty, full = served(0), served(max(SIZES))
+    empty, full = build_route_table(0), build_route_table(max(ROUTE_COUNTS))
     gc.freeze()
     took: dict[str, list[float]] = {"off": [], "empty": [], "full": []}
     rng = random.Random(f"reading {seed}")
     for _ in range(rounds):
-        questions = asked(max(SIZES), rng)
+        questions = random_requests(max(ROUTE_COUNTS), rng)
         for name, routes in (("off", None), ("empty", empty), ("full", full)):
-            requests = [request(caller, where) for _, caller, where in questions]
-            took[name].append(each_us(lambda rs=requests, routes=routes: [  # type: ignore[misc]
-                build_call(CONFIG, r, r.target, ANSWERS, None, routes) for r in rs
+            requests = [make_request(caller, where) for _, caller, where in questions]
+            took[name].append(mean_us(lambda rs=requests, routes=routes: [  # type: ignore[misc]
+                build_call(CONFIG, r, r.target, RESPONSE_WRITER, None, routes) for r in rs
             ]))  # fmt: skip
-    return {name: spread(times) for name, times in took.items()}
+    return {name: summary(times) for name, times in took.items()}
 
 
-def request(caller: bytes, where: bytes) -> Request:
+def make_request(caller: bytes, where: bytes) -> Request:
     made = Request()
     made.method, made.target = b"GET", where
     made.headers = [
@@ -141,27 +147,27 @@
     return made
 
 
-def serving(size: int, rounds: int, seed: int) -> dict[str, Any]:
+def measure_serving(size: int, rounds: int, seed: int) -> dict[str, Any]:
     """A plan of `size` routes built aside, and edits of one route of it, in milliseconds."""
     turns: list[float] = []
-    made = served(size, turns)
+    made = build_route_table(size, turns)
     assert made.view is not None
     routes, edits = dict(made.view.routes), []
     rng = random.Random(f"serving {seed}")
     for number in range(10 * rounds):
-        edited = route(rng.randrange(size), attempts=1 + number % 3)
+        edited = make_route(rng.randrange(size), attempts=1 + number % 3)
         routes[edited.name] = edited
-        next_view = view(dict(routes), frozenset({edited.name}))
+        next_view = make_view(dict(routes), frozenset({edited.name}))
         began = time.process_time()
         made.update(next_view)
         edits.append(1e3 * (time.process_time() - began))
     return {
         "build": round(sum(turns), 1), "build_turns": len(turns), "longest_turn": round(max(turns), 2),
-        "one_edit": spread(edits),
+        "one_edit": summary(edits),
     }  # fmt: skip
 
 
-def served(size: int, turns: list[float] | None = None) -> RouteTable:
+def build_route_table(size: int, turns: list[float] | None = None) -> RouteTable:
     """`turns` hears what each turn of the loop cost, in milliseconds."""
     waiting: list[Callable[[], None]] = []
     gateway = SimpleNamespace(
@@ -169,7 +175,7 @@
         loop=SimpleNamespace(call_soon=waiting.append),
     )  # fmt: skip
     made = RouteTable(cast(Gateway, gateway))
-    first = view({each.name: each for each in map(route, range(size))}, None)
+    first = make_view({each.name: each for each in map(make_route, range(size))}, None)
     waiting.append(lambda: made.update(first))
     while waiting:
         began = time.process_time()
@@ -179,27 +185,27 @@
     return made
 
 
-def view(routes: dict[str, RouteView], touched: frozenset[str] | None) -> View:
-    return View("", routes, NONE_BEHIND, (), (), (), Context(), touched)
+def make_view(routes: dict[str, RouteView], touched: frozenset[str] | None) -> View:
+    return View("", routes, NO_PRECEDENCE, (), (), (), Context(), touched)
 
 
-def each_us(run: Callable[[], list[Any]]) -> float:
+def mean_us(run: Callable[[], list[Any]]) -> float:
     began = time.process_time()
     count = len(run())
     return 1e6 * (time.process_time() - began) / count
 
 
-def spread(values: list[float]) -> dict[str, float]:
+def summary(values: list[float]) -> dict[str, float]:
     ranked = sorted(values)
     return {
         "least": round(ranked[0], 3), "p50": round(statistics.median(ranked), 3), "most": round(ranked[-1], 3)
     }  # fmt: skip
 
 
-NONE_BEHIND: dict[str, frozenset[str]] = {}
-ANSWERS = cast(ResponseWriter, SimpleNamespace(**dict.fromkeys(
+NO_PRECEDENCE: dict[str, frozenset[str]] = {}
+RESPONSE_WRITER = cast(ResponseWriter, SimpleNamespace(**dict.fromkeys(
     ("check_gone", "on_served", "on_begun", "on_piece", "on_ended", "on_broken", "on_refused", "on_failed"),
     print,
 )))  # fmt: skip
 _CLASS = SimpleNamespace(effect=Effect.SAFE, give_up_us=400_000)
-CONFIG = cast(Config, SimpleNamespace(names=NAMES, settings=SimpleNamespace(classes=[_CLASS] * CLASSES)))
+CONFIG = cast(Config, SimpleNamespace(names=NAMES, settings=SimpleNamespace(classes=[_CLASS] * CLASS_COUNT)))
--- a/faultlab/member.py
+++ b/faultlab/member.py
@@ -32,11 +32,11 @@
 from cloverkeel.fleet.membership.service import Membership
 
 
-def say(event: str, **fields: object) -> None:
+def emit(event: str, **fields: object) -> None:
     print(json.dumps({"event": event, "t": time.monotonic()} | fields), flush=True)
 
 
-async def incarnation(directory: str | None, given: int | None) -> int:
+async def choose_incarnation(directory: str | None, given: int | None) -> int:
     """The number given, else what a gateway would take: the store's counter, or the wall clock."""
     if given is not None:
         return given
@@ -52,12 +52,12 @@
     return number
 
 
-def changed(rumour: MemberUpdate, before: MemberUpdate | None) -> None:
-    say("change", member=rumour.name, status=rumour.status.value, incarnation=rumour.incarnation,
+def emit_change(rumour: MemberUpdate, before: MemberUpdate | None) -> None:
+    emit("change", member=rumour.name, status=rumour.status.value, incarnation=rumour.incarnation,
         before=before.status.value if before is not None else None)  # fmt: skip
 
 
-def counters(membership: Membership) -> dict[str, Any]:
+def member_counters(membership: Membership) -> dict[str, Any]:
     member = membership.member
     health = member.roster.health.score if member is not None else 0
     own = {"state": membership.state, "cpu_s": time.process_time(), "health": health}
@@ -69,13 +69,13 @@
     reader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     membership = Membership(settings, name, zone, number)
-    membership.on_change(changed)
+    membership.on_change(emit_change)
     await membership.start()
-    say("started", address=membership.address, incarnation=number)
+    emit("started", address=membership.address, incarnation=number)
 
     async def tell_state() -> None:
         await membership.joined.wait()
-        say("state", state=membership.state)
+        emit("state", state=membership.state)
 
     telling = loop.create_task(tell_state())
     while line := (await reader.readline()).decode().strip():
@@ -83,7 +83,7 @@
             await membership.leave()
             break
         if line == "counters":
-            say(line, answer=counters(membership))
+            emit(line, answer=member_counters(membership))
     telling.cancel()
     membership.close()
 
@@ -100,7 +100,7 @@
 
     async def start() -> None:
         settings = parse_cluster(arguments.cluster, arguments.name)
-        number = await incarnation(arguments.state_dir, arguments.incarnation)
+        number = await choose_incarnation(arguments.state_dir, arguments.incarnation)
         await run(settings, arguments.name, arguments.zone, number)
 
     try:
--- a/faultlab/fleet.py
+++ b/faultlab/member_fleet.py
@@ -15,43 +15,43 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from faultlab.lab import ROOT
+from faultlab.gateway_process import ROOT
 from faultlab.relay import RelayMember, Relay
 
-CLUSTER = "lab"
-SEEDS = 3
-TICK_S = 0.02
-JOIN_S = 60.0  # for a whole fleet to start and agree, on a busy machine
+CLUSTER_NAME = "lab"
+SEED_COUNT = 3
+LAG_POLL_S = 0.02
+JOIN_TIMEOUT_S = 60.0  # for a whole fleet to start and agree, on a busy machine
 
 
 @dataclass(slots=True)
-class Held:
+class ReportedStatus:
     """What a member said last of another: its status, its incarnation and when, by the shared clock."""
 
     status: str
     incarnation: int
-    t: float
+    reported_s: float
 
 
 @dataclass(slots=True, frozen=True, order=True)
-class Death:
+class DeathReport:
     """One member's report that another is dead, at `t` by the shared clock."""
 
-    t: float
-    by: str
-    of: str
+    reported_s: float
+    reporter: str
+    member: str
 
 
 @dataclass
-class Light:
+class MemberProcess:
     """One `faultlab.member` process. `view` follows its reports; `log` has its standard error's lines."""
 
     name: str
     place: RelayMember
     changed: asyncio.Event
-    deaths: list[Death]  # the whole fleet's
+    deaths: list[DeathReport]  # the whole fleet's
     process: asyncio.subprocess.Process | None = None
-    view: dict[str, Held] = field(default_factory=dict)
+    view: dict[str, ReportedStatus] = field(default_factory=dict)
     reports: list[dict[str, Any]] = field(default_factory=list)  # all but the changes
     log: list[str] = field(default_factory=list)
     readers: list[asyncio.Task[None]] = field(default_factory=list)
@@ -67,23 +67,23 @@
         )  # fmt: skip
         assert self.process.stdout is not None and self.process.stderr is not None
         self.readers = [
-            asyncio.create_task(self._reports(self.process.stdout)),
-            asyncio.create_task(self._log(self.process.stderr)),
+            asyncio.create_task(self._read_reports(self.process.stdout)),
+            asyncio.create_task(self._read_log(self.process.stderr)),
         ]
 
-    async def _reports(self, stream: asyncio.StreamReader) -> None:
+    async def _read_reports(self, stream: asyncio.StreamReader) -> None:
         async for line in stream:
             report = json.loads(line)
             if report["event"] == "change":
-                held = Held(report["status"], report["incarnation"], report["t"])
+                held = ReportedStatus(report["status"], report["incarnation"], report["t"])
                 self.view[report["member"]] = held
                 if held.status == "dead":
-                    self.deaths.append(Death(held.t, self.name, report["member"]))
+                    self.deaths.append(DeathReport(held.reported_s, self.name, report["member"]))
             else:
                 self.reports.append(report)
             self.changed.set()
 
-    async def _log(self, stream: asyncio.StreamReader) -> None:
+    async def _read_log(self, stream: asyncio.StreamReader) -> None:
         async for line in stream:
             self.log.append(line.decode(errors="replace").rstrip())
             self.changed.set()
@@ -92,13 +92,13 @@
     def running(self) -> bool:
         return self.process is not None and self.process.returncode is None
 
-    def says(self, event: str) -> list[dict[str, Any]]:
+    def reports_of(self, event: str) -> list[dict[str, Any]]:
         return [report for report in self.reports if report["event"] == event]
 
-    def logged(self, event: str) -> list[str]:
+    def log_lines(self, event: str) -> list[str]:
         return [line for line in self.log if f"event={event} " in line + " "]
 
-    def tell(self, command: str) -> None:
+    def send_command(self, command: str) -> None:
         """Write a command to it; the answer is the next report of that name."""
         assert self.process is not None and self.process.stdin is not None
         self.process.stdin.write(f"{command}\n".encode())
@@ -110,7 +110,7 @@
         self.process.send_signal(signum)
         return now_s
 
-    async def ended(self, timeout_s: float = 10.0) -> None:
+    async def wait_ended(self, timeout_s: float = 10.0) -> None:
         """Once its process has ended and all that it wrote is read."""
         assert self.process is not None
         async with asyncio.timeout(timeout_s):
@@ -118,7 +118,7 @@
             await asyncio.gather(*self.readers)
 
 
-class Fleet:
+class MemberFleet:
     """`async with Fleet(8, seed=1) as fleet`: members m0, m1, ... that all see each other, behind `relay`.
     The first SEEDS are everyone's seeds. `settings` go into every member's `cluster`."""
 
@@ -126,20 +126,20 @@
         self.count = count
         self.relay = Relay(seed)
         self.changed = asyncio.Event()
-        self.settings = {"name": CLUSTER} | (settings or {})
-        self.late_s = 0.0  # this loop's longest standstill, the relay's with it: members are blamed for it
-        self.members: dict[str, Light] = {}
-        self.deaths: list[Death] = []  # as reported, by processes that have ended too
+        self.settings = {"name": CLUSTER_NAME} | (settings or {})
+        self.max_lag_s = 0.0  # this loop's longest standstill, the relay's with it: members are blamed for it
+        self.members: dict[str, MemberProcess] = {}
+        self.deaths: list[DeathReport] = []  # as reported, by processes that have ended too
 
-    async def __aenter__(self) -> Fleet:
-        self.watching = asyncio.create_task(self._watch())
+    async def __aenter__(self) -> MemberFleet:
+        self.lag_task = asyncio.create_task(self._measure_lag())
         try:
             for number in range(self.count):
-                await self.place(f"m{number}")
-            self.settings["seeds"] = [m.place.advertise for m in list(self.members.values())[:SEEDS]]
+                await self.add_member(f"m{number}")
+            self.settings["seeds"] = [m.place.advertise for m in list(self.members.values())[:SEED_COUNT]]
             await asyncio.gather(*(m.start(self.settings) for m in self.members.values()))
-            await self.agreed(JOIN_S)
-            self.late_s = 0.0  # starting so many processes holds the loop up
+            await self.wait_agreed(JOIN_TIMEOUT_S)
+            self.max_lag_s = 0.0  # starting so many processes holds the loop up
         except BaseException:
             await self.close()
             raise
@@ -148,18 +148,20 @@
     async def __aexit__(self, *_: object) -> None:
         await self.close()
 
-    async def _watch(self) -> None:
+    async def _measure_lag(self) -> None:
         while True:
-            due_s = time.monotonic() + TICK_S
-            await asyncio.sleep(TICK_S)
-            self.late_s = max(self.late_s, time.monotonic() - due_s)
+            due_s = time.monotonic() + LAG_POLL_S
+            await asyncio.sleep(LAG_POLL_S)
+            self.max_lag_s = max(self.max_lag_s, time.monotonic() - due_s)
 
-    async def place(self, name: str) -> Light:
+    async def add_member(self, name: str) -> MemberProcess:
         """A place behind the relay and no process yet."""
-        light = self.members[name] = Light(name, await self.relay.add_member(name), self.changed, self.deaths)
+        light = self.members[name] = MemberProcess(
+            name, await self.relay.add_member(name), self.changed, self.deaths
+        )
         return light
 
-    async def until(self, holds: Callable[[], bool], timeout_s: float = 10.0) -> float:
+    async def wait_until(self, holds: Callable[[], bool], timeout_s: float = 10.0) -> float:
         """Waits for reports until `holds`, looked at once for each few milliseconds in which some came;
         returns the shared clock then. Raises TimeoutError."""
         async with asyncio.timeout(timeout_s):
@@ -170,24 +172,24 @@
                 await self.changed.wait()
                 await asyncio.sleep(0.002)
 
-    def running(self) -> list[Light]:
+    def running(self) -> list[MemberProcess]:
         return [m for m in self.members.values() if m.running]
 
-    def holds(self, name: str, status: str, by: Iterable[Light] | None = None) -> bool:
+    def all_report(self, name: str, status: str, by: Iterable[MemberProcess] | None = None) -> bool:
         """Whether every one of `by` (all that run) but `name` itself holds it in that status."""
         held = [m.view.get(name) for m in (self.running() if by is None else by) if m.name != name]
         return all(h is not None and h.status == status for h in held)
 
-    async def agreed(self, timeout_s: float = 20.0) -> float:
+    async def wait_agreed(self, timeout_s: float = 20.0) -> float:
         """Once each member that runs holds each other alive, all at one incarnation and none at one of a
         process before; returns the shared clock."""
 
         def holds() -> bool:
             running = self.running()
-            if any(not m.says("started") for m in running):
+            if any(not m.reports_of("started") for m in running):
                 return False
             for light in running:
-                began = light.says("started")[0]["incarnation"]
+                began = light.reports_of("started")[0]["incarnation"]
                 held = [m.view.get(light.name) for m in running if m is not light]
                 if any(h is None or h.status != "alive" or h.incarnation < began for h in held):
                     return False
@@ -195,15 +197,19 @@
                     return False
             return True
 
-        return await self.until(holds, timeout_s)
+        return await self.wait_until(holds, timeout_s)
 
-    async def counters(self, members: Iterable[Light], timeout_s: float = 10.0) -> dict[str, dict[str, Any]]:
+    async def counters(
+        self, members: Iterable[MemberProcess], timeout_s: float = 10.0
+    ) -> dict[str, dict[str, Any]]:
         """The counters of members that run, by name."""
-        asked = {m.name: (m, len(m.says("counters"))) for m in members}
+        asked = {m.name: (m, len(m.reports_of("counters"))) for m in members}
         for light, _ in asked.values():
-            light.tell("counters")
-        await self.until(lambda: all(len(m.says("counters")) > n for m, n in asked.values()), timeout_s)
-        return {name: m.says("counters")[-1]["answer"] for name, (m, _) in asked.items()}
+            light.send_command("counters")
+        await self.wait_until(
+            lambda: all(len(m.reports_of("counters")) > n for m, n in asked.values()), timeout_s
+        )
+        return {name: m.reports_of("counters")[-1]["answer"] for name, (m, _) in asked.items()}
 
     async def close(self) -> None:
         """Kill every process, by its pid, and close the relay."""
@@ -212,6 +218,6 @@
         for light in self.members.values():
             if light.process is not None:
                 with contextlib.suppress(TimeoutError):
-                    await light.ended()
-        self.watching.cancel()
+                    await light.wait_ended()
+        self.lag_task.cancel()
         await self.relay.close()
--- a/faultlab/membership.py
+++ b/faultlab/membership.py
@@ -19,18 +19,18 @@
 
 import uvloop
 
-from faultlab.fleet import Death, Fleet, Light
+from faultlab.member_fleet import DeathReport, MemberFleet, MemberProcess
 from faultlab.relay import Rule
-from faultlab.report import Parts, positive, report
+from faultlab.report import Subcommands, positive_int, report
 
 Figures = dict[str, Any]
-REST_S = 10.0  # two push-pull periods
-LOSS = 0.05
+QUIET_PERIOD_S = 10.0  # two push-pull periods
+LOSS_RATE = 0.05
 STOP_S = 0.2
-GAP_S = (0.1, 0.6)  # between two stops
+STOP_GAP_S = (0.1, 0.6)  # between two stops
 
 
-def spread(values: Sequence[float]) -> Figures:
+def summary(values: Sequence[float]) -> Figures:
     """Median, 99th percentile (nearest rank) and maximum, with the number they are of."""
     ordered = sorted(values)
     rank = max(0, math.ceil(0.99 * len(ordered)) - 1)
@@ -42,42 +42,42 @@
     }
 
 
-async def kills(size: int, number: int, seed: int) -> Figures:
+async def measure_kills(size: int, number: int, seed: int) -> Figures:
     """Kill one member after another, each started again; the load is taken at rest before the first."""
     rng = random.Random(seed)
     known_s, agreed_s = [], []
-    false: list[Death] = []
-    async with Fleet(size, seed) as fleet:
-        await asyncio.sleep(REST_S / 2)  # what a start brings is said
+    false: list[DeathReport] = []
+    async with MemberFleet(size, seed) as fleet:
+        await asyncio.sleep(QUIET_PERIOD_S / 2)  # what a start brings is said
         before = sum(fleet.relay.sent_by_member.values())
         began_s = time.monotonic()
-        await asyncio.sleep(REST_S)
+        await asyncio.sleep(QUIET_PERIOD_S)
         load = (sum(fleet.relay.sent_by_member.values()) - before) / (time.monotonic() - began_s) / size
         for _ in range(number):
             await asyncio.sleep(rng.uniform(0.3, 0.8))
             victim = rng.choice(fleet.running())
             killed_s = victim.signal(signal.SIGKILL)
-            await victim.ended()
-            await fleet.until(lambda v=victim: fleet.holds(v.name, "dead"), 30.0)  # type: ignore[misc]
-            known_s.append(max(m.view[victim.name].t for m in fleet.running()) - killed_s)
+            await victim.wait_ended()
+            await fleet.wait_until(lambda v=victim: fleet.all_report(v.name, "dead"), 30.0)  # type: ignore[misc]
+            known_s.append(max(m.view[victim.name].reported_s for m in fleet.running()) - killed_s)
             started_s = time.monotonic()
             await victim.start(fleet.settings)
-            agreed_s.append(await fleet.agreed(30.0) - started_s)
-            false += [death for death in fleet.deaths if death.of != victim.name]
+            agreed_s.append(await fleet.wait_agreed(30.0) - started_s)
+            false += [death for death in fleet.deaths if death.member != victim.name]
             fleet.deaths.clear()
         stalls = await fleet.counters(fleet.running())
     return {
-        "known_s": spread(known_s), "started_again_s": spread(agreed_s), "datagrams_a_member_s": load,
-        "false_deaths": len(false), "falsely_dead": len({death.of for death in false}),
-        "lab_late_s": fleet.late_s, "stalls": sum(c["stalls"] for c in stalls.values()),
+        "known_s": summary(known_s), "started_again_s": summary(agreed_s), "datagrams_a_member_s": load,
+        "false_deaths": len(false), "falsely_dead": len({death.member for death in false}),
+        "lab_late_s": fleet.max_lag_s, "stalls": sum(c["stalls"] for c in stalls.values()),
     }  # fmt: skip
 
 
-async def heals(size: int, rounds: int, seed: int) -> Figures:
+async def measure_heals(size: int, rounds: int, seed: int) -> Figures:
     """Part the members in two halves for longer than the suspicion time, then heal."""
     rng = random.Random(seed)
     parted_s, healed_s = [], []
-    async with Fleet(size, seed) as fleet:
+    async with MemberFleet(size, seed) as fleet:
         names = list(fleet.members)
         for _ in range(rounds):
             await asyncio.sleep(rng.uniform(0.0, 2.0))
@@ -86,26 +86,26 @@
             fleet.relay.cut(west, east)
             cut_s = time.monotonic()
             sides = [([fleet.members[n] for n in one], other) for one, other in ((west, east), (east, west))]
-            parted_s.append(await fleet.until(lambda s=sides: parted(fleet, s), 120.0) - cut_s)  # type: ignore[misc]
+            parted_s.append(await fleet.wait_until(lambda s=sides: is_partitioned(fleet, s), 120.0) - cut_s)  # type: ignore[misc]
             fleet.relay.heal()
             began_s = time.monotonic()
-            healed_s.append(await fleet.agreed(60.0) - began_s)
-    return {"all_dead_s": spread(parted_s), "agreed_s": spread(healed_s)}
+            healed_s.append(await fleet.wait_agreed(60.0) - began_s)
+    return {"all_dead_s": summary(parted_s), "agreed_s": summary(healed_s)}
 
 
-def parted(fleet: Fleet, sides: list[tuple[list[Light], list[str]]]) -> bool:
+def is_partitioned(fleet: MemberFleet, sides: list[tuple[list[MemberProcess], list[str]]]) -> bool:
     """Whether each side holds all of the other dead."""
-    return all(fleet.holds(name, "dead", by) for by, others in sides for name in others)
+    return all(fleet.all_report(name, "dead", by) for by, others in sides for name in others)
 
 
-async def soak(size: int, hours: float, seed: int) -> Figures:
+async def run_soak(size: int, hours: float, seed: int) -> Figures:
     """`hours` member-hours under loss on every path, one member at a time stopped for STOP_S. All live, so
     that every death reported is false."""
     rng = random.Random(seed)
     stops = 0
-    async with Fleet(size, seed) as fleet:
+    async with MemberFleet(size, seed) as fleet:
         stalls = sum(c["stalls"] for c in (await fleet.counters(fleet.running())).values())
-        fleet.relay.set_rule(Rule(drop=LOSS))
+        fleet.relay.set_rule(Rule(drop=LOSS_RATE))
         began_s = time.monotonic()
         until_s = began_s + hours * 3600.0 / size
         while time.monotonic() < until_s:
@@ -114,21 +114,21 @@
             await asyncio.sleep(STOP_S)
             member.signal(signal.SIGCONT)
             stops += 1
-            await asyncio.sleep(rng.uniform(*GAP_S))
+            await asyncio.sleep(rng.uniform(*STOP_GAP_S))
         ran_s = time.monotonic() - began_s
         deaths = sorted(fleet.deaths)
         counters = await fleet.counters(fleet.running())
         sent = sum(fleet.relay.sent_by_member.values())
     return {
-        "member_hours": size * ran_s / 3600.0, "members": size, "loss": LOSS, "stops": stops,
+        "member_hours": size * ran_s / 3600.0, "members": size, "loss": LOSS_RATE, "stops": stops,
         "stop_s": STOP_S,
-        "false_deaths": len(deaths), "deaths_of": len({death.of for death in deaths}),
-        "first_deaths": [f"{d.of} by {d.by} after {d.t - began_s:.1f} s" for d in deaths[:5]],
+        "false_deaths": len(deaths), "deaths_of": len({death.member for death in deaths}),
+        "first_deaths": [f"{d.member} by {d.reporter} after {d.reported_s - began_s:.1f} s" for d in deaths[:5]],
         "suspicions": sum(c["suspicions"] for c in counters.values()),
         "refutations": sum(c["refutations"] for c in counters.values()),
         "datagrams_a_member_s": sent / size / ran_s,
         "cpu_share_a_member": sum(c["cpu_s"] for c in counters.values()) / size / ran_s,
-        "still_running": len(counters), "lab_late_s": fleet.late_s,
+        "still_running": len(counters), "lab_late_s": fleet.max_lag_s,
         "stalls_beside_stops": sum(c["stalls"] for c in counters.values()) - stalls - stops,
     }  # fmt: skip
 
@@ -141,16 +141,18 @@
     if killed:
         for size in sizes:
             figures |= {
-                f"kill_{size}.{name}": value for name, value in (await kills(size, killed, seed)).items()
+                f"kill_{size}.{name}": value
+                for name, value in (await measure_kills(size, killed, seed)).items()
             }
         loads = [figures[f"kill_{size}.datagrams_a_member_s"] for size in sizes]
         figures["load_spread"] = max(loads) / min(loads) - 1.0
     if rounds:
         figures |= {
-            f"heal_{members}.{name}": value for name, value in (await heals(members, rounds, seed)).items()
+            f"heal_{members}.{name}": value
+            for name, value in (await measure_heals(members, rounds, seed)).items()
         }
     if soak_hours:
-        figures["soak"] = await soak(members, soak_hours, seed)
+        figures["soak"] = await run_soak(members, soak_hours, seed)
     return figures
 
 
@@ -162,12 +164,12 @@
     return [int(size) for size in sizes]
 
 
-def count(text: str) -> int:
+def non_negative_int(text: str) -> int:
     """An argument that is a whole number, 0 included."""
-    return 0 if text == "0" else positive(text)
+    return 0 if text == "0" else positive_int(text)
 
 
-def hours(text: str) -> float:
+def parse_hours(text: str) -> float:
     try:
         if 0.0 <= float(text) < math.inf:
             return float(text)
@@ -176,16 +178,20 @@
     raise argparse.ArgumentTypeError(f"{text!r} is no number of hours of at least 0")
 
 
-def register(parts: Parts) -> None:
+def register(parts: Subcommands) -> None:
     """Add `membership` and its arguments to the lab's commands."""
     lab = parts.add_parser("membership", help="kills, load at rest, partitions, a soak under loss and stops")
     lab.add_argument(
         "--sizes", type=size_list, default=[5, 20, 50], help="of fleets that lose members (5,20,50)"
     )
-    lab.add_argument("--kills", type=count, default=20, help="at each size (default 20; 0: none)")
-    lab.add_argument("--members", type=positive, default=20, help="in partitions and the soak (default 20)")
-    lab.add_argument("--rounds", type=count, default=10, help="partitions (default 10; 0: none)")
-    lab.add_argument("--soak-hours", type=hours, default=0.2, help="member-hours (default 0.2; 0: none)")
+    lab.add_argument("--kills", type=non_negative_int, default=20, help="at each size (default 20; 0: none)")
+    lab.add_argument(
+        "--members", type=positive_int, default=20, help="in partitions and the soak (default 20)"
+    )
+    lab.add_argument("--rounds", type=non_negative_int, default=10, help="partitions (default 10; 0: none)")
+    lab.add_argument(
+        "--soak-hours", type=parse_hours, default=0.2, help="member-hours (default 0.2; 0: none)"
+    )
     lab.add_argument("--seed", type=int, default=1)
     lab.add_argument("--json", action="store_true", help="one JSON object instead of a table")
     lab.set_defaults(run=command)
--- a/faultlab/messages.py
+++ b/faultlab/messages.py
@@ -25,12 +25,12 @@
         return int(self.first_line.split(b" ")[1])
 
     @property
-    def closes(self) -> bool:
+    def closes_connection(self) -> bool:
         """Whether the connection ends behind it."""
         return self.headers.get(b"connection") == b"close"
 
 
-def take_message(data: bytes) -> tuple[Message | None, bytes]:
+def parse_message(data: bytes) -> tuple[Message | None, bytes]:
     """The first message of `data` and the bytes behind its body; None and `data` while it is not whole."""
     head, mark, rest = data.partition(END_OF_HEAD)
     if not mark:
--- a/faultlab/ports.py
+++ b/faultlab/ports.py
@@ -18,15 +18,15 @@
 from pathlib import Path
 
 LOOPBACK = "127.0.0.1"
-LOWEST_PORT = 15_000
+MIN_PORT = 15_000
 TRIES_PER_PORT = 200
 LISTEN_STATE = "0A"  # of a socket in /proc/net/tcp
 LOCK_FILE = Path(tempfile.gettempdir()) / f"firledge-ports-{os.getuid()}"
-_given: set[tuple[str, int]] = set()
+_allocated: set[tuple[str, int]] = set()
 _random = random.SystemRandom()  # runs beside each other must not draw alike
 
 
-def _end_of_range() -> int:
+def _ephemeral_start() -> int:
     """The first port that the system lends to outgoing connections (ip(7), `ip_local_port_range`)."""
     return int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
 
@@ -48,7 +48,7 @@
     return os.open(LOCK_FILE, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
 
 
-def _is_ours(port: int) -> bool:
+def _lock_port(port: int) -> bool:
     """Whether this process has the port's lock now; False where another process of a lab has it.
 
     The locks are the process's own and end with it (fcntl(2), record locks).
@@ -65,13 +65,13 @@
 
     Raises OSError where none is found.
     """
-    end = _end_of_range()
+    end = _ephemeral_start()
     for _ in range(TRIES_PER_PORT):
-        port = _random.randrange(LOWEST_PORT, end)
-        if (host, port) not in _given and _is_ours(port) and _is_free(host, port):
-            _given.add((host, port))
+        port = _random.randrange(MIN_PORT, end)
+        if (host, port) not in _allocated and _lock_port(port) and _is_free(host, port):
+            _allocated.add((host, port))
             return port
-    raise OSError(f"no port of {host} from {LOWEST_PORT} to {end} is free")
+    raise OSError(f"no port of {host} from {MIN_PORT} to {end} is free")
 
 
 def free_ports(count: int) -> list[int]:
--- a/faultlab/recovery/damage.py
+++ b/faultlab/recovery/damage.py
@@ -11,13 +11,13 @@
 from pathlib import Path
 
 from cloverkeel.fleet import state
-from faultlab.lab import Gateway, configuration
+from faultlab.gateway_process import GatewayProcess, configuration
 from faultlab.ports import free_port
-from faultlab.recovery.files import Figures, good_file, open_copy, with_wal
+from faultlab.recovery.files import Figures, write_good_file, open_copy, write_file_with_wal
 from faultlab.standins import Host, endpoint
 
 
-def damages(rng: random.Random) -> dict[str, Callable[[Path], None]]:
+def damage_functions(rng: random.Random) -> dict[str, Callable[[Path], None]]:
     """Each damage, done to a directory that holds a good file."""
     path = state.STATE_FILE
 
@@ -75,24 +75,26 @@
     results: dict[str, Counter[str]] = {}
     not_ready = 0
     try:
-        for kind, damage in damages(rng).items():
+        for kind, damage in damage_functions(rng).items():
             results[kind] = Counter()
             for round_ in range(rounds if kind in ("one byte flipped", "WAL torn mid-frame") else 1):
                 directory = folder / f"damage-{len(results)}-{round_}"
-                (with_wal if kind == "WAL torn mid-frame" else lambda d: good_file(d, 3))(directory)
+                (write_file_with_wal if kind == "WAL torn mid-frame" else lambda d: write_good_file(d, 3))(
+                    directory
+                )
                 damage(directory)
-                gateway = Gateway(f"g{len(results)}", folder, configuration(
+                gateway = GatewayProcess(f"g{len(results)}", folder, configuration(
                     "dmg", free_port(), "127.0.0.1:9", [endpoint(h) for h in hosts]), directory)  # fmt: skip
                 ready_s = await gateway.start()
                 not_ready += ready_s == float("inf")
                 await gateway.signal(signal.SIGKILL)
                 verdict = (
-                    "moved aside" if gateway.events("state.corrupt")
-                    else "ran without a store" if gateway.events("state.unusable")
-                    else "restored" if "warm=True" in " ".join(gateway.events("state.opened"))
+                    "moved aside" if gateway.event_lines("state.corrupt")
+                    else "ran without a store" if gateway.event_lines("state.unusable")
+                    else "restored" if "warm=True" in " ".join(gateway.event_lines("state.opened"))
                     else "cold"
                 )  # fmt: skip
-                if len(gateway.events("state.corrupt")) > 1:
+                if len(gateway.event_lines("state.corrupt")) > 1:
                     verdict = "logged twice"
                 results[kind][verdict] += 1
                 if verdict == "restored":
--- a/faultlab/recovery/files.py
+++ b/faultlab/recovery/files.py
@@ -35,28 +35,28 @@
         return "moved aside", -1
     if not found:
         return "cold", -1
-    seq = writer.sequence(found[0])
+    seq = writer.sequence_number(found[0])
     return ("restored" if seq >= 0 else "accepted wrong"), seq
 
 
-def good_file(directory: Path, snapshots: int) -> None:
+def write_good_file(directory: Path, snapshots: int) -> None:
     directory.mkdir()
     fd = state.Store.acquire_lock(str(directory))
     assert fd is not None
     store, _ = state.Store.open(str(directory), fd, state.StoreCounters(), time.time())
     store.prepare()
     for seq in range(snapshots):
-        store.write(writer.synthetic(seq, time.time()))
+        store.write(writer.synthetic_snapshot(seq, time.time()))
     store.close()
 
 
-def with_wal(directory: Path) -> None:
+def write_file_with_wal(directory: Path) -> None:
     """A good file whose newest snapshot is still in the WAL: copied while the writer holds it open."""
     source = directory.with_name(directory.name + "-source")
-    good_file(source, 2)
+    write_good_file(source, 2)
     connection = sqlite3.connect(source / state.STATE_FILE, isolation_level=None)
     connection.execute("PRAGMA wal_autocheckpoint=0")
-    payload = state.encode(writer.synthetic(2, time.time()))
+    payload = state.encode(writer.synthetic_snapshot(2, time.time()))
     connection.execute("INSERT INTO snapshot (taken_unix_s, payload, sha256) VALUES (?, ?, ?)",
                        (time.time(), payload, hashlib.sha256(payload).hexdigest()))  # fmt: skip
     copy_as_after_power_loss(source, directory)
--- a/faultlab/recovery/gateways.py
+++ b/faultlab/recovery/gateways.py
@@ -10,24 +10,24 @@
 from pathlib import Path
 
 from cloverkeel.fleet import state
-from faultlab.lab import Gateway, configuration, snapshot_after, traffic
+from faultlab.gateway_process import GatewayProcess, configuration, wait_snapshot, send_traffic
 from faultlab.ports import free_port
 from faultlab.recovery.files import Figures
 from faultlab.standins import Host, endpoint
 
 
-async def two_on_one(folder: Path) -> Figures:
+async def two_gateways_one_directory(folder: Path) -> Figures:
     """Two gateways named to one directory without an upgrade: the second says so once and runs without it."""
     hosts = [Host("t0")]
     await hosts[0].start()
     directory, listed = folder / "shared", [endpoint(hosts[0])]
     first, second = (
-        Gateway(name, folder, configuration(name, free_port(), "127.0.0.1:9", listed), directory)
+        GatewayProcess(name, folder, configuration(name, free_port(), "127.0.0.1:9", listed), directory)
         for name in ("first", "second")
     )
     ready = [await first.start(), await second.start()]
-    await traffic(second.port, 20, 200.0)
-    await traffic(first.port, 20, 200.0)
+    await send_traffic(second.port, 20, 200.0)
+    await send_traffic(first.port, 20, 200.0)
     for gateway in (first, second):
         await gateway.signal(signal.SIGTERM)
     hosts[0].close()
@@ -35,12 +35,12 @@
         snapshots, findings = state.verify(connection)
     return {
         "two_ready": all(r < float("inf") for r in ready),
-        "two_second_locked_lines": len(second.events("state.locked")),
+        "two_second_locked_lines": len(second.event_lines("state.locked")),
         "two_file_after": "sound" if snapshots and not findings else f"{len(snapshots)} sound, {findings}",
     }
 
 
-async def stopped(folder: Path, rounds: int, seed: int) -> Figures:
+async def stop_while_writing(folder: Path, rounds: int, seed: int) -> Figures:
     """A gateway SIGSTOPped at random moments of its writing, for up to half a second, then SIGCONTed: it goes
     on writing, and the file is sound at each stop (read by another process meanwhile)."""
     rng = random.Random(seed)
@@ -48,9 +48,9 @@
     await host.start()
     directory = folder / "stopped"
     config = configuration("stop", free_port(), "127.0.0.1:9", [endpoint(host)])
-    gateway = Gateway("stop", folder, config | {"state_snapshot_s": 0.01}, directory)
+    gateway = GatewayProcess("stop", folder, config | {"state_snapshot_s": 0.01}, directory)
     await gateway.start()
-    await snapshot_after(directory, 0.0)
+    await wait_snapshot(directory, 0.0)
     sound = 0
     try:
         for _ in range(rounds):
@@ -60,26 +60,26 @@
             await asyncio.sleep(rng.uniform(0.0, 0.5))
             await gateway.signal(signal.SIGCONT)
         resumed = time.time()
-        await snapshot_after(directory, resumed)
+        await wait_snapshot(directory, resumed)
         await gateway.signal(signal.SIGTERM)
     finally:
         host.close()
     process = gateway.process
     assert process is not None
     return {"stops": rounds, "stopped_file_sound": sound, "stopped_exit": process.returncode,
-            "stopped_write_failures": len(gateway.events("state.write_failed"))}  # fmt: skip
+            "stopped_write_failures": len(gateway.event_lines("state.write_failed"))}  # fmt: skip
 
 
-async def unmakeable(folder: Path) -> Figures:
+async def uncreatable_directory(folder: Path) -> Figures:
     """A state directory that cannot be made (a file stands in its path): the gateway serves without a store.
     (Write permissions do not bind a process of root, so a read-only directory is tried as a full disk.)"""
     host = Host("m0")
     await host.start()
     (folder / "a-file").write_bytes(b"")
     config = configuration("mk", free_port(), "127.0.0.1:9", [endpoint(host)])
-    gateway = Gateway("mk", folder, config, folder / "a-file" / "state")
+    gateway = GatewayProcess("mk", folder, config, folder / "a-file" / "state")
     ready_s = await gateway.start()
     await gateway.signal(signal.SIGTERM)
     host.close()
-    lines = len(gateway.events("state.unusable"))
+    lines = len(gateway.event_lines("state.unusable"))
     return {"unmakeable_ready": ready_s < float("inf"), "unmakeable_lines": lines}
--- a/faultlab/recovery/starts.py
+++ b/faultlab/recovery/starts.py
@@ -10,13 +10,13 @@
 from pathlib import Path
 
 from cloverkeel.fleet import state
-from faultlab.lab import Gateway, configuration, traffic
+from faultlab.gateway_process import GatewayProcess, configuration, send_traffic
 from faultlab.ports import free_port
-from faultlab.recovery.files import Figures, good_file
+from faultlab.recovery.files import Figures, write_good_file
 from faultlab.standins import Discovery, Host, endpoint
 
 
-async def warm_and_cold(folder: Path, processes: int, cycles: int) -> Figures:
+async def compare_starts(folder: Path, processes: int, cycles: int) -> Figures:
     """Gateways that learned a failing and a slow host, SIGKILLed and started again: with their state (warm),
     with a new state directory (cold), and with none (no store). Requests failed in the first 5 s under
     steady traffic, by start."""
@@ -31,17 +31,17 @@
     async def one(number: int) -> None:
         name = f"wc{number}"
         config = configuration(name, free_port(), discovery.address, discovery.endpoints)
-        gateway = Gateway(name, folder, config | {"state_snapshot_s": 0.5}, None)
+        gateway = GatewayProcess(name, folder, config | {"state_snapshot_s": 0.5}, None)
         for cycle in range(cycles):
             gateway.state_dir = folder / f"{name}-state"
             await gateway.start()
-            await traffic(gateway.port, int(rate_per_s * 3), rate_per_s)  # learns: 3 s
+            await send_traffic(gateway.port, int(rate_per_s * 3), rate_per_s)  # learns: 3 s
             for start in ("warm", "cold", "none"):
                 await gateway.signal(signal.SIGKILL)
                 cold = folder / f"{name}-cold-{cycle}"
                 gateway.state_dir = {"warm": gateway.state_dir, "cold": cold}.get(start)
                 await gateway.start()
-                tally = await traffic(gateway.port, int(rate_per_s * window_s), rate_per_s)
+                tally = await send_traffic(gateway.port, int(rate_per_s * window_s), rate_per_s)
                 failed[start].append(tally.failed)
             await gateway.signal(signal.SIGKILL)
 
@@ -69,10 +69,10 @@
             for start in ready:
                 directory = {"none": None, "cold": folder / f"cost-{round_}", "warm": folder / "cost"}[start]
                 config = configuration("cost", free_port(), "127.0.0.1:9", [endpoint(host)])
-                gateway = Gateway("cost", folder, config | {"state_snapshot_s": 0.05}, directory)
+                gateway = GatewayProcess("cost", folder, config | {"state_snapshot_s": 0.05}, directory)
                 ready[start].append(await gateway.start())
                 if start == "warm" and round_ == 0:  # a first snapshot for the next rounds to start from
-                    await traffic(gateway.port, 10, 100.0)
+                    await send_traffic(gateway.port, 10, 100.0)
                 await gateway.signal(signal.SIGKILL)
     finally:
         host.close()
@@ -83,7 +83,7 @@
 def check_costs(folder: Path, rounds: int) -> Figures:
     """Milliseconds that `quick_check` and `integrity_check` take on a file of two snapshots (median)."""
     directory = folder / "checks"
-    good_file(directory, 2)
+    write_good_file(directory, 2)
     costs: dict[str, float] = {}
     with sqlite3.connect(directory / state.STATE_FILE) as connection:
         for pragma in ("quick_check", "integrity_check"):
--- a/faultlab/recovery/writer.py
+++ b/faultlab/recovery/writer.py
@@ -18,10 +18,10 @@
 
 from cloverkeel.fleet import state
 
-SERVERS = 60  # enough that one snapshot spans pages of its own
+SERVER_COUNT = 60  # enough that one snapshot spans pages of its own
 
 
-def synthetic(seq: int, taken_unix_s: float) -> state.Snapshot:
+def synthetic_snapshot(seq: int, taken_unix_s: float) -> state.Snapshot:
     servers = tuple(
         LearnedServer(
             number, seq, 1.0 / (1 + (seq + number) % 9), 0.5,
@@ -29,15 +29,15 @@
                            "open" if number % 5 == 0 else "closed", 1000 * number, 1_000_000),
             ((0, 0.5, LearnedBreaker((True,), "closed", 0, 1_000_000)),),
         )
-        for number in range(SERVERS)
+        for number in range(SERVER_COUNT)
     )  # fmt: skip
     return state.Snapshot(taken_unix_s, LearnedState(servers, (float(seq) + 1.0,), (float(seq) + 1.0,)), {})
 
 
-def sequence(snapshot: state.Snapshot) -> int:
+def sequence_number(snapshot: state.Snapshot) -> int:
     """The number a snapshot was made from; -1 where it is not one that `synthetic` made."""
     seq = int(snapshot.learned.smoothed_us[0]) - 1 if snapshot.learned.smoothed_us else -1
-    return seq if snapshot == synthetic(seq, snapshot.taken_unix_s) else -1
+    return seq if snapshot == synthetic_snapshot(seq, snapshot.taken_unix_s) else -1
 
 
 def main(directory: str, count: int) -> int:
@@ -47,14 +47,14 @@
         return 1
     store, found = state.Store.open(directory, fd, state.StoreCounters(), time.time())
     store.prepare()
-    first = sequence(found[0]) if found else -1
+    first = sequence_number(found[0]) if found else -1
     if found and first < 0:
         print("found wrong", flush=True)
         return 1
     print(f"found {first}", flush=True)
     for seq in range(first + 1, first + 1 + count):
         try:
-            store.write(synthetic(seq, time.time()))
+            store.write(synthetic_snapshot(seq, time.time()))
         except (OSError, sqlite3.Error) as error:
             print(f"failed {error}", flush=True)
             continue
--- a/faultlab/recovery/writers.py
+++ b/faultlab/recovery/writers.py
@@ -13,8 +13,8 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from faultlab.lab import ROOT
-from faultlab.recovery.files import Figures, copy_as_after_power_loss, good_file, open_copy
+from faultlab.gateway_process import ROOT
+from faultlab.recovery.files import Figures, copy_as_after_power_loss, write_good_file, open_copy
 
 
 async def spawn_writer(directory: Path, count: int, fsize: int | None = None) -> asyncio.subprocess.Process:
@@ -29,7 +29,7 @@
     )  # fmt: skip
 
 
-async def lines_until(process: asyncio.subprocess.Process, done: Callable[[str], bool]) -> list[str]:
+async def read_lines_until(process: asyncio.subprocess.Process, done: Callable[[str], bool]) -> list[str]:
     """Lines of a writer until `done` says so or it ends; bounded by 10 s."""
     assert process.stdout is not None
     seen: list[str] = []
@@ -41,7 +41,7 @@
     return seen
 
 
-async def kills(folder: Path, rounds: int, processes: int, seed: int) -> Figures:
+async def kill_writers(folder: Path, rounds: int, processes: int, seed: int) -> Figures:
     """Writers SIGKILLed at random moments; each next writer's start says what it found. Every fourth round
     also copies the files mid-write, as a power loss would leave them, and opens the copy."""
     rng = random.Random(seed)
@@ -56,7 +56,7 @@
         last = -1
         for round_ in range(share + 1):
             process = await spawn_writer(directory, 10_000)
-            first = await lines_until(process, lambda line: line.startswith(("found", "locked")))
+            first = await read_lines_until(process, lambda line: line.startswith(("found", "locked")))
             found = int(first[-1].split()[1]) if first and first[-1].startswith("found ") else None
             if round_ > 0:  # the last reported commit, or the one whose report the kill cut off
                 if found == last or found == last + 1:
@@ -94,10 +94,10 @@
     """A writer whose files may not grow past a limit (RLIMIT_FSIZE: EFBIG, as a full disk): it goes on, and
     the file stays sound with what was committed."""
     directory = folder / "full"
-    good_file(directory, 1)
+    write_good_file(directory, 1)
     size = sum(p.stat().st_size for p in directory.iterdir())
     process = await spawn_writer(directory, 40, fsize=size + 4096)
-    seen = await lines_until(process, lambda line: False)
+    seen = await read_lines_until(process, lambda line: False)
     await process.wait()
     committed = [int(line.split()[1]) for line in seen if line.startswith("committed")]
     verdict, seq = open_copy(directory)
--- a/faultlab/rollout/command.py
+++ b/faultlab/rollout/command.py
@@ -15,7 +15,7 @@
 from pathlib import Path
 from typing import Any
 
-from faultlab.report import Parts, positive, report
+from faultlab.report import Subcommands, positive_int, report
 from faultlab.rollout.fleet import CONDUCTOR_TTL_S, RolloutFleet
 
 STEPS = [5, 25, 50, 100]
@@ -23,13 +23,13 @@
 SETTLE_S = 1.0  # after a step, before what reaches the hosts is counted for it
 
 
-def register(parts: Parts) -> None:
+def register(parts: Subcommands) -> None:
     """Add `rollout` and its arguments to the lab's commands."""
     lab = parts.add_parser("rollout", help="new sets of hosts, good and bad, by stages at real gateways")
-    lab.add_argument("--gateways", type=positive, default=3)
-    lab.add_argument("--rate", type=positive, default=100, help="requests a second at each gateway")
+    lab.add_argument("--gateways", type=positive_int, default=3)
+    lab.add_argument("--rate", type=positive_int, default=100, help="requests a second at each gateway")
     lab.add_argument("--bake-s", type=float, default=8.0)
-    lab.add_argument("--rounds", type=positive, default=3, help="bad sets of each kind")
+    lab.add_argument("--rounds", type=positive_int, default=3, help="bad sets of each kind")
     lab.add_argument("--json", action="store_true", help="one JSON object instead of a table")
     lab.set_defaults(run=command)
 
--- a/faultlab/rollout/fleet.py
+++ b/faultlab/rollout/fleet.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from faultlab.gateways import Gateways
-from faultlab.lab import Tally, ask, transfer
+from faultlab.gateway_fleet import GatewayFleet
+from faultlab.gateway_process import Tally, send_request, transfer_request
 from faultlab.ports import free_port
 from faultlab.standins import Host, endpoint
 
@@ -46,7 +46,7 @@
         return await self.reader.readexactly(size)
 
 
-class RolloutFleet(Gateways):
+class RolloutFleet(GatewayFleet):
     """`async with Rolling(3, folder) as fleet`: `fleet.new` are the hosts of the new set."""
 
     def __init__(self, count: int, folder: Path) -> None:
@@ -58,22 +58,22 @@
         self.sender_tasks: list[asyncio.Task[None]] = []
         self.request_tasks: set[asyncio.Task[None]] = set()
 
-    async def listed(self) -> list[dict[str, Any]]:
+    async def start_hosts(self) -> list[dict[str, Any]]:
         for host in (*self.old_hosts, *self.new_hosts):
             await host.start()
         old = [endpoint(host) | {"group": int(OLD_GROUP)} for host in self.old_hosts]
         return old + [endpoint(host) | {"group": int(NEW_GROUP)} for host in self.new_hosts]
 
-    def configured(self, config: dict[str, Any]) -> dict[str, Any]:
+    def extend_config(self, config: dict[str, Any]) -> dict[str, Any]:
         duty = {"name": "rollout-conductor", "ttl_s": CONDUCTOR_TTL_S}
         duties = {"backend": "quorum", "voters": self.voters, "named": [duty]}
         return config | {"rollout": {"size": len(self.names)}, "duties": duties}
 
     async def status(self, name: str) -> dict[str, Any]:
-        status, body = await self.call(name, "/api/rollout")
+        status, body = await self.call_operator(name, "/api/rollout")
         return json.loads(body) if status == 200 else {}
 
-    def ready(self, status: dict[str, Any]) -> object:
+    def is_ready(self, status: dict[str, Any]) -> object:
         return bool(status)
 
     async def close(self) -> None:
@@ -101,7 +101,7 @@
                 {"name": name, "hosts": {"groups": [NEW_GROUP]}, "rules": rules} | spec
             ).encode()
         target = f"/api/rollout/order?verb={verb}&name={name}"
-        status, answer = await self.call(at or self.names[0], target, body)
+        status, answer = await self.call_operator(at or self.names[0], target, body)
         if status not in (200, 202):
             raise RuntimeError(f"{status}: {answer!r}")
         return str(json.loads(answer)["outcome"])
@@ -131,7 +131,7 @@
             await asyncio.sleep(max(0.0, due_s - time.monotonic()))
 
     async def _send_request(self, port: int) -> None:
-        status = await ask(port, transfer())
+        status = await send_request(port, transfer_request())
         self.tally.statuses[status] = self.tally.statuses.get(status, 0) + 1
 
     async def stop_traffic(self) -> Tally:
--- a/faultlab/routes/command.py
+++ b/faultlab/routes/command.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from faultlab.report import Parts, positive, report
+from faultlab.report import Subcommands, positive_int, report
 from faultlab.routes import baseline, costs, faults, latency, simulated, propagation
 from faultlab.routes.fleet import RoutesFleet
 
@@ -22,18 +22,18 @@
 SIMULATED_MEMBERS = 500
 
 
-def register(parts: Parts) -> None:
+def register(parts: Subcommands) -> None:
     """Add `routes` and its arguments to the lab's commands."""
     lab = parts.add_parser("routes", help="what teams edit at many gateways, merged: figures, faults, costs")
-    lab.add_argument("--gateways", type=positive, default=30, help="of the larger fleet (default 30)")
-    lab.add_argument("--teams", type=positive, default=10)
-    lab.add_argument("--rounds", type=positive, default=20, help="edits, and a fraction of it of heals")
-    lab.add_argument("--faults", type=positive, default=1_000, help="injected into the fleet of faults")
-    lab.add_argument("--histories", type=positive, default=200, help="that the faults are dealt out to")
-    lab.add_argument("--fault-gateways", type=positive, default=5)
-    lab.add_argument("--routes", type=positive, default=10_000)
+    lab.add_argument("--gateways", type=positive_int, default=30, help="of the larger fleet (default 30)")
+    lab.add_argument("--teams", type=positive_int, default=10)
+    lab.add_argument("--rounds", type=positive_int, default=20, help="edits, and a fraction of it of heals")
+    lab.add_argument("--faults", type=positive_int, default=1_000, help="injected into the fleet of faults")
+    lab.add_argument("--histories", type=positive_int, default=200, help="that the faults are dealt out to")
+    lab.add_argument("--fault-gateways", type=positive_int, default=5)
+    lab.add_argument("--routes", type=positive_int, default=10_000)
     lab.add_argument(
-        "--simulated", type=positive, default=SIMULATED_MEMBERS, help="members of the simulated fleet"
+        "--simulated", type=positive_int, default=SIMULATED_MEMBERS, help="members of the simulated fleet"
     )
     lab.add_argument("--seed", type=int, default=1)
     lab.add_argument("--part", choices=PARTS, action="append", help="this part (or these) alone")
--- a/faultlab/routes/fleet.py
+++ b/faultlab/routes/fleet.py
@@ -20,7 +20,7 @@
 from cloverkeel.fleet.routes.changes import DELETED, KIND, Change, decode, encode, key_of
 from cloverkeel.fleet.routes.files import unpack_base
 
-from faultlab.gateways import POLL_S, Gateways
+from faultlab.gateway_fleet import POLL_S, GatewayFleet
 from faultlab.routes.random_edits import as_toml
 
 Routes = dict[str, dict[str, Any]]
@@ -28,14 +28,14 @@
 POST_ATTEMPTS, RETRY_DELAY_S = 5, 0.3  # of a call that the gateway could not keep
 
 
-class RoutesFleet(Gateways):
+class RoutesFleet(GatewayFleet):
     """`async with Routed(10, folder) as fleet`: gateways with routes on, that all hold one first edit."""
 
     def __init__(self, count: int, folder: Path, offsets_s: Mapping[str, float] | None = None) -> None:
         super().__init__(count, folder)
         self.clock_offsets_s = offsets_s or {}  # by gateway: how far its wall clock is ahead
 
-    def configured(self, config: dict[str, Any]) -> dict[str, Any]:
+    def extend_config(self, config: dict[str, Any]) -> dict[str, Any]:
         return config | {"routes": {"size": len(self.names), "room": {"m": 1000}}}
 
     def environment(self, name: str) -> dict[str, str]:
@@ -49,13 +49,13 @@
         await super().__aenter__()
         try:
             await self.apply("m0", "lab", {"first": {"path": "/lab"}}, wait="all")
-            await self.all(lambda status: status["count"] == 1, FIRST_EDIT_TIMEOUT_S)
+            await self.wait_all(lambda status: status["count"] == 1, FIRST_EDIT_TIMEOUT_S)
         except BaseException:
             await self.close()
             raise
         return self
 
-    def ready(self, status: dict[str, Any]) -> object:
+    def is_ready(self, status: dict[str, Any]) -> object:
         return status["hash"]
 
     async def status(self, name: str) -> dict[str, Any]:
@@ -68,13 +68,13 @@
         return found | {"routes": {each["name"]: each for each in found.get("routes", ())}}
 
     async def _get(self, name: str, form: str) -> dict[str, Any]:
-        status, body = await self.call(name, f"/api/routes?form={form}")
+        status, body = await self.call_operator(name, f"/api/routes?form={form}")
         found: dict[str, Any] = json.loads(body) if status == 200 else {}
         return found
 
     async def export(self, name: str, team: str) -> tuple[str, Routes]:
         """A team's file as `routes show --toml` gives it: its base and its routes."""
-        status, body = await self.call(name, f"/api/routes?form=toml&team={team}")
+        status, body = await self.call_operator(name, f"/api/routes?form=toml&team={team}")
         if status != 200:
             raise RuntimeError(f"{name} answered {status}: {body!r}")
         file = tomllib.loads(body.decode())
@@ -95,7 +95,7 @@
 
     async def _post(self, name: str, what: str, body: bytes) -> dict[str, Any]:
         for _ in range(POST_ATTEMPTS):
-            status, answer = await self.call(name, f"/api/routes/{what}", body)
+            status, answer = await self.call_operator(name, f"/api/routes/{what}", body)
             if status != 503:  # nothing was kept: a disk that was busy for too long
                 break
             await asyncio.sleep(RETRY_DELAY_S)
--- a/faultlab/routes/latency.py
+++ b/faultlab/routes/latency.py
@@ -56,7 +56,7 @@
                     for n in range(first, min(routes, first + ROUTES_PER_CHANGE))}  # fmt: skip
             said = await fleet.apply("m0", f"team-{number}", file, wait="local")
             bases.append(said["base"])
-        await fleet.all(lambda status: status["count"] == routes + 1)
+        await fleet.wait_all(lambda status: status["count"] == routes + 1)
         loop = asyncio.get_running_loop()
         _, steady = await loop.create_connection(SteadyClient, "127.0.0.1", fleet.gateways["m0"].port)
         await steady.run_interval(INTERVAL_S)
--- a/faultlab/routes/propagation.py
+++ b/faultlab/routes/propagation.py
@@ -7,7 +7,7 @@
 from functools import partial
 from typing import Any
 
-from faultlab.gateways import POLL_S
+from faultlab.gateway_fleet import POLL_S
 from faultlab.routes.costs import summary
 from faultlab.routes.fleet import RoutesFleet, wait_agreement
 
@@ -20,7 +20,7 @@
     """The moment at which the last gateway wrote that this plan is in service."""
     async with asyncio.timeout(AGREEMENT_TIMEOUT_S):
         while True:
-            times = [g.said_s("event=routes.plan", f"hash={hash}") for g in fleet.gateways.values()]
+            times = [g.last_line_s("event=routes.plan", f"hash={hash}") for g in fleet.gateways.values()]
             if all(times):
                 return max(at_s for at_s in times if at_s is not None)
             await asyncio.sleep(POLL_S / 4)
@@ -95,7 +95,7 @@
         await asyncio.sleep(CUT_DURATIONS_S[number % len(CUT_DURATIONS_S)])
         began = time.monotonic()
         fleet.relay.heal()
-        await fleet.all(partial(all_in_conflict, names), AGREEMENT_TIMEOUT_S)
+        await fleet.wait_all(partial(all_in_conflict, names), AGREEMENT_TIMEOUT_S)
         status = await wait_agreement(fleet, AGREEMENT_TIMEOUT_S)
         took.append(time.monotonic() - began)
         found = conflicts_of(status, names)
--- a/faultlab/soak/gateways.py
+++ b/faultlab/soak/gateways.py
@@ -11,44 +11,44 @@
 from pathlib import Path
 from typing import Any
 
-from faultlab.lab import Gateway
+from faultlab.gateway_process import GatewayProcess
 from faultlab.ports import free_port
-from faultlab.soak.records import Broken, Life, Records
-from faultlab.soak.settings import SOCKETS, Settings
+from faultlab.soak.records import Violation, ProcessRun, Records
+from faultlab.soak.settings import DESCRIPTOR_LIMIT, Settings
 
-FIRST_SECOND_S = 1.0  # no SIGHUP before it is over (TERMS)
-INVARIANT = "invariant"
+SIGHUP_DELAY_S = 1.0  # no SIGHUP before it is over (TERMS)
+INVARIANT_TEXT = "invariant"
 
 
-class Process:
+class ManagedGateway:
     """One gateway through all its lives, at one address."""
 
     def __init__(self, number: int, settings: Settings, records: Records, folder: Path) -> None:
         self.number, self.settings, self.records, self.folder = number, settings, records, folder
         self.port = free_port()
-        self.lives = 0
-        self.gateway: Gateway | None = None
-        self.life = Life(number, 0, time.monotonic())
-        self.asked_to_end = False
+        self.run_count = 0
+        self.gateway: GatewayProcess | None = None
+        self.current_run = ProcessRun(number, 0, time.monotonic())
+        self.stop_requested = False
         self.longest_stop_s = 0.0
         self.lock = asyncio.Lock()  # one series of signals at a time
 
     async def start(self, discovery: str, known: list[dict[str, Any]]) -> None:
         """Begin a new life and wait until it is ready."""
-        self.lives += 1
-        self.asked_to_end = False
-        self.life = Life(self.number, self.lives, time.monotonic())
-        self.records.lives[self.number, self.lives] = self.life
+        self.run_count += 1
+        self.stop_requested = False
+        self.current_run = ProcessRun(self.number, self.run_count, time.monotonic())
+        self.records.runs[self.number, self.run_count] = self.current_run
         config = self.settings.configuration(self.number, self.port, discovery, known)
-        made = Gateway(f"g{self.number}", self.folder, config, None, environment={"LB_CHECK": "1"})
+        made = GatewayProcess(f"g{self.number}", self.folder, config, None, environment={"LB_CHECK": "1"})
         self.gateway = made
         if await made.start() < float("inf"):
-            self.life.ready_s = time.monotonic()
+            self.current_run.ready_s = time.monotonic()
         else:
-            self.broken("ready", f"g{self.number} did not start: {made.log[-3:]}")
+            self.add_violation("ready", f"g{self.number} did not start: {made.log[-3:]}")
 
-    def broken(self, rule: str, what: str) -> None:
-        self.records.broken.append(Broken(time.monotonic(), rule, what))
+    def add_violation(self, rule: str, what: str) -> None:
+        self.records.violations.append(Violation(time.monotonic(), rule, what))
 
     @property
     def process(self) -> asyncio.subprocess.Process:
@@ -71,56 +71,58 @@
         config = self.settings.configuration(self.number, self.port, discovery, known)
         file.write_text(json.dumps(config))
 
-    async def may_be_told(self) -> None:
+    async def wait_sighup_allowed(self) -> None:
         """Returns once a SIGHUP may come."""
-        await asyncio.sleep(max(0.0, self.life.began_s + FIRST_SECOND_S - time.monotonic()))
+        await asyncio.sleep(max(0.0, self.current_run.started_s + SIGHUP_DELAY_S - time.monotonic()))
 
-    def hang_up(self) -> None:
+    def send_sighup(self) -> None:
         self.process.send_signal(signal.SIGHUP)
 
-    def terminate(self) -> None:
-        self.asked_to_end = True
-        self.life.term_s = time.monotonic()
+    def send_sigterm(self) -> None:
+        self.stop_requested = True
+        self.current_run.sigterm_s = time.monotonic()
         self.process.send_signal(signal.SIGTERM)
 
-    async def end_by_kill(self) -> None:
+    async def wait_or_kill(self) -> None:
         """SIGKILL at the earliest moment, if it has not ended by then."""
-        left_s = self.life.term_s + self.settings.kill_after_s - time.monotonic()
+        left_s = self.current_run.sigterm_s + self.settings.kill_after_s - time.monotonic()
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.process.wait(), max(0.0, left_s))
-        self.longest_stop_s = max(self.longest_stop_s, time.monotonic() - self.life.term_s)
+        self.longest_stop_s = max(self.longest_stop_s, time.monotonic() - self.current_run.sigterm_s)
         if self.process.returncode is None:
             await self.kill()
         else:
-            self.life.ended_s = time.monotonic()
+            self.current_run.ended_s = time.monotonic()
             if self.process.returncode != 0:
-                self.broken("crash", f"g{self.number} ended with {self.process.returncode} after SIGTERM")
-        self.see_log()
+                self.add_violation(
+                    "crash", f"g{self.number} ended with {self.process.returncode} after SIGTERM"
+                )
+        self.check_log()
 
     async def kill(self) -> None:
-        self.asked_to_end = True
-        self.life.killed_s = time.monotonic()
+        self.stop_requested = True
+        self.current_run.sigkill_s = time.monotonic()
         self.process.kill()
         await self.process.wait()
 
-    def look(self) -> None:
+    def check_process(self) -> None:
         """Whether it runs when it should, and within its descriptors."""
         if self.gateway is None or self.gateway.process is None:
             return
         code = self.process.returncode
-        if code is not None and not self.asked_to_end:
-            self.asked_to_end = True
-            self.broken("crash", f"g{self.number} ended with {code}: {self.gateway.log[-3:]}")
+        if code is not None and not self.stop_requested:
+            self.stop_requested = True
+            self.add_violation("crash", f"g{self.number} ended with {code}: {self.gateway.log[-3:]}")
         count = self.descriptors()
-        if count > SOCKETS:
-            self.broken("descriptors", f"g{self.number} has {count} of {SOCKETS}")
+        if count > DESCRIPTOR_LIMIT:
+            self.add_violation("descriptors", f"g{self.number} has {count} of {DESCRIPTOR_LIMIT}")
 
-    def see_log(self) -> None:
+    def check_log(self) -> None:
         """Broken invariants that the process told of, and faults in its own code."""
         assert self.gateway is not None
         for line in self.gateway.log:
-            if INVARIANT in line or line.startswith("Traceback"):
-                self.broken("invariant", f"g{self.number}: {line}")
+            if INVARIANT_TEXT in line or line.startswith("Traceback"):
+                self.add_violation("invariant", f"g{self.number}: {line}")
         self.gateway.log.clear()
 
     def memory_kb(self) -> int:
--- a/faultlab/soak/hosts.py
+++ b/faultlab/soak/hosts.py
@@ -8,31 +8,31 @@
 from dataclasses import dataclass, field
 from typing import Any, cast
 
-from faultlab.coldstart.fall import HostAccount
-from faultlab.messages import Message, take_message
-from faultlab.soak.records import Arrival, Change, Fall, Records
+from faultlab.coldstart.host_capacity import HostCapacity
+from faultlab.messages import Message, parse_message
+from faultlab.soak.records import Arrival, HostChange, Fall, Records
 from faultlab.soak.settings import Settings
-from faultlab.standins import reply
+from faultlab.standins import make_response
 
-SERVED, FAILED = reply(200, b"ok", "OK"), reply(500, b"failed")
-REJECTED = b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-QUEUE_S = 0.5  # work that waits longer is turned away
+OK_RESPONSE, ERROR_RESPONSE = make_response(200, b"ok", "OK"), make_response(500, b"failed")
+REJECTED_RESPONSE = b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
+MAX_QUEUE_S = 0.5  # work that waits longer is turned away
 
 
 @dataclass(eq=False)
-class Host:
+class SoakHost:
     """One host and how it stands."""
 
     number: int
-    account: HostAccount
+    capacity: HostCapacity
     settings: Settings
     records: Records
     since_ms: int = 0
     status: str = "SERVING"
     hangs_until_s: float = 0.0
     errors_until_s: float = 0.0
-    started: Change | None = None  # since it came back cold
-    requests: deque[tuple[float, str]] = field(default_factory=deque)  # of the last window
+    cold_start: HostChange | None = None  # since it came back cold
+    recent_requests: deque[tuple[float, str]] = field(default_factory=deque)  # of the last window
     connections: set[HostConnection] = field(default_factory=set)
     server: asyncio.Server | None = None
 
@@ -51,40 +51,40 @@
 
     def restart(self) -> None:
         """It comes back cold; what it had is gone."""
-        self.started = Change(self.number, time.monotonic())
+        self.cold_start = HostChange(self.number, time.monotonic())
         self.since_ms = int(time.time() * 1000)
         self.status = "SERVING"
-        self.account.restart(self.started.since_s)
-        self.requests.clear()
-        self.reset()
+        self.capacity.restart(self.cold_start.since_s)
+        self.recent_requests.clear()
+        self.reset_connections()
 
-    def reset(self) -> None:
+    def reset_connections(self) -> None:
         for connection in tuple(self.connections):
             connection.transport.abort()
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         for connection in tuple(self.connections):
             if not connection.busy and not connection.data:
                 connection.transport.close()
 
-    def take(self, now_s: float, work: float, id_: str) -> None:
+    def add_request(self, now_s: float, work: float, id_: str) -> None:
         """Count what came; write a fall down with its window."""
-        self.requests.append((now_s, id_))
-        while self.requests[0][0] <= now_s - self.settings.fall_s:
-            self.requests.popleft()
-        if self.account.take(now_s, work):
-            if self.started is not None:
-                self.records.falls.append(Fall(now_s, self.started, list(self.requests)))
-            self.requests.clear()
+        self.recent_requests.append((now_s, id_))
+        while self.recent_requests[0][0] <= now_s - self.settings.fall_s:
+            self.recent_requests.popleft()
+        if self.capacity.add_work(now_s, work):
+            if self.cold_start is not None:
+                self.records.falls.append(Fall(now_s, self.cold_start, list(self.recent_requests)))
+            self.recent_requests.clear()
 
 
 class HostConnection(asyncio.Protocol):
     """One connection to a host: one request at a time."""
 
-    def __init__(self, host: Host) -> None:
+    def __init__(self, host: SoakHost) -> None:
         self.host = host
         self.data = b""
-        self.first_s = 0.0
+        self.first_byte_s = 0.0
         self.busy = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -96,8 +96,8 @@
 
     def data_received(self, data: bytes) -> None:
         if not self.data:
-            self.first_s = time.monotonic()
-        message, self.data = take_message(self.data + data)
+            self.first_byte_s = time.monotonic()
+        message, self.data = parse_message(self.data + data)
         if message is not None:
             self.on_request(message)
 
@@ -105,22 +105,22 @@
         now_s, host = time.monotonic(), self.host
         id_ = request.headers.get(b"x-call-id", b"").decode("latin-1")
         budget_s = int(request.headers.get(b"x-budget-ms", b"0")) / 1000
-        arrival = Arrival(id_, host.number, self.first_s, now_s, budget_s)
+        arrival = Arrival(id_, host.number, self.first_byte_s, now_s, budget_s)
         host.records.arrivals.setdefault(id_, []).append(arrival)
-        host.take(now_s, 1.0, id_)
+        host.add_request(now_s, 1.0, id_)
         if now_s < host.hangs_until_s:
             self.busy = True
         elif now_s < host.errors_until_s:
-            self.answer(FAILED)
-        elif host.account.free_s - now_s > QUEUE_S:
-            arrival.ran = False
-            self.answer(REJECTED)
+            self.respond(ERROR_RESPONSE)
+        elif host.capacity.busy_until_s - now_s > MAX_QUEUE_S:
+            arrival.may_have_run = False
+            self.respond(REJECTED_RESPONSE)
         else:
             self.busy = True
-            done_s = host.account.finish(now_s, 1.0)
-            asyncio.get_running_loop().call_later(done_s - now_s, self.answer, SERVED)
+            done_s = host.capacity.completion_s(now_s, 1.0)
+            asyncio.get_running_loop().call_later(done_s - now_s, self.respond, OK_RESPONSE)
 
-    def answer(self, data: bytes) -> None:
+    def respond(self, data: bytes) -> None:
         self.busy = False
         if not self.transport.is_closing():
             self.transport.write(data)
--- a/faultlab/soak/notification.py
+++ b/faultlab/soak/notification.py
@@ -12,7 +12,7 @@
 
 from __future__ import annotations
 
-from faultlab.soak.records import Change, DiscoveryAddress, Records
+from faultlab.soak.records import HostChange, DiscoveryAddress, Records
 
 KNOWN_WITHIN_S = 6.0
 KNOWN_AFTER_WAIT_S = 2.0
@@ -26,9 +26,9 @@
     def __init__(self, records: Records, pushed: bool) -> None:
         self.records, self.pushed = records, pushed
 
-    def known_s(self, change: Change, gateway: int, life: int) -> float:
+    def known_s(self, change: HostChange, gateway: int, life: int) -> float:
         """The moment for one process of a gateway; infinite where none has come."""
-        began_s = self.records.lives[gateway, life].began_s
+        began_s = self.records.runs[gateway, life].started_s
         since_s = max(change.since_s, began_s)
         found = [change.written_s.get((gateway, life), NEVER_S)]
         addresses = self.records.addresses.get(gateway, [])
@@ -37,10 +37,12 @@
             until_s = NEVER_S if is_last else addresses[index + 1].since_s
             reachable_s = address.reachable_s(max(since_s, address.since_s))
             if reachable_s < until_s:
-                found.append(self._known_there_s(address, since_s, began_s, life))
+                found.append(self._known_by_address_s(address, since_s, began_s, life))
         return min(found)
 
-    def _known_there_s(self, address: DiscoveryAddress, since_s: float, began_s: float, life: int) -> float:
+    def _known_by_address_s(
+        self, address: DiscoveryAddress, since_s: float, began_s: float, life: int
+    ) -> float:
         """The same by what one address has and the gateway that asks it."""
         from_s = max(since_s, address.since_s)
         reachable_s = address.reachable_s(from_s)
@@ -48,19 +50,19 @@
         has_moved = address.since_s > began_s and from_s < moved_s
         if self.pushed:
             return max(reachable_s, moved_s) if has_moved else reachable_s
-        found = [reachable_s + KNOWN_WITHIN_S, self._by_silent_watch_s(address, from_s, life)]
+        found = [reachable_s + KNOWN_WITHIN_S, self._known_by_silent_watch_s(address, from_s, life)]
         if has_moved:
             found.append(moved_s if reachable_s == from_s else reachable_s + KNOWN_AFTER_SIGHUP_S)
         return min(found)
 
-    def _by_silent_watch_s(self, address: DiscoveryAddress, from_s: float, life: int) -> float:
+    def _known_by_silent_watch_s(self, address: DiscoveryAddress, from_s: float, life: int) -> float:
         """The same by a watch that was open when the address fell silent."""
         found = [NEVER_S]
         for outage in address.outages:
             if not (outage.is_silent and outage.since_s <= from_s < outage.until_s):
                 continue
             for watch in address.watches:
-                if watch.life == life and watch.since_s <= outage.since_s < watch.until_s:
+                if watch.run_number == life and watch.since_s <= outage.since_s < watch.until_s:
                     after_wait_s = watch.since_s + watch.hold_s + KNOWN_AFTER_WAIT_S
                     found.append(max(from_s, outage.since_s + KNOWN_WITHIN_S, after_wait_s))
         return min(found)
--- a/faultlab/soak/records.py
+++ b/faultlab/soak/records.py
@@ -7,13 +7,13 @@
 from enum import Enum
 
 
-class End(Enum):
+class ExchangeEnd(Enum):
     """How a client's request ended."""
 
     ANSWERED = "answered"
     CLOSED = "the connection ended with no whole answer"
-    GONE = "the client left"
-    SILENT = "nothing came"
+    CLIENT_LEFT = "the client left"
+    NO_RESPONSE = "nothing came"
 
 
 @dataclass(slots=True)
@@ -23,11 +23,11 @@
     id: str
     klass: str
     gateway: int
-    life: int  # of that gateway's processes
+    run_number: int  # of that gateway's processes
     sent_s: float
     deadline_s: float
-    is_repeat: bool = False  # sent once more, as its connection closed under it
-    end: End = End.SILENT
+    is_client_retry: bool = False  # sent once more, as its connection closed under it
+    end: ExchangeEnd = ExchangeEnd.NO_RESPONSE
     ended_s: float = 0.0
     status: int = 0
 
@@ -38,14 +38,14 @@
 
     id: str
     host: int
-    first_s: float  # its first byte
-    last_s: float
+    first_byte_s: float  # its first byte
+    last_byte_s: float
     budget_s: float
-    ran: bool = True  # False: turned away, which never ran
+    may_have_run: bool = True  # False: turned away, which never ran
 
 
 @dataclass(slots=True)
-class Change:
+class HostChange:
     """A host that drains or has started, since discovery has it; `written_s` by (gateway, life)."""
 
     host: int
@@ -59,7 +59,7 @@
     """A cold host that got more than it bears, and the requests of that window: when each came, its id."""
 
     at_s: float
-    start: Change
+    start: HostChange
     requests: list[tuple[float, str]]
 
 
@@ -76,7 +76,7 @@
 class Watch:
     """A call for a newer list from one process of the gateway, until it is answered or broken."""
 
-    life: int
+    run_number: int
     since_s: float
     hold_s: float
     until_s: float = float("inf")
@@ -99,41 +99,41 @@
 
 
 @dataclass(slots=True)
-class Life:
+class ProcessRun:
     """One process of a gateway."""
 
     gateway: int
     number: int
-    began_s: float
+    started_s: float
     ready_s: float = float("inf")
-    term_s: float = float("inf")
-    killed_s: float = float("inf")
+    sigterm_s: float = float("inf")
+    sigkill_s: float = float("inf")
     ended_s: float = float("inf")
 
 
 @dataclass(slots=True)
-class Lags:
+class LabDelays:
     """By how much the lab itself ran late: no time that it saw is surer than that."""
 
-    seen: list[tuple[float, float]] = field(default_factory=list)  # when, by how much; in order
+    samples: list[tuple[float, float]] = field(default_factory=list)  # when, by how much; in order
 
-    def around(self, at_s: float, within_s: float = 0.5) -> float:
+    def max_near(self, at_s: float, within_s: float = 0.5) -> float:
         """The greatest delay of the lab near a moment."""
-        index = bisect_left(self.seen, (at_s - within_s, 0.0))
+        index = bisect_left(self.samples, (at_s - within_s, 0.0))
         greatest = 0.0
-        while index < len(self.seen) and self.seen[index][0] <= at_s + within_s:
-            greatest = max(greatest, self.seen[index][1])
+        while index < len(self.samples) and self.samples[index][0] <= at_s + within_s:
+            greatest = max(greatest, self.samples[index][1])
             index += 1
         return greatest
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
+class Violation:
     """A rule that was broken."""
 
     at_s: float
     rule: str
-    what: str
+    detail: str
 
 
 @dataclass
@@ -142,10 +142,10 @@
 
     exchanges: list[Exchange] = field(default_factory=list)
     arrivals: dict[str, list[Arrival]] = field(default_factory=dict)  # by request
-    drains: list[Change] = field(default_factory=list)
+    drains: list[HostChange] = field(default_factory=list)
     falls: list[Fall] = field(default_factory=list)
     addresses: dict[int, list[DiscoveryAddress]] = field(default_factory=dict)  # by gateway, in order
-    lives: dict[tuple[int, int], Life] = field(default_factory=dict)
-    lags: Lags = field(default_factory=Lags)
-    broken: list[Broken] = field(default_factory=list)  # seen at once, not by the judge
+    runs: dict[tuple[int, int], ProcessRun] = field(default_factory=dict)
+    lab_delays: LabDelays = field(default_factory=LabDelays)
+    violations: list[Violation] = field(default_factory=list)  # seen at once, not by the judge
     events: list[tuple[float, str]] = field(default_factory=list)
--- a/faultlab/soak/schedule.py
+++ b/faultlab/soak/schedule.py
@@ -8,15 +8,15 @@
 
 from faultlab.soak.settings import Settings
 
-FIRST_S = 2.0  # of quiet after the start
+QUIET_START_S = 2.0  # of quiet after the start
 GATEWAY_GAP_S = (1.5, 4.0)  # between two events of that kind, evenly drawn
 HOST_GAP_S = (1.0, 3.0)
 DISCOVERY_GAP_S = (6.0, 12.0)
 CROWD_GAP_S = (2.0, 5.0)
-DRAIN_IN_OUTAGE = 0.5  # share of discovery's outages in whose first second a host begins to drain
+DRAIN_IN_OUTAGE_SHARE = 0.5  # share of discovery's outages in whose first second a host begins to drain
 
 
-class Kind(Enum):
+class EventKind(Enum):
     """What may happen."""
 
     RESTART = "SIGTERM, SIGKILL at the earliest moment"
@@ -36,23 +36,36 @@
     BURST = "a burst of requests"
 
 
-GATEWAY_KINDS = (Kind.RESTART, Kind.RELOAD_RESTART, Kind.RESTART_RELOAD, Kind.RELOADS, Kind.KILL)
-HOST_KINDS = (Kind.HANG, Kind.CLOSE, Kind.RESET, Kind.ERRORS, Kind.DRAIN, Kind.BURST)
-DISCOVERY_KINDS = (Kind.SILENT, Kind.REFUSED, Kind.LATE)
-CROWD_KINDS = (Kind.IDLE_CLIENTS,)
+GATEWAY_KINDS = (
+    EventKind.RESTART,
+    EventKind.RELOAD_RESTART,
+    EventKind.RESTART_RELOAD,
+    EventKind.RELOADS,
+    EventKind.KILL,
+)
+HOST_KINDS = (
+    EventKind.HANG,
+    EventKind.CLOSE,
+    EventKind.RESET,
+    EventKind.ERRORS,
+    EventKind.DRAIN,
+    EventKind.BURST,
+)
+DISCOVERY_KINDS = (EventKind.SILENT, EventKind.REFUSED, EventKind.LATE)
+CROWD_KINDS = (EventKind.IDLE_CLIENTS,)
 
 
 @dataclass(frozen=True)
-class Planned:
+class ScheduledEvent:
     """One event: `target` is a gateway's or a host's number, `seconds` how long it lasts."""
 
     at_s: float
-    kind: Kind
+    kind: EventKind
     target: int
     seconds: float
 
 
-def schedule(settings: Settings) -> list[Planned]:
+def schedule(settings: Settings) -> list[ScheduledEvent]:
     """All events of a soak, in order of time."""
     rng = random.Random(f"schedule {settings.seed}")
     lines = [
@@ -64,13 +77,15 @@
         lines.append((CROWD_KINDS, CROWD_GAP_S, settings.gateways))
     planned = []
     for kinds, gap_s, targets in lines:
-        at_s = FIRST_S + rng.uniform(*gap_s)
+        at_s = QUIET_START_S + rng.uniform(*gap_s)
         while at_s < settings.duration_s:
-            planned.append(Planned(at_s, rng.choice(kinds), rng.randrange(targets), rng.uniform(1.0, 4.0)))
+            planned.append(
+                ScheduledEvent(at_s, rng.choice(kinds), rng.randrange(targets), rng.uniform(1.0, 4.0))
+            )
             at_s += rng.uniform(*gap_s)
-    outages = [event for event in planned if event.kind in (Kind.SILENT, Kind.REFUSED)]
+    outages = [event for event in planned if event.kind in (EventKind.SILENT, EventKind.REFUSED)]
     for outage in outages:
-        if rng.random() < DRAIN_IN_OUTAGE:
+        if rng.random() < DRAIN_IN_OUTAGE_SHARE:
             at_s = outage.at_s + rng.uniform(0.0, 1.0)
-            planned.append(Planned(at_s, Kind.DRAIN, rng.randrange(settings.hosts), 0.0))
+            planned.append(ScheduledEvent(at_s, EventKind.DRAIN, rng.randrange(settings.hosts), 0.0))
     return sorted(planned, key=lambda each: each.at_s)
--- a/faultlab/soak/settings.py
+++ b/faultlab/soak/settings.py
@@ -6,16 +6,16 @@
 from dataclasses import dataclass
 from typing import Any
 
-from faultlab.coldstart.fall import HostAccount
-from faultlab.lab import configuration
+from faultlab.coldstart.host_capacity import HostCapacity
+from faultlab.gateway_process import configuration
 
 CLASSES = ("search", "hold", "transfer")
 EFFECTS = {"search": "free", "hold": "guarded", "transfer": "single_shot"}
 CLASS_SHARES = (0.6, 0.2, 0.2)
-SOCKETS = 256  # descriptors of a gateway
-KILL_AFTER_S = 0.7  # beyond the longest deadline, after SIGTERM (PROTOCOL)
-LONGEST_COUNTED_S = 3.0  # a longer deadline counts as this (PROTOCOL)
-CROWD_EVERY = 3  # one seed in so many has a crowd
+DESCRIPTOR_LIMIT = 256  # descriptors of a gateway
+KILL_MARGIN_S = 0.7  # beyond the longest deadline, after SIGTERM (PROTOCOL)
+MAX_COUNTED_DEADLINE_S = 3.0  # a longer deadline counts as this (PROTOCOL)
+CROWD_SEED_INTERVAL = 3  # one seed in so many has a crowd
 
 
 @dataclass(frozen=True)
@@ -26,7 +26,7 @@
     duration_s: float
     gateways: int = 3
     hosts: int = 6
-    rate: float = 90.0
+    rate_per_s: float = 90.0
     aim_s: float = 0.3
     deadline_s: float = 1.0
     window_s: float = 1.0  # of a keyed request's repeats
@@ -42,11 +42,11 @@
     @property
     def kill_after_s(self) -> float:
         """The earliest moment of SIGKILL after SIGTERM."""
-        return min(LONGEST_COUNTED_S, self.deadline_s) + KILL_AFTER_S
+        return min(MAX_COUNTED_DEADLINE_S, self.deadline_s) + KILL_MARGIN_S
 
-    def account(self) -> HostAccount:
+    def host_capacity(self) -> HostCapacity:
         """What one host can carry."""
-        return HostAccount(self.work_s, self.start_capacity, self.warm_s, self.fall_multiple, self.fall_s)
+        return HostCapacity(self.work_s, self.start_capacity, self.warm_s, self.fall_multiple, self.fall_s)
 
     def configuration(
         self, gateway: int, port: int, discovery: str, known: list[dict[str, Any]]
@@ -68,16 +68,16 @@
             "warmAfterUs": int(self.warm_s * 1e6), "tipMultiple": self.fall_multiple,
             "fallUs": int(self.fall_s * 1e6),
         }  # fmt: skip
-        limits = file["limits"] | {"sockets": SOCKETS}
+        limits = file["limits"] | {"sockets": DESCRIPTOR_LIMIT}
         return file | {"settings": settings, "limits": limits}
 
 
-def drawn(seed: int, duration_s: float) -> Settings:
+def draw_settings(seed: int, duration_s: float) -> Settings:
     """The settings of one seed."""
     rng = random.Random(f"settings {seed}")
     return Settings(
         seed, duration_s,
-        gateways=rng.choice((2, 3, 4)), hosts=rng.choice((5, 6, 8)), rate=rng.uniform(60.0, 120.0),
+        gateways=rng.choice((2, 3, 4)), hosts=rng.choice((5, 6, 8)), rate_per_s=rng.uniform(60.0, 120.0),
         deadline_s=rng.choice((0.5, 1.0, 1.5)), window_s=rng.choice((0.6, 1.0)), pushed=rng.random() < 0.5,
-        crowd=seed % CROWD_EVERY == 0,
+        crowd=seed % CROWD_SEED_INTERVAL == 0,
     )  # fmt: skip
--- a/faultlab/standins.py
+++ b/faultlab/standins.py
@@ -14,7 +14,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-HOLD_CAP_S = 2.0  # a watch is held at most this long here, whatever it asks
+MAX_HOLD_S = 2.0  # a watch is held at most this long here, whatever it asks
 
 
 async def read_request(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes] | None:
@@ -37,11 +37,11 @@
     return parts[1], headers, body
 
 
-def reply(status: int, body: bytes, reason: str = "X") -> bytes:
+def make_response(status: int, body: bytes, reason: str = "X") -> bytes:
     return b"HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s" % (status, reason.encode(), len(body), body)
 
 
-class Listening:
+class LoopbackServer:
     """A server on a loopback port that the system chose; `serve` takes each connection."""
 
     server: asyncio.Server | None = None
@@ -63,7 +63,7 @@
 
 
 @dataclass
-class Host(Listening):
+class Host(LoopbackServer):
     """A host that answers every request with `status` after `delay_s`."""
 
     name: str
@@ -75,7 +75,7 @@
             while await read_request(reader) is not None:
                 if self.delay_s:
                     await asyncio.sleep(self.delay_s)
-                writer.write(reply(self.status, b"ok" if self.status == 200 else b"failed"))
+                writer.write(make_response(self.status, b"ok" if self.status == 200 else b"failed"))
                 await writer.drain()
         except (ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
             pass
@@ -91,17 +91,17 @@
 
 
 @dataclass
-class Discovery(Listening):
+class Discovery(LoopbackServer):
     """The list of hosts, whole at each call; a watch (`?from=N`) waits for an index above N."""
 
     endpoints: list[dict[str, Any]] = field(default_factory=list)
     index: int = 1
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def listing(self) -> dict[str, Any]:
+    def full_list(self) -> dict[str, Any]:
         return {"index": self.index, "snapshot": True, "endpoints": self.endpoints}
 
-    def set(self, endpoints: list[dict[str, Any]]) -> None:
+    def update(self, endpoints: list[dict[str, Any]]) -> None:
         self.endpoints, self.index = endpoints, self.index + 1
         self.changed.set()
         self.changed = asyncio.Event()
@@ -112,10 +112,10 @@
                 query = parse_qs(urlsplit(request[0]).query)
                 since = int(query.get("from", ["0"])[0])
                 if since >= self.index:
-                    hold_s = min(HOLD_CAP_S, int(query.get("hold_ms", ["0"])[0]) / 1000)
+                    hold_s = min(MAX_HOLD_S, int(query.get("hold_ms", ["0"])[0]) / 1000)
                     with contextlib.suppress(TimeoutError):
                         await asyncio.wait_for(self.changed.wait(), hold_s)
-                writer.write(reply(200, json.dumps(self.listing()).encode(), "OK"))
+                writer.write(make_response(200, json.dumps(self.full_list()).encode(), "OK"))
                 await writer.drain()
         except (ConnectionError, asyncio.IncompleteReadError, ValueError, asyncio.CancelledError):
             pass
--- a/faultlab/storm/command.py
+++ b/faultlab/storm/command.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from faultlab.report import Parts, positive, report
+from faultlab.report import Subcommands, positive_int, report
 from faultlab.storm.cluster import activation_history, ledger_history, routes_history
 from faultlab.storm.cluster.faults import draw_history
 from faultlab.storm.cluster.history_result import HistoryResult
@@ -53,17 +53,17 @@
             self.agreed_push_pulls.append(outcome.agreed_s / outcome.history.timing.push_pull_s)
 
 
-def register(parts: Parts) -> None:
+def register(parts: Subcommands) -> None:
     """Add `storm` and its arguments to the lab's commands."""
     lab = parts.add_parser(
         "storm", help="random load and faults on cores under simulated time, invariants on"
     )
     lab.add_argument("--seed", type=int, default=1)
     lab.add_argument(
-        "--events", type=positive, default=1_000_000, help="events of the module (default a million)"
+        "--events", type=positive_int, default=1_000_000, help="events of the module (default a million)"
     )
     lab.add_argument(
-        "--histories", type=positive, help=f"clusters (default one for every {EVENTS_PER_HISTORY} events)"
+        "--histories", type=positive_int, help=f"clusters (default one for every {EVENTS_PER_HISTORY} events)"
     )
     lab.add_argument("--part", choices=PARTS, help="one part alone")
     lab.add_argument("--replay", action="store_true", help="one part's failing seed up to its event, told")
--- a/faultlab/transforms/__init__.py
+++ b/faultlab/transforms/__init__.py
@@ -8,25 +8,25 @@
 import tempfile
 from pathlib import Path
 
-from faultlab.report import Parts, positive, report
+from faultlab.report import Subcommands, positive_int, report
 from faultlab.transforms import activation, engine, faults
 
 PARTS = {"activation": activation.run, "engine": engine.run}
 
 
-def register(parts: Parts) -> None:
+def register(parts: Subcommands) -> None:
     """Add `transforms` and its arguments to the lab's commands."""
     lab = parts.add_parser("transforms", help="what header transforms cost, and how fast a fleet takes them")
     lab.add_argument("--part", choices=sorted(PARTS), default="engine")
     lab.add_argument(
-        "--rounds", type=positive, default=20, help="slices of each process, or publications (default 20)"
+        "--rounds", type=positive_int, default=20, help="slices of each process, or publications (default 20)"
     )
-    lab.add_argument("--gateways", type=positive, default=10, help="of the activation part (default 10)")
+    lab.add_argument("--gateways", type=positive_int, default=10, help="of the activation part (default 10)")
     lab.add_argument(
-        "--starts", type=positive, default=4, help="processes of each variant in turn (default 4)"
+        "--starts", type=positive_int, default=4, help="processes of each variant in turn (default 4)"
     )
-    lab.add_argument("--slice-ms", type=positive, default=250, help="a slice's length (default 250)")
-    lab.add_argument("--connections", type=positive, default=2, help="requests at once (default 2)")
+    lab.add_argument("--slice-ms", type=positive_int, default=250, help="a slice's length (default 250)")
+    lab.add_argument("--connections", type=positive_int, default=2, help="requests at once (default 2)")
     lab.add_argument("--seed", type=int, default=1)
     lab.add_argument(
         "--before", type=Path, metavar="DIR", help="a checkout from before the feature, as a variant"
--- a/faultlab/transforms/activation.py
+++ b/faultlab/transforms/activation.py
@@ -13,8 +13,8 @@
 from pathlib import Path
 from typing import Any
 
-from faultlab.lab import ask
-from faultlab.gateways import POLL_S
+from faultlab.gateway_process import send_request
+from faultlab.gateway_fleet import POLL_S
 from faultlab.transforms.engine import cpu_s
 from faultlab.transforms.fleet import TransformsFleet
 
@@ -50,7 +50,7 @@
             at = await wait_log_line(fleet, "event=transforms.epoch", f"active={id}")
             spread.append(max(at) - min(at))
             all_active.append(max(at) - began)
-            await fleet.all(is_quiescent)
+            await fleet.wait_all(is_quiescent)
             began = time.monotonic()
             async with send_calls(fleet, statuses):
                 id = await fleet.publish(
@@ -62,12 +62,12 @@
                 trips = [
                     at_s
                     for gateway in fleet.gateways.values()
-                    if (at_s := gateway.first_s(0, began, f"version={id}", "open=True")) is not None
+                    if (at_s := gateway.first_line_s(0, began, f"version={id}", "open=True")) is not None
                 ]
                 marks = [began, min(tried), min(trips), min(ends), max(ends)]  # one after the other
                 for step, (since, until) in zip(STEPS, itertools.pairwise(marks), strict=True):
                     steps[step].append(until - since)
-            await fleet.all(is_quiescent)
+            await fleet.wait_all(is_quiescent)
         cpu = [(now - was) / arguments.rounds for now, was in zip(cpu_used_s(fleet), cpu_before, strict=True)]
     return {
         "gateways": arguments.gateways,
@@ -118,9 +118,9 @@
         while left:
             for name, seen in list(left.items()):
                 gateway = fleet.gateways[name]
-                found = gateway.first_s(seen, after_s, *words)
+                found = gateway.first_line_s(seen, after_s, *words)
                 if found is None:
-                    left[name] = len(gateway.times)
+                    left[name] = len(gateway.line_times)
                 else:
                     at.append(found)
                     del left[name]
@@ -135,7 +135,7 @@
 
     async def one(port: int) -> None:
         while not ended.is_set():
-            statuses[await ask(port, REQUEST % next(_request_numbers))] += 1
+            statuses[await send_request(port, REQUEST % next(_request_numbers))] += 1
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(ended.wait(), 1 / CALLS_PER_S)
 
@@ -159,7 +159,7 @@
 async def _ledger_bytes_out(fleet: TransformsFleet) -> int:
     total = 0
     for name in fleet.names:
-        _, body = await fleet.call(name, "/api/telemetry")
+        _, body = await fleet.call_operator(name, "/api/telemetry")
         found = BYTES_OUT_PATTERN.search(body)
         if found is None:
             raise RuntimeError(f"{name} gives no ledger's bytes")
--- a/faultlab/transforms/engine.py
+++ b/faultlab/transforms/engine.py
@@ -21,8 +21,8 @@
 from cloverkeel.transforms.compiler import compile
 from cloverkeel.transforms.protocol import Head
 from cloverkeel.transforms.source import parse
-from faultlab.gateways import Host, named
-from faultlab.lab import Gateway, configuration
+from faultlab.gateway_fleet import InstantHost, stand_in_host
+from faultlab.gateway_process import GatewayProcess, configuration
 from faultlab.ports import free_port
 from faultlab.standins import Discovery, endpoint
 
@@ -90,8 +90,8 @@
 async def run(arguments: argparse.Namespace, folder: Path) -> dict[str, Any]:
     """`one_to_none` (goal 0.85) and, with `--before`, `off_to_before` (goal 0.99), by rate and by CPU."""
     loop = asyncio.get_running_loop()
-    servers = [await loop.create_server(Host, "127.0.0.1", 0) for _ in range(HOST_COUNT)]
-    listed = [endpoint(named(n, server)) for n, server in enumerate(servers)]
+    servers = [await loop.create_server(InstantHost, "127.0.0.1", 0) for _ in range(HOST_COUNT)]
+    listed = [endpoint(stand_in_host(n, server)) for n, server in enumerate(servers)]
     discovery = Discovery(endpoints=listed)
     await discovery.start()
     file = folder / "route-mark.transform"
@@ -106,7 +106,7 @@
     try:
         for _ in range(arguments.starts):
             gateways = {
-                name: Gateway(
+                name: GatewayProcess(
                     name, folder, configuration(name, free_port(), discovery.address, listed) | more, None
                 )
                 for name, (more, _) in variants.items()
@@ -124,7 +124,7 @@
 
 
 async def measure_start(
-    gateways: dict[str, Gateway],
+    gateways: dict[str, GatewayProcess],
     variants: dict[str, tuple[dict[str, Any], Path | None]],
     slices: dict[str, list[dict[str, float]]],
     order: random.Random,
@@ -142,7 +142,7 @@
             slices[name].append(await measure_slice(gateways[name], arguments))
 
 
-async def measure_slice(gateway: Gateway, arguments: argparse.Namespace) -> dict[str, float]:
+async def measure_slice(gateway: GatewayProcess, arguments: argparse.Namespace) -> dict[str, float]:
     assert gateway.process is not None
     pid = gateway.process.pid
     cpu, began = cpu_s(pid), time.monotonic()
--- a/faultlab/transforms/faults/disks.py
+++ b/faultlab/transforms/faults/disks.py
@@ -11,7 +11,7 @@
 from cloverkeel.fleet.state.database import STATE_FILE
 from faultlab.transforms.faults.harness import QUIESCENCE_TIMEOUT_S, FaultHarness
 from faultlab.transforms.faults.network import PAD_BYTES, is_candidate_or_active
-from faultlab.gateways import POLL_S
+from faultlab.gateway_fleet import POLL_S
 
 REAP_AFTER_S = 2.0  # of the fleet that `old` is played on: who is away longer is a newcomer
 ABSENCE_S = 2 * REAP_AFTER_S
--- a/faultlab/transforms/faults/harness.py
+++ b/faultlab/transforms/faults/harness.py
@@ -14,7 +14,7 @@
 
 from faultlab.relay import Rule
 from faultlab.transforms.faults.hosts import HeadChecker
-from faultlab.gateways import POLL_S
+from faultlab.gateway_fleet import POLL_S
 from faultlab.transforms.fleet import TransformsFleet
 
 SETTINGS = {"canary_s": 0.2, "stage_timeout_s": 3.0, "canary_share": 0.3}
@@ -62,11 +62,13 @@
 
     async def publish(self, at: str, source: bytes, wait: str = "quorum", name: str = "mark") -> str:
         """Have it published at a gateway; its id where that was acknowledged, else ""."""
-        status, body = await self.fleet.call(at, f"/api/transforms/publish?wait={wait}", source)
+        status, body = await self.fleet.call_operator(at, f"/api/transforms/publish?wait={wait}", source)
         return self._record_answer(status, body, name, hashlib.sha256(source).hexdigest())
 
     async def rollback(self, at: str, name: str = "mark", wait: str = "quorum") -> str:
-        status, body = await self.fleet.call(at, f"/api/transforms/rollback?name={name}&wait={wait}", b"")
+        status, body = await self.fleet.call_operator(
+            at, f"/api/transforms/rollback?name={name}&wait={wait}", b""
+        )
         return self._record_answer(status, body, name, "")
 
     def _record_answer(self, status: int, body: bytes, name: str, sha256: str) -> str:
--- a/faultlab/transforms/faults/hosts.py
+++ b/faultlab/transforms/faults/hosts.py
@@ -9,7 +9,7 @@
 from collections.abc import AsyncIterator, Iterable
 from typing import cast
 
-from faultlab.lab import ask
+from faultlab.gateway_process import send_request
 
 SENT_LINES = (b"X-Bad: 1", b"X-Keep: k", b"Cookie: a=b")
 REQUEST = b"POST /transfer HTTP/1.1\r\nHost: l\r\nX-Call-Id: f%d\r\n" + b"\r\n".join(SENT_LINES) + (
@@ -65,7 +65,7 @@
 
     async def one(port: int) -> None:
         while not ended.is_set():
-            statuses[await ask(port, REQUEST % next(_request_numbers))] += 1
+            statuses[await send_request(port, REQUEST % next(_request_numbers))] += 1
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(ended.wait(), 1 / a_second)
 
--- a/faultlab/transforms/faults/kills.py
+++ b/faultlab/transforms/faults/kills.py
@@ -18,7 +18,7 @@
 
 async def _wait_log_line(field: FaultHarness, at: str, *words: str) -> None:
     """Once a gateway's log has a line with these words."""
-    while field.fleet.gateways[at].said_s(*words) is None:
+    while field.fleet.gateways[at].last_line_s(*words) is None:
         await asyncio.sleep(0.002)
 
 
--- a/faultlab/transforms/faults/network.py
+++ b/faultlab/transforms/faults/network.py
@@ -8,7 +8,7 @@
 
 from faultlab.relay import Rule
 from faultlab.transforms.faults.harness import PASS_THROUGH, QUIESCENCE_TIMEOUT_S, FaultHarness
-from faultlab.gateways import POLL_S
+from faultlab.gateway_fleet import POLL_S
 
 LOSSY_RULE = Rule(drop=0.05, duplicate=0.02, reorder=0.1, delay_s=(0.0, 0.01))
 ROUNDS = 3
