--- a/faultlab/transforms/faults/upgrade.py
+++ b/faultlab/transforms/faults/upgrade.py
@@ -9,7 +9,7 @@
 from faultlab.ports import free_port
 from faultlab.transforms.faults.harness import QUIESCENCE_TIMEOUT_S, FaultHarness
 from faultlab.transforms.faults.hosts import send_calls
-from faultlab.gateways import Timed
+from faultlab.gateway_fleet import TimedGatewayProcess
 
 CALLS_PER_S = 50.0  # calls a second
 
@@ -25,7 +25,7 @@
         listener.set_inheritable(True)
         # The old process on the inherited socket, as the platform starts it.
         await old.signal(signal.SIGTERM)
-        old.listener = listener.fileno()
+        old.listener_fd = listener.fileno()
         old.config["listen"] = f"127.0.0.1:{listener.getsockname()[1]}"
         await fleet.start(name)
         await field.wait_quiescent()
@@ -33,7 +33,7 @@
         place = await fleet.relay.add_member(f"{name}+{len(fleet.relay.members)}")
         cluster = old.config["cluster"] | {"bind": place.bind, "advertise": place.advertise}
         config = old.config | {"cluster": cluster, "operator": f"127.0.0.1:{free_port()}"}
-        new = Timed(name, fleet.folder, config, old.state_dir, old.listener)
+        new = TimedGatewayProcess(name, fleet.folder, config, old.state_dir, old.listener_fd)
         field.count_fault("upgraded")
         field.head_checker.marks.clear()
         async with send_calls([old.port], CALLS_PER_S) as statuses:
@@ -58,7 +58,7 @@
             field.violations.append(f"calls ended as {unlike} beside {statuses[200]} of 200")
         # From here on the socket is its own again.
         await new.signal(signal.SIGTERM)
-        new.listener = None
+        new.listener_fd = None
         new.config |= {"listen": f"127.0.0.1:{free_port()}", "cluster": old.config["cluster"]}
     await fleet.start(name)
     await field.wait_quiescent()
--- a/faultlab/transforms/fleet.py
+++ b/faultlab/transforms/fleet.py
@@ -8,10 +8,10 @@
 from pathlib import Path
 from typing import Any
 
-from faultlab.gateways import Gateways, Host
+from faultlab.gateway_fleet import GatewayFleet, InstantHost
 
 
-class TransformsFleet(Gateways):
+class TransformsFleet(GatewayFleet):
     """`async with Published(4, folder, {...}) as fleet`: gateways that may all decide. `settings` go into
     every gateway's `transforms.fleet`, `cluster` into its `cluster`."""
 
@@ -20,29 +20,29 @@
         count: int,
         folder: Path,
         settings: dict[str, Any],
-        host: Callable[[], asyncio.Protocol] = Host,
+        host: Callable[[], asyncio.Protocol] = InstantHost,
         cluster: dict[str, Any] | None = None,
     ) -> None:
         super().__init__(count, folder, host)
         self.settings, self.cluster = {"size": count} | settings, cluster or {}
 
-    def configured(self, config: dict[str, Any]) -> dict[str, Any]:
+    def extend_config(self, config: dict[str, Any]) -> dict[str, Any]:
         cluster = config["cluster"] | self.cluster
         return config | {"cluster": cluster, "transforms": {"fleet": self.settings}}
 
-    def ready(self, status: dict[str, Any]) -> object:
+    def is_ready(self, status: dict[str, Any]) -> object:
         return status["may_decide"] and status["live"] == len(self.names)
 
     async def publish(self, name: str, source: bytes, wait: str = "quorum") -> str:
         """The version's id, once it is held at the level. Raises RuntimeError for any other answer."""
-        status, body = await self.call(name, f"/api/transforms/publish?wait={wait}", source)
+        status, body = await self.call_operator(name, f"/api/transforms/publish?wait={wait}", source)
         if status != 200:
             raise RuntimeError(f"{name} answered {status}: {body!r}")
         return str(json.loads(body)["id"])
 
     async def status(self, name: str) -> dict[str, Any]:
         """Its answer, with `live` (members) and `versions` (transform's name to its entry); {}: none."""
-        status, body = await self.call(name, "/api/transforms")
+        status, body = await self.call_operator(name, "/api/transforms")
         if status != 200:
             return {}
         found: dict[str, Any] = json.loads(body)
--- a/tests/test_coldstart_lab.py
+++ b/tests/test_coldstart_lab.py
@@ -20,25 +20,25 @@
 from cloverkeel.fleet.membership.frames import FrameError, FrameCodec
 from faultlab.__main__ import main
 from faultlab.coldstart import figures
-from faultlab.coldstart.fall import HostAccount
+from faultlab.coldstart.host_capacity import HostCapacity
 from faultlab.coldstart.figures import Drain
-from faultlab.coldstart.liar import lies, relay_name
+from faultlab.coldstart.liar import bad_lists, relay_name
 from faultlab.coldstart.settings import Plan
-from faultlab.coldstart.site import Site
-from faultlab.listservice import THRASH, Capacity, Listing
+from faultlab.coldstart.site import ColdStartSite
+from faultlab.listservice import COLLAPSE_FACTOR, CapacityModel, Listing
 
 ENTRY = {"status": "SERVING"}
 
 
-def account(work_s: float = 0.05) -> HostAccount:
-    return HostAccount(work_s, start=0.5, warm_s=10.0, multiple=2.0, window_s=1.0)
+def account(work_s: float = 0.05) -> HostCapacity:
+    return HostCapacity(work_s, start=0.5, warm_s=10.0, multiple=2.0, window_s=1.0)
 
 
 @given(st.lists(st.floats(0.0, 5.0), max_size=80), st.integers(1, 20), st.booleans())
 def test_the_service_ends_every_call_once_and_in_order(
     arrivals: list[float], queue: int, collapses: bool
 ) -> None:
-    capacity = Capacity(10.0, queue, patience_s=1.0, collapses=collapses)
+    capacity = CapacityModel(10.0, queue, patience_s=1.0, collapses=collapses)
     ended: list[int] = []
     taken: list[int] = []
     for call, now_s in enumerate(sorted(arrivals)):
@@ -46,77 +46,79 @@
         if capacity.arrive(now_s, call):
             taken.append(call)
     ended += [number for number, _ in capacity.advance(math.inf)]
-    assert ended == taken and capacity.next_s is None
+    assert ended == taken and capacity.next_event_s is None
 
 
 def test_the_service_answers_its_capacity_and_fails_what_waited_too_long() -> None:
-    capacity = Capacity(10.0, queue=30, patience_s=1.0, collapses=False)
+    capacity = CapacityModel(10.0, queue=30, patience_s=1.0, collapses=False)
     taken = [capacity.arrive(0.0, call) for call in range(40)]
     assert taken == [True] * 30 + [False] * 10
-    assert capacity.advance(0.05) == [] and capacity.next_s == pytest.approx(0.1)
+    assert capacity.advance(0.05) == [] and capacity.next_event_s == pytest.approx(0.1)
     answered = [call for call, is_answered in capacity.advance(10.0) if is_answered]
     assert answered == list(range(len(answered))) and len(answered) in (10, 11)
 
 
 def test_an_overloaded_service_that_collapses_answers_less_and_recovers() -> None:
-    calm = Capacity(10.0, queue=10, patience_s=60.0, collapses=True)
-    full = Capacity(10.0, queue=10, patience_s=60.0, collapses=True)
+    calm = CapacityModel(10.0, queue=10, patience_s=60.0, collapses=True)
+    full = CapacityModel(10.0, queue=10, patience_s=60.0, collapses=True)
     calm.arrive(0.0, 0)
     for call in range(10):
         full.arrive(0.0, call)
-    full.advance(0.1 * (1 + THRASH / 10))
-    assert calm.next_s == pytest.approx(0.1 * (1 + THRASH / 10))
-    assert full.next_s is not None and full.next_s - 0.1 * (1 + THRASH / 10) > 0.2  # under half its rate
+    full.advance(0.1 * (1 + COLLAPSE_FACTOR / 10))
+    assert calm.next_event_s == pytest.approx(0.1 * (1 + COLLAPSE_FACTOR / 10))
+    assert (
+        full.next_event_s is not None and full.next_event_s - 0.1 * (1 + COLLAPSE_FACTOR / 10) > 0.2
+    )  # under half its rate
     full.advance(60.0)
     full.arrive(60.0, 10)
-    assert full.next_s == pytest.approx(60.1, abs=0.03)
+    assert full.next_event_s == pytest.approx(60.1, abs=0.03)
 
 
 def test_a_caller_that_leaves_frees_its_place_but_not_what_has_begun() -> None:
-    capacity = Capacity(10.0, queue=10, patience_s=60.0, collapses=False)
+    capacity = CapacityModel(10.0, queue=10, patience_s=60.0, collapses=False)
     for call in range(3):
         capacity.arrive(0.0, call)
-    assert capacity.leave(1) and not capacity.leave(0)
+    assert capacity.cancel(1) and not capacity.cancel(0)
     assert [call for call, _ in capacity.advance(10.0)] == [0, 2]
 
 
 def test_the_listing_tells_changes_to_those_that_know_it_and_all_to_others() -> None:
-    listing = Listing({"h1": ENTRY, "h2": ENTRY}, index=5, oldest=5)
-    listing.set("h1", status="DRAINING")
-    assert listing.answer(5) == {"index": 6, "snapshot": False, "endpoints": [{"status": "DRAINING"}]}
+    listing = Listing({"h1": ENTRY, "h2": ENTRY}, index=5, first_index=5)
+    listing.update("h1", status="DRAINING")
+    assert listing.response(5) == {"index": 6, "snapshot": False, "endpoints": [{"status": "DRAINING"}]}
     for unknown in (None, 4, 7):
-        assert listing.answer(unknown)["snapshot"] and len(listing.answer(unknown)["endpoints"]) == 2
+        assert listing.response(unknown)["snapshot"] and len(listing.response(unknown)["endpoints"]) == 2
     listing.restart(1)
-    assert listing.answer(6) == {"index": 1, "snapshot": True, "endpoints": [{"status": "DRAINING"}, ENTRY]}
+    assert listing.response(6) == {"index": 1, "snapshot": True, "endpoints": [{"status": "DRAINING"}, ENTRY]}
 
 
 def test_a_cold_host_falls_at_more_than_its_budget_of_a_window_and_a_warm_one_never() -> None:
     cold, warm = account(), account()
     cold.restart(100.0)
-    bound = math.floor(cold.bound(100.0))
+    bound = math.floor(cold.work_limit(100.0))
     assert bound == math.floor(20 + 3 * math.sqrt(20) + 3)
-    assert [cold.take(100.0, 1.0) for _ in range(bound)] == [False] * bound
-    assert cold.take(100.0, 1.0) and cold.falls == 1
-    assert not any(warm.take(100.0, 1.0) for _ in range(1000))
+    assert [cold.add_work(100.0, 1.0) for _ in range(bound)] == [False] * bound
+    assert cold.add_work(100.0, 1.0) and cold.falls == 1
+    assert not any(warm.add_work(100.0, 1.0) for _ in range(1000))
 
 
 def test_a_hosts_budget_is_of_a_window_that_moves_on() -> None:
     cold = account()
     cold.restart(100.0)
-    assert not any(cold.take(100.0 + number * 0.05, 1.0) for number in range(100))  # 20 a second, for 5 s
+    assert not any(cold.add_work(100.0 + number * 0.05, 1.0) for number in range(100))  # 20 a second, for 5 s
 
 
 def test_work_takes_longer_at_a_colder_host_and_waits_its_turn() -> None:
     host = account()
     host.restart(100.0)
-    assert host.finish(100.0, 1.0) == pytest.approx(100.1)
-    assert host.finish(100.0, 1.0) == pytest.approx(100.2)
-    assert host.finish(110.0, 1.0) == pytest.approx(110.05)
+    assert host.completion_s(100.0, 1.0) == pytest.approx(100.1)
+    assert host.completion_s(100.0, 1.0) == pytest.approx(100.2)
+    assert host.completion_s(110.0, 1.0) == pytest.approx(110.05)
 
 
 def test_most_within_is_of_any_window() -> None:
-    assert figures.most_within([0.0, 0.09, 0.12, 0.15, 0.3], 0.1) == 3
-    assert figures.most_within([], 0.1) == 0
+    assert figures.max_within([0.0, 0.09, 0.12, 0.15, 0.3], 0.1) == 3
+    assert figures.max_within([], 0.1) == 0
     assert figures.quantile([3.0, 1.0, 2.0], 0.5) == 2.0 and figures.quantile([], 0.5) == math.inf
 
 
@@ -143,23 +145,25 @@
 
 async def small_fleet(folder: Path) -> dict[str, Any]:
     """Six gateways in a cluster come up, a host drains, and one that watches for the others is killed."""
-    site = Site(
-        Plan(gateways=6, hosts=6, seed=5, rate_per_s=120, list_calls_per_s=4.0, failing=0.0, warm_s=1.0),
+    site = ColdStartSite(
+        Plan(
+            gateways=6, hosts=6, seed=5, rate_per_s=120, list_calls_per_s=4.0, failing_share=0.0, warm_s=1.0
+        ),
         folder,
         shared=True,
     )
     try:
-        await site.open()
-        await site.release()
-        assert await site.until_ready(1.0, timeout_s=20.0)
+        await site.set_up()
+        await site.start_all()
+        assert await site.wait_ready(1.0, timeout_s=20.0)
         async with asyncio.timeout(10.0):
             while len(relays := await site.watchers()) != site.plan.relays:
                 await asyncio.sleep(0.02)
         drain = await site.drain()
         site.gateways.signal(relays[0], signal.SIGKILL)
-        await asyncio.sleep(max(0.0, drain.set_s + figures.RULE_S + 1.0 - time.monotonic()))
+        await asyncio.sleep(max(0.0, drain.set_s + figures.STOP_SENDING_S + 1.0 - time.monotonic()))
         await site.undrain(drain)
-        return await site.figures()
+        return await site.collect_figures()
     finally:
         await site.close()
 
@@ -178,7 +182,7 @@
 
 
 def test_of_a_liars_lists_the_old_one_alone_is_a_list() -> None:
-    told = lies([{"name": "host-0", "status": "SERVING"}], oldest=1)
+    told = bad_lists([{"name": "host-0", "status": "SERVING"}], oldest=1)
     old, broken, no_entries, no_list, enormous = (next(iter(told)) for _ in range(5))
     held = HeldList()
     assert held.apply(decode(old)) is ApplyResult.NEW and held.version == ListVersion(0, 1)
--- a/tests/test_lab_command.py
+++ b/tests/test_lab_command.py
@@ -3,7 +3,7 @@
 import pytest
 
 from faultlab.__main__ import EXPERIMENTS, main
-from faultlab.report import table
+from faultlab.report import format_table
 
 
 def test_every_experiment_registers_a_command_with_help(capsys: pytest.CaptureFixture[str]) -> None:
@@ -21,7 +21,7 @@
 
 
 def test_figures_are_one_line_each_with_nested_names() -> None:
-    assert table({"a": 1, "b": {"c": 0.5}}) == "a    1\nb.c  0.500"
+    assert format_table({"a": 1, "b": {"c": 0.5}}) == "a    1\nb.c  0.500"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_lab_starts.py
+++ b/tests/test_lab_starts.py
@@ -20,19 +20,19 @@
 import pytest
 
 from faultlab import ports
-from faultlab.lab import READY, ROOT, Gateway, ask, configuration
+from faultlab.gateway_process import READY_REQUEST, ROOT, GatewayProcess, send_request, configuration
 from faultlab.ports import free_port, free_ports, listens
 from faultlab.standins import Host, endpoint
 from faultlab.transforms.fleet import TransformsFleet
 
 
-def with_foreign_gateway(folder: Path, steps: Callable[[Gateway, Host], Awaitable[None]]) -> None:
+def with_foreign_gateway(folder: Path, steps: Callable[[GatewayProcess, Host], Awaitable[None]]) -> None:
     """Run `steps` with a gateway that serves at its port, and a host that both may list."""
 
     async def run() -> None:
         host = Host("h0")
         await host.start()
-        foreign = Gateway(
+        foreign = GatewayProcess(
             "foreign", folder, configuration("foreign", free_port(), "127.0.0.1:9", [endpoint(host)]), None
         )
         try:
@@ -46,21 +46,21 @@
 
 
 def test_another_gateway_that_answers_at_the_port_is_no_start(tmp_path: Path) -> None:
-    async def steps(foreign: Gateway, host: Host) -> None:
+    async def steps(foreign: GatewayProcess, host: Host) -> None:
         config = configuration("late", foreign.port, "127.0.0.1:9", [endpoint(host)])
-        late = Gateway("late", tmp_path, config, None)
+        late = GatewayProcess("late", tmp_path, config, None)
         assert await late.start() == float("inf")
         assert late.process is not None and await late.process.wait() == 1
-        assert f"cannot listen on 127.0.0.1:{foreign.port}" in await late.line("cannot listen")
-        assert await ask(foreign.port, READY) == 200
+        assert f"cannot listen on 127.0.0.1:{foreign.port}" in await late.wait_line("cannot listen")
+        assert await send_request(foreign.port, READY_REQUEST) == 200
 
     with_foreign_gateway(tmp_path, steps)
 
 
 def test_a_gateway_whose_operators_port_is_taken_says_so_and_ends(tmp_path: Path) -> None:
-    async def steps(foreign: Gateway, host: Host) -> None:
+    async def steps(foreign: GatewayProcess, host: Host) -> None:
         config = configuration("late", free_port(), "127.0.0.1:9", [endpoint(host)])
-        late = Gateway("late", tmp_path, config | {"operator": f"127.0.0.1:{foreign.port}"}, None)
+        late = GatewayProcess("late", tmp_path, config | {"operator": f"127.0.0.1:{foreign.port}"}, None)
         assert await late.start() == float("inf")
         assert late.process is not None and await late.process.wait() == 1
         assert len(late.log) == 1 and f"cannot listen on 127.0.0.1:{foreign.port}" in late.log[0]
@@ -71,13 +71,13 @@
 def test_an_old_process_on_the_inherited_socket_is_no_start_of_the_new_one(tmp_path: Path) -> None:
     """Both hold the socket; the old one answers there before the new one has begun."""
 
-    async def steps(foreign: Gateway, host: Host) -> None:
+    async def steps(foreign: GatewayProcess, host: Host) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             listener.set_inheritable(True)
             port = listener.getsockname()[1]
             config = configuration("old", port, "127.0.0.1:9", [endpoint(host)])
-            old = Gateway("old", tmp_path, config, None, listener.fileno())
-            new = Gateway("new", tmp_path, dict(config), None, listener.fileno())
+            old = GatewayProcess("old", tmp_path, config, None, listener.fileno())
+            new = GatewayProcess("new", tmp_path, dict(config), None, listener.fileno())
             try:
                 assert await old.start() < float("inf")
                 new.config["operator"] = f"127.0.0.1:{foreign.port}"  # it cannot start
@@ -94,9 +94,9 @@
 ) -> None:
     """The crossing of the two fleets, forced: the first port is one at which a foreign gateway answers."""
 
-    async def steps(foreign: Gateway, host: Host) -> None:
+    async def steps(foreign: GatewayProcess, host: Host) -> None:
         given = itertools.chain([foreign.port], iter(free_port, None))
-        monkeypatch.setattr("faultlab.gateways.free_port", lambda: next(given))
+        monkeypatch.setattr("faultlab.gateway_fleet.free_port", lambda: next(given))
         async with TransformsFleet(1, tmp_path, {}) as fleet:
             assert fleet.gateways["m0"].port != foreign.port
 
@@ -106,8 +106,8 @@
 def test_the_logs_of_a_fleet_that_does_not_start_are_printed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    async def steps(foreign: Gateway, host: Host) -> None:
-        monkeypatch.setattr("faultlab.gateways.free_port", lambda: foreign.port)
+    async def steps(foreign: GatewayProcess, host: Host) -> None:
+        monkeypatch.setattr("faultlab.gateway_fleet.free_port", lambda: foreign.port)
         with pytest.raises(RuntimeError, match="m0 did not start"):
             await TransformsFleet(1, tmp_path, {}).__aenter__()
 
--- a/tests/test_membership_lab.py
+++ b/tests/test_membership_lab.py
@@ -17,10 +17,10 @@
 from cloverkeel.fleet.membership.codec import Codec
 from cloverkeel.fleet.membership.messages import Ping, Push
 from cloverkeel.fleet.membership.updates import MemberUpdate, Status
-from faultlab.fleet import CLUSTER, Fleet, Light
+from faultlab.member_fleet import CLUSTER_NAME, MemberFleet, MemberProcess
 from faultlab.relay import RelayMember, Rule
 
-Case = Callable[[Callable[[Fleet], Awaitable[None]]], None]
+Case = Callable[[Callable[[MemberFleet], Awaitable[None]]], None]
 SETTINGS = {"push_pull_s": 2.0}
 
 
@@ -31,21 +31,21 @@
 
 
 @pytest.fixture(scope="module")
-def fleet(runner: asyncio.Runner) -> Iterator[Fleet]:
-    made = runner.run(Fleet(7, seed=5, settings=SETTINGS).__aenter__())
+def fleet(runner: asyncio.Runner) -> Iterator[MemberFleet]:
+    made = runner.run(MemberFleet(7, seed=5, settings=SETTINGS).__aenter__())
     yield made
     runner.run(made.close())
 
 
 @pytest.fixture
-def case(runner: asyncio.Runner, fleet: Fleet) -> Case:
+def case(runner: asyncio.Runner, fleet: MemberFleet) -> Case:
     """Runs a case on the shared fleet, and has it agreed again after it."""
 
-    def run(steps: Callable[[Fleet], Awaitable[None]]) -> None:
+    def run(steps: Callable[[MemberFleet], Awaitable[None]]) -> None:
         async def both() -> None:
             fleet.deaths.clear()
             await steps(fleet)
-            await fleet.agreed()
+            await fleet.wait_agreed()
 
         runner.run(both())
 
@@ -54,41 +54,41 @@
 
 @asynccontextmanager
 async def process(
-    fleet: Fleet, place: RelayMember, name: str, settings: dict[str, Any], *words: str
-) -> AsyncIterator[Light]:
+    fleet: MemberFleet, place: RelayMember, name: str, settings: dict[str, Any], *words: str
+) -> AsyncIterator[MemberProcess]:
     """A further process, behind the fleet's relay and no part of the fleet."""
-    light = Light(name, place, fleet.changed, [])
+    light = MemberProcess(name, place, fleet.changed, [])
     try:
         await light.start(fleet.settings | settings, *words)
         yield light
     finally:
         light.signal(signal.SIGKILL)
-        await light.ended()
+        await light.wait_ended()
 
 
 def test_a_killed_member_is_dead_to_all_others_and_comes_back_with_a_higher_incarnation(case: Case) -> None:
-    async def steps(fleet: Fleet) -> None:
+    async def steps(fleet: MemberFleet) -> None:
         victim = fleet.members["m2"]
         before = fleet.members["m0"].view["m2"].incarnation
         victim.signal(signal.SIGKILL)
-        await victim.ended()
-        await fleet.until(lambda: fleet.holds("m2", "dead"))
+        await victim.wait_ended()
+        await fleet.wait_until(lambda: fleet.all_report("m2", "dead"))
         await victim.start(fleet.settings)
-        await fleet.agreed()
-        assert {death.of for death in fleet.deaths} == {"m2"}
+        await fleet.wait_agreed()
+        assert {death.member for death in fleet.deaths} == {"m2"}
         assert all(m.view["m2"].incarnation > before for m in fleet.running() if m is not victim)
 
     case(steps)
 
 
 def test_a_stop_shorter_than_the_suspicion_time_is_suspected_refuted_and_no_death(case: Case) -> None:
-    async def steps(fleet: Fleet) -> None:
+    async def steps(fleet: MemberFleet) -> None:
         stopped, others = fleet.members["m3"], [m for m in fleet.running() if m.name != "m3"]
         before = others[0].view["m3"].incarnation
         stopped.signal(signal.SIGSTOP)
-        await fleet.until(lambda: any(m.view["m3"].status == "suspect" for m in others))
+        await fleet.wait_until(lambda: any(m.view["m3"].status == "suspect" for m in others))
         stopped.signal(signal.SIGCONT)
-        await fleet.until(lambda: all(
+        await fleet.wait_until(lambda: all(
             m.view["m3"].status == "alive" and m.view["m3"].incarnation > before for m in others
         ))  # fmt: skip
         assert not fleet.deaths
@@ -97,7 +97,7 @@
 
 
 def test_loss_on_all_paths_and_stops_of_a_fifth_of_a_second_kill_nobody(case: Case) -> None:
-    async def steps(fleet: Fleet) -> None:
+    async def steps(fleet: MemberFleet) -> None:
         fleet.relay.set_rule(Rule(drop=0.05, duplicate=0.05, reorder=0.05, delay_s=(0.0, 0.005)))
         rng = random.Random(3)
         for _ in range(10):
@@ -115,29 +115,31 @@
 def test_parted_sides_hold_each_other_dead_and_agree_after_the_heal_with_one_that_joined_meanwhile(
     case: Case,
 ) -> None:
-    async def steps(fleet: Fleet) -> None:
+    async def steps(fleet: MemberFleet) -> None:
         names = list(fleet.members)
         west, east = names[:3], names[3:]  # the seeds are in the west
         fleet.relay.cut(west, east)
         sides = [([fleet.members[n] for n in west], east), ([fleet.members[n] for n in east], west)]
-        await fleet.until(
-            lambda: all(fleet.holds(n, "dead", by) for by, others in sides for n in others), 20.0
+        await fleet.wait_until(
+            lambda: all(fleet.all_report(n, "dead", by) for by, others in sides for n in others), 20.0
         )
-        joiner = await fleet.place("joiner")
+        joiner = await fleet.add_member("joiner")
         fleet.relay.cut(["joiner"], east)
         await joiner.start(fleet.settings)
-        await fleet.until(lambda: fleet.holds("joiner", "alive", sides[0][0]))
+        await fleet.wait_until(lambda: fleet.all_report("joiner", "alive", sides[0][0]))
         assert all("joiner" not in m.view for m in sides[1][0]) and not set(east) & {
             name for name, held in joiner.view.items() if held.status == "alive"
         }
         fleet.relay.heal()
         fleet.deaths.clear()
-        await fleet.agreed(4 * SETTINGS["push_pull_s"])
-        told = {death.by for death in fleet.deaths}  # the joiner may hear late of deaths before the heal
+        await fleet.wait_agreed(4 * SETTINGS["push_pull_s"])
+        told = {
+            death.reporter for death in fleet.deaths
+        }  # the joiner may hear late of deaths before the heal
         assert told <= {"joiner"}  # nobody takes the other side's word for one
-        joiner.tell("leave")
-        await joiner.ended()
-        await fleet.until(lambda: fleet.holds("joiner", "left"))
+        joiner.send_command("leave")
+        await joiner.wait_ended()
+        await fleet.wait_until(lambda: fleet.all_report("joiner", "left"))
         del fleet.members["joiner"]
 
     case(steps)
@@ -146,36 +148,38 @@
 def test_a_member_that_starts_from_an_old_state_file_outranks_what_its_later_self_said(
     case: Case, tmp_path: Path
 ) -> None:
-    async def steps(fleet: Fleet) -> None:
+    async def steps(fleet: MemberFleet) -> None:
         member = fleet.members["m4"]
         member.signal(signal.SIGKILL)
-        await member.ended()
+        await member.wait_ended()
         await member.start(fleet.settings, "--incarnation", str(2**50))  # its later self
-        await fleet.agreed()
+        await fleet.wait_agreed()
         member.signal(signal.SIGKILL)
-        await member.ended()
-        await fleet.until(lambda: fleet.holds("m4", "dead"))
+        await member.wait_ended()
+        await fleet.wait_until(lambda: fleet.all_report("m4", "dead"))
         await member.start(fleet.settings, "--state-dir", str(tmp_path / "old"))
-        await fleet.until(lambda: bool(member.says("started")))
+        await fleet.wait_until(lambda: bool(member.reports_of("started")))
         # The store's first, or the clock's milliseconds where its disk took over a second: both are lower.
-        assert member.says("started")[0]["incarnation"] < 2**50
-        await fleet.agreed()
+        assert member.reports_of("started")[0]["incarnation"] < 2**50
+        await fleet.wait_agreed()
         assert fleet.members["m0"].view["m4"].incarnation > 2**50
 
     case(steps)
 
 
 def test_a_second_process_of_a_name_runs_without_membership_and_the_first_is_not_touched(case: Case) -> None:
-    async def steps(fleet: Fleet) -> None:
+    async def steps(fleet: MemberFleet) -> None:
         others = [m for m in fleet.running() if m.name != "m1"]
         place = await fleet.relay.add_member("twin")
         async with process(fleet, place, "m1", {}, "--incarnation", str(2**60)) as twin:
-            await fleet.until(lambda: bool(twin.says("state")))
-            assert twin.says("state")[0]["state"] == "name_taken" and not twin.view
-            (line,) = twin.logged("members.name_taken")
+            await fleet.wait_until(lambda: bool(twin.reports_of("state")))
+            assert twin.reports_of("state")[0]["state"] == "name_taken" and not twin.view
+            (line,) = twin.log_lines("members.name_taken")
             assert f"holder={fleet.members['m1'].place.advertise}" in line
             answer = (await fleet.counters([fleet.members["m1"]]))["m1"]
-            assert answer["state"] == "member" and not [death for death in fleet.deaths if death.of == "m1"]
+            assert answer["state"] == "member" and not [
+                death for death in fleet.deaths if death.member == "m1"
+            ]
         assert all(m.view["m1"].incarnation < 2**60 for m in others)  # it had no claim to outrank
 
     case(steps)
@@ -184,15 +188,15 @@
 def test_a_member_whose_seeds_are_all_gone_is_alone_says_so_once_and_finds_the_first_that_comes(
     case: Case,
 ) -> None:
-    async def steps(fleet: Fleet) -> None:
+    async def steps(fleet: MemberFleet) -> None:
         places = [await fleet.relay.add_member(name) for name in ("loner", "late")]
         settings = {"name": "elsewhere", "seeds": [places[1].advertise], "join_wait_s": 0.2}
         async with process(fleet, places[0], "loner", settings) as loner:
-            await fleet.until(lambda: bool(loner.says("state")))
-            assert loner.says("state")[0]["state"] == "alone"
+            await fleet.wait_until(lambda: bool(loner.reports_of("state")))
+            assert loner.reports_of("state")[0]["state"] == "alone"
             async with process(fleet, places[1], "late", settings) as late:
-                await fleet.until(lambda: "late" in loner.view and "loner" in late.view)
-            assert len(loner.logged("members.alone")) == 1
+                await fleet.wait_until(lambda: "late" in loner.view and "loner" in late.view)
+            assert len(loner.log_lines("members.alone")) == 1
 
     case(steps)
 
@@ -202,7 +206,7 @@
     and clusters: nothing a core may take."""
     rng = random.Random(11)
     sender = MemberUpdate("stranger", "127.0.0.1:9", 1, Status.ALIVE)
-    real = Codec(CLUSTER).encode(
+    real = Codec(CLUSTER_NAME).encode(
         Push(sender, tuple(MemberUpdate(f"x{n}", "127.0.0.1:9", 1, Status.DEAD) for n in range(9)))
     )
     yield from (rng.randbytes(size) for size in (*range(1_500), 4_096, 9_000, 65_507))
@@ -213,7 +217,7 @@
 
 
 def test_garbage_of_every_size_is_dropped_and_counted_and_the_member_lives(case: Case) -> None:
-    async def steps(fleet: Fleet) -> None:
+    async def steps(fleet: MemberFleet) -> None:
         member = fleet.members["m0"]
 
         async def dropped() -> int:
@@ -221,7 +225,7 @@
             return sum(value for name, value in counters.items() if "dropped" in name)
 
         sent = before = await dropped()
-        logged = len(member.logged("members.dropped"))
+        logged = len(member.log_lines("members.dropped"))
         address = member.place.host, member.place.port
         async with asyncio.timeout(10.0):
             with closing(socket.socket(type=socket.SOCK_DGRAM)) as out:
@@ -242,7 +246,7 @@
                     pass
             writer.close()
         assert await dropped() == sent + 3
-        assert 1 <= len(member.logged("members.dropped")) - logged <= 30  # about one a second
+        assert 1 <= len(member.log_lines("members.dropped")) - logged <= 30  # about one a second
         assert "stranger" not in member.view and not fleet.deaths
 
     case(steps)
--- a/tests/test_routes_index.py
+++ b/tests/test_routes_index.py
@@ -225,8 +225,8 @@
 def test_the_lab_prints_what_routes_cost(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    monkeypatch.setattr(lookups, "SIZES", (10, 100))
-    monkeypatch.setattr(lookups, "ASKED", 50)
+    monkeypatch.setattr(lookups, "ROUTE_COUNTS", (10, 100))
+    monkeypatch.setattr(lookups, "REQUESTS_PER_ROUND", 50)
     assert main(["lookups", "--rounds", "2", "--json"]) == 0
     plan = json.loads(capsys.readouterr().out)
     assert set(plan["lookup_us"]) == {"10", "100"} and set(plan["read_us"]) == {"off", "empty", "full"}
--- a/tests/test_routes_lab.py
+++ b/tests/test_routes_lab.py
@@ -63,7 +63,7 @@
     said = [await fleet.apply(at, team, routes, base, "local") for at, team, routes, base in edits]
     fleet.relay.heal()
     changes = {each["change"] for each in said}
-    await fleet.all(
+    await fleet.wait_all(
         lambda _: changes <= set(fleet.stored_changes("m0")) and changes <= set(fleet.stored_changes("m3"))
     )
     return await wait_agreement(fleet, AGREED_S)
@@ -75,7 +75,7 @@
         said = await asyncio.gather(
             *(fleet.apply(f"m{n}", team, file) for n, (team, file) in enumerate(files.items()))
         )
-        await fleet.all(lambda status: status["count"] == 5)
+        await fleet.wait_all(lambda status: status["count"] == 5)
         assert not (await wait_agreement(fleet, AGREED_S))["conflicts"]
         plan = await fleet.plan("m2")
         assert not find_lost_edits(plan, fleet.stored_changes("m2"), [each["change"] for each in said])
@@ -114,7 +114,7 @@
         assert not {"wide", "narrow"} & set(plan["routes"]) and status["count"] == agreed
         await fleet.resolve("m1", conflict(status, "field", "own-1"), "team-1", "value", '"settled"')
         await fleet.resolve("m2", conflict(status, "delete", "own-2"), "team-2", "delete")
-        await fleet.all(lambda s: not kinds(s, "own-1") and not kinds(s, "own-2"))
+        await fleet.wait_all(lambda s: not kinds(s, "own-1") and not kinds(s, "own-2"))
         await wait_agreement(fleet, AGREED_S)
         plan = await fleet.plan("m3")
         assert "own-2" not in plan["routes"]
@@ -136,7 +136,9 @@
             fleet.apply("m3", "team-0", {"own-0": routes["own-0"] | {"note": "c"}}, base),
         )
         changes = {each["change"] for each in said}
-        await fleet.all(lambda _: all(changes <= set(fleet.stored_changes(name)) for name in fleet.names))
+        await fleet.wait_all(
+            lambda _: all(changes <= set(fleet.stored_changes(name)) for name in fleet.names)
+        )
         await wait_agreement(fleet, AGREED_S)
         assert not find_lost_edits(await fleet.plan("m0"), fleet.stored_changes("m0"), changes)
 
@@ -157,7 +159,7 @@
         said = await fleet.apply("m3", "team-3", {"own-3": routes["own-3"] | {"limit": 9}}, base)
         await fleet.gateways["m3"].signal(signal.SIGKILL)
         rest = fleet.names[:3]
-        await fleet.all(
+        await fleet.wait_all(
             lambda _: all(said["change"] in fleet.stored_changes(name) for name in rest), names=rest
         )
         newer = await fleet.apply("m0", "team-3", {"own-3": routes["own-3"] | {"limit": 11}}, said["base"])
@@ -166,7 +168,9 @@
         await fleet.start("m3")
         old = await fleet.apply("m3", "team-3", {"own-3": routes["own-3"] | {"note": "old"}}, base, "local")
         changes = {said["change"], newer["change"], old["change"], "m3/4d/1"}
-        await fleet.all(lambda _: all(changes <= set(fleet.stored_changes(name)) for name in fleet.names))
+        await fleet.wait_all(
+            lambda _: all(changes <= set(fleet.stored_changes(name)) for name in fleet.names)
+        )
         await wait_agreement(fleet, AGREED_S)
         plan = await fleet.plan("m1")
         assert not find_lost_edits(plan, fleet.stored_changes("m1"), changes)
--- a/tests/test_soak_lab.py
+++ b/tests/test_soak_lab.py
@@ -9,42 +9,44 @@
 import pytest
 
 from faultlab.__main__ import main
-from faultlab.lab import Gateway
-from faultlab.soak.clients import Front
-from faultlab.soak.command import total
-from faultlab.soak.gateways import Process
+from faultlab.gateway_process import GatewayProcess
+from faultlab.soak.clients import LoadGenerator
+from faultlab.soak.command import total_figures
+from faultlab.soak.gateways import ManagedGateway
 from faultlab.soak.judge import Judge
 from faultlab.soak.notification import NotificationClock
 from faultlab.soak.records import (
     Arrival,
-    Change,
+    HostChange,
     DiscoveryAddress,
-    End,
+    ExchangeEnd,
     Exchange,
     Fall,
-    Life,
+    ProcessRun,
     Outage,
     Records,
     Watch,
 )
-from faultlab.soak.schedule import Kind, Planned, schedule
-from faultlab.soak.settings import Settings, drawn
-from faultlab.soak.site import Result, Site
+from faultlab.soak.schedule import EventKind, ScheduledEvent, schedule
+from faultlab.soak.settings import Settings, draw_settings
+from faultlab.soak.site import Result, SoakSite
 
 SETTINGS = Settings(seed=1, duration_s=60.0)
-SERVED = Exchange("a", "transfer", 0, 1, 100.0, 101.0, end=End.ANSWERED, ended_s=100.1, status=200)
-CLOSED = replace(SERVED, end=End.CLOSED, ended_s=100.1, status=0)
-LEFT = replace(SERVED, end=End.GONE, ended_s=100.0, status=0)
+SERVED = Exchange("a", "transfer", 0, 1, 100.0, 101.0, end=ExchangeEnd.ANSWERED, ended_s=100.1, status=200)
+CLOSED = replace(SERVED, end=ExchangeEnd.CLOSED, ended_s=100.1, status=0)
+LEFT = replace(SERVED, end=ExchangeEnd.CLIENT_LEFT, ended_s=100.0, status=0)
 FIRST = Arrival("a", 0, 100.01, 100.01, 0.9)
 
 
-def rules(*exchanges: Exchange, arrivals: list[Arrival] | None = None, life: Life | None = None) -> set[str]:
+def rules(
+    *exchanges: Exchange, arrivals: list[Arrival] | None = None, life: ProcessRun | None = None
+) -> set[str]:
     """The rules that these records break."""
-    records = Records(list(exchanges), lives={(0, 1): life or Life(0, 1, 0.0, ready_s=1.0)})
+    records = Records(list(exchanges), runs={(0, 1): life or ProcessRun(0, 1, 0.0, ready_s=1.0)})
     for arrival in arrivals or ():
         records.arrivals.setdefault(arrival.id, []).append(arrival)
-    records.drains.append(Change(7, 50.0, written_s={(0, 1): 50.0}))
-    return {broken.rule for broken in Judge(SETTINGS, records).broken()}
+    records.drains.append(HostChange(7, 50.0, written_s={(0, 1): 50.0}))
+    return {broken.rule for broken in Judge(SETTINGS, records).violations()}
 
 
 @pytest.mark.parametrize(
@@ -53,11 +55,11 @@
         (SERVED, [FIRST], set()),
         (replace(SERVED, ended_s=101.4), [FIRST], set()),
         (replace(SERVED, ended_s=101.6), [FIRST], {"lost"}),
-        (replace(SERVED, end=End.SILENT, ended_s=102.5), [FIRST], {"lost"}),
+        (replace(SERVED, end=ExchangeEnd.NO_RESPONSE, ended_s=102.5), [FIRST], {"lost"}),
         (CLOSED, [], set()),
         (CLOSED, [FIRST], {"lost"}),
         (replace(CLOSED, ended_s=100.4), [], {"lost"}),
-        (replace(CLOSED, is_repeat=True), [], {"lost"}),
+        (replace(CLOSED, is_client_retry=True), [], {"lost"}),
         (SERVED, [FIRST, replace(FIRST, host=1)], {"duplicate"}),
         (SERVED, [replace(FIRST, ran=False), replace(FIRST, host=1)], set()),
         (replace(SERVED, status=503), [FIRST], {"duplicate"}),
@@ -79,13 +81,13 @@
 
 @pytest.mark.parametrize(("sent_s", "broken"), [(100.0, set()), (100.9, {"lost"})])
 def test_what_sigkill_finds_is_owed_if_it_came_late_after_sigterm(sent_s: float, broken: set[str]) -> None:
-    life = Life(0, 1, 0.0, ready_s=1.0, term_s=100.0, killed_s=101.7)
+    life = ProcessRun(0, 1, 0.0, ready_s=1.0, sigterm_s=100.0, sigkill_s=101.7)
     late = replace(CLOSED, sent_s=sent_s, deadline_s=sent_s + 1.0, ended_s=101.7)
-    assert rules(late, arrivals=[replace(FIRST, first_s=sent_s, budget_s=1.0)], life=life) == broken
+    assert rules(late, arrivals=[replace(FIRST, first_byte_s=sent_s, budget_s=1.0)], life=life) == broken
 
 
 def test_a_process_that_is_not_ready_in_time_is_found() -> None:
-    assert rules(life=Life(0, 1, 0.0, ready_s=10.1)) == {"ready"}
+    assert rules(life=ProcessRun(0, 1, 0.0, ready_s=10.1)) == {"ready"}
 
 
 SILENT = Outage(20.0, 23.0, is_silent=True)
@@ -123,8 +125,8 @@
     addresses = [DiscoveryAddress(float("-inf"), outages, watches)]
     if moved_s is not None:
         addresses.append(DiscoveryAddress(moved_s))
-    records = Records(lives={(0, 1): Life(0, 1, 5.0)}, addresses={0: addresses})
-    change = Change(7, since_s)
+    records = Records(runs={(0, 1): ProcessRun(0, 1, 5.0)}, addresses={0: addresses})
+    change = HostChange(7, since_s)
     assert NotificationClock(records, pushed=False).known_s(change, 0, 1) == asked_s
     assert NotificationClock(records, pushed=True).known_s(change, 0, 1) == pushed_s
     change.written_s[0, 1] = since_s + 0.1
@@ -133,31 +135,31 @@
 
 def test_an_outage_of_the_new_address_puts_off_what_is_known_after_a_sighup() -> None:
     moved = DiscoveryAddress(19.0, [SILENT])
-    records = Records(lives={(0, 1): Life(0, 1, 5.0)}, addresses={0: [DiscoveryAddress(0.0), moved]})
-    assert NotificationClock(records, pushed=False).known_s(Change(7, 21.0), 0, 1) == 27.0
-    assert NotificationClock(records, pushed=True).known_s(Change(7, 21.0), 0, 1) == 23.0
+    records = Records(runs={(0, 1): ProcessRun(0, 1, 5.0)}, addresses={0: [DiscoveryAddress(0.0), moved]})
+    assert NotificationClock(records, pushed=False).known_s(HostChange(7, 21.0), 0, 1) == 27.0
+    assert NotificationClock(records, pushed=True).known_s(HostChange(7, 21.0), 0, 1) == 23.0
 
 
 @pytest.mark.parametrize(("knowing", "broken"), [(2, set()), (3, {"fall"})])
 def test_a_fall_breaks_a_rule_if_over_two_thirds_came_from_gateways_that_knew(
     knowing: int, broken: set[str]
 ) -> None:
-    start = Change(0, 10.0, written_s={(0, 1): 20.0})
+    start = HostChange(0, 10.0, written_s={(0, 1): 20.0})
     requests = [(19.0 if index >= knowing else 21.0, f"{index}") for index in range(3)]
     exchanges = [replace(SERVED, id=id_, sent_s=at_s) for at_s, id_ in requests]
-    records = Records(exchanges, lives={(0, 1): Life(0, 1, 5.0, ready_s=6.0)})
+    records = Records(exchanges, runs={(0, 1): ProcessRun(0, 1, 5.0, ready_s=6.0)})
     records.falls.append(Fall(21.0, start, requests))
-    assert {each.rule for each in Judge(SETTINGS, records).broken()} == broken
+    assert {each.rule for each in Judge(SETTINGS, records).violations()} == broken
 
 
 def test_a_seed_draws_the_same_schedule_again_and_all_kinds_come() -> None:
-    assert schedule(drawn(5, 60.0)) == schedule(drawn(5, 60.0))
-    kinds = {planned.kind for seed in range(6) for planned in schedule(drawn(seed, 60.0))}
-    assert kinds == set(Kind)
+    assert schedule(draw_settings(5, 60.0)) == schedule(draw_settings(5, 60.0))
+    kinds = {planned.kind for seed in range(6) for planned in schedule(draw_settings(seed, 60.0))}
+    assert kinds == set(EventKind)
 
 
 def test_the_last_line_has_the_figures_that_are_asked_for() -> None:
-    assert {"seeds", "requests", "kills", "signals", "broken"} <= total([Result(1)]).keys()
+    assert {"seeds", "requests", "kills", "signals", "broken"} <= total_figures([Result(1)]).keys()
 
 
 @pytest.mark.parametrize("arguments", [["--seeds", "x"], ["--seeds", "3-1"], ["--minutes", "0"]])
@@ -175,20 +177,20 @@
     async def crossing() -> None:
         being_made = asyncio.Event()
 
-        async def start(gateway: Gateway) -> float:
+        async def start(gateway: GatewayProcess) -> float:
             being_made.set()
             await asyncio.Event().wait()  # until it is cancelled
             return 0.0
 
-        monkeypatch.setattr(Gateway, "start", start)
-        async with Site(replace(SETTINGS, gateways=0), tmp_path) as site:
-            process = Process(0, SETTINGS, site.records, tmp_path)
-            site.processes.append(process)
+        monkeypatch.setattr(GatewayProcess, "start", start)
+        async with SoakSite(replace(SETTINGS, gateways=0), tmp_path) as site:
+            process = ManagedGateway(0, SETTINGS, site.records, tmp_path)
+            site.gateways.append(process)
             site.tasks.spawn(process.start("127.0.0.1:1", []))
             await being_made.wait()
-            process.look()
+            process.check_process()
             assert (process.pid, process.memory_kb(), process.descriptors()) == (None, 0, 0)
-        assert not site.tasks and not site.records.broken
+        assert not site.tasks and not site.records.violations
 
     asyncio.run(crossing())
 
@@ -202,14 +204,16 @@
         raise OSError("address already in use")
 
     async def play() -> Result:
-        monkeypatch.setattr(Site, "happen", fail)
-        monkeypatch.setattr(Front, "one", fail)
-        async with Site(replace(SETTINGS, gateways=0, duration_s=0.1), tmp_path) as site:
-            site.front.ports.append(1)
-            return await site.play()
-
-    monkeypatch.setattr("faultlab.soak.site.schedule", lambda _: [Planned(0.0, Kind.DRAIN, 0, 1.0)])
-    rules = {broken.rule for broken in asyncio.run(play()).broken}
+        monkeypatch.setattr(SoakSite, "apply_event", fail)
+        monkeypatch.setattr(LoadGenerator, "run_request", fail)
+        async with SoakSite(replace(SETTINGS, gateways=0, duration_s=0.1), tmp_path) as site:
+            site.clients.ports.append(1)
+            return await site.run()
+
+    monkeypatch.setattr(
+        "faultlab.soak.site.schedule", lambda _: [ScheduledEvent(0.0, EventKind.DRAIN, 0, 1.0)]
+    )
+    rules = {broken.rule for broken in asyncio.run(play()).violations}
     assert rules == {"lab"}
 
 
--- a/tests/test_transforms_active.py
+++ b/tests/test_transforms_active.py
@@ -21,7 +21,7 @@
 from cloverkeel.transforms.compiler import compile
 from cloverkeel.transforms.protocol import Head
 from cloverkeel.transforms.source import parse as parse_source
-from faultlab.lab import configuration as lab_configuration
+from faultlab.gateway_process import configuration as lab_configuration
 from tests.sockets import answers, configuration, on_loop, peer, reply, request, running
 
 CAME = [(b"a", b"1"), (b"d", b"2")]
@@ -209,7 +209,7 @@
     program = (
         "import sys, cloverkeel.gateway, cloverkeel.front.server\n"
         "from cloverkeel.config import parse\n"
-        "from faultlab.lab import configuration\n"
+        "from faultlab.gateway_process import configuration\n"
         "parse(configuration('n', 1, '127.0.0.1:1', []))\n"
         "print([m for m in sys.modules if m.startswith(('cloverkeel.transforms', 'lark'))])\n"
     )
--- a/tests/test_transforms_lab.py
+++ b/tests/test_transforms_lab.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from faultlab.lab import ROOT, ask
+from faultlab.gateway_process import ROOT, send_request
 from faultlab.transforms.fleet import TransformsFleet
 
 Case = Callable[[Callable[[TransformsFleet], Awaitable[None]]], None]
@@ -72,7 +72,7 @@
 
 def test_the_commands_publish_tell_and_roll_back(case: Case, tmp_path: Path) -> None:
     async def steps(fleet: TransformsFleet) -> None:
-        file, operator = tmp_path / "mark.transform", ("--operator", fleet.operator("m3"))
+        file, operator = tmp_path / "mark.transform", ("--operator", fleet.operator_address("m3"))
         file.write_text("transform mark")
         code, out, errors = await command("publish", str(file), *operator)
         assert (code, out, errors.count("\n")) == (1, "", 1) and "no owner is given" in errors
@@ -84,12 +84,12 @@
             code, out, _ = await command("publish", str(file), "--wait", "all", *operator)
             assert code == 0 and out.endswith("held by 4\n")
             ids.append(out.split()[2].rstrip(","))
-            await fleet.all(active(ids[-1]))
+            await fleet.wait_all(active(ids[-1]))
         code, out, _ = await command("status", *operator)
         assert code == 0 and f"mark: active; active {ids[1]}" in out
         code, out, _ = await command("rollback", "mark", *operator)
         assert code == 0
-        await fleet.all(active(ids[0]))
+        await fleet.wait_all(active(ids[0]))
         code, out, _ = await command("status", "--json", *operator)
         (mark,) = json.loads(out)["transforms"]
         assert mark["why"] == f"rolled back: {ids[1]}" and mark["before"] is None
@@ -104,12 +104,12 @@
     async def steps(fleet: TransformsFleet) -> None:
         id = await fleet.publish("m0", (SOURCE % 3).encode())  # the first by name, who proposes too
         await fleet.gateways["m0"].signal(signal.SIGKILL)
-        await fleet.all(active(id), names=fleet.names[1:])
+        await fleet.wait_all(active(id), names=fleet.names[1:])
         await fleet.start("m0")
-        await fleet.all(lambda s: active(id)(s) and s["may_decide"] and s["live"] == 4)
-        while fleet.gateways["m0"].said_s("event=transforms.activated") is None:
+        await fleet.wait_all(lambda s: active(id)(s) and s["may_decide"] and s["live"] == 4)
+        while fleet.gateways["m0"].last_line_s("event=transforms.activated") is None:
             await asyncio.sleep(0.01)
-        assert f"mark:{id}" in "".join(fleet.gateways["m0"].events("transforms.activated"))
+        assert f"mark:{id}" in "".join(fleet.gateways["m0"].event_lines("transforms.activated"))
 
     case(steps)
 
@@ -123,15 +123,15 @@
 
         async def load() -> None:
             while True:
-                await asyncio.gather(*(ask(port, CALL % next(ids)) for port in ports))
+                await asyncio.gather(*(send_request(port, CALL % next(ids)) for port in ports))
 
         loading = asyncio.create_task(load())
-        await fleet.all(lambda s: active(good)(s) and bad in s["versions"]["mark"]["why"])
+        await fleet.wait_all(lambda s: active(good)(s) and bad in s["versions"]["mark"]["why"])
         loading.cancel()
         status = await fleet.status("m3")
         assert status["versions"]["mark"]["why"].startswith(f"quarantined: {bad} breakers open at")
-        assert all(gateway.events("transforms.quarantined") for gateway in fleet.gateways.values())
-        assert any(gateway.events("transforms.trip") for gateway in fleet.gateways.values())
+        assert all(gateway.event_lines("transforms.quarantined") for gateway in fleet.gateways.values())
+        assert any(gateway.event_lines("transforms.trip") for gateway in fleet.gateways.values())
 
     case(steps)
 
@@ -142,13 +142,13 @@
         old = before["versions"]["mark"]["active"]["id"]
         few, most = fleet.names[:1], fleet.names[1:]
         fleet.relay.cut(few, most)
-        await fleet.all(lambda s: s["live"] == 3, names=most)
+        await fleet.wait_all(lambda s: s["live"] == 3, names=most)
         new = await fleet.publish("m2", (SOURCE % 4).encode())
-        await fleet.all(active(new), names=most)
+        await fleet.wait_all(active(new), names=most)
         for name in few:
             status = await fleet.status(name)
             assert status["epoch"] == before["epoch"] and active(old)(status)
         fleet.relay.heal()
-        await fleet.all(active(new, before["epoch"]))
+        await fleet.wait_all(active(new, before["epoch"]))
 
     case(steps)
