--- a/cloverkeel/fleet/state/__init__.py
+++ b/cloverkeel/fleet/state/__init__.py
@@ -1,9 +1,11 @@
-"""The state store: one SQLite file of snapshots and counters, checked before anything in it is trusted.
+"""The state store: a SQLite file of snapshots and counters, verified before its content is used.
 
-docs/recovery.md says what is kept and why. `codec` is pure: a snapshot's bytes and its judgement; `file`
-checks a file and `store` holds one; `keeper` is the thread that writes it; `recovery` begins it all. SQLite's
-documented behaviour is followed: WAL mode with `synchronous=FULL` makes each transaction atomic and durable
-(https://sqlite.org/wal.html), and `PRAGMA quick_check` finds a damaged b-tree
+docs/recovery.md says what is stored and why. `codec` encodes snapshots and decides whether one is usable,
+without I/O. `database` opens and verifies the file, `store` is the file as its owner has it, `writer` is the
+thread that writes it, and `recovery` opens the store when the process starts.
+
+The store relies on documented behaviour of SQLite: WAL mode with `synchronous=FULL` makes each transaction
+atomic and durable (https://sqlite.org/wal.html), and `PRAGMA quick_check` finds a damaged b-tree
 (https://sqlite.org/pragma.html#pragma_quick_check).
 """
 
@@ -48,8 +50,8 @@
 
 
 def __getattr__(name: str) -> object:
-    """A name from its module: who needs the codec alone imports no database."""
-    for home, names in LAZY_EXPORTS.items():
-        if name in names:
-            return getattr(import_module(f"{__name__}.{home}"), name)
+    """Imports the module of an exported name on first use, so that users of the codec don't load SQLite."""
+    for module, exported in LAZY_EXPORTS.items():
+        if name in exported:
+            return getattr(import_module(f"{__name__}.{module}"), name)
     raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/cloverkeel/fleet/state/database.py
+++ b/cloverkeel/fleet/state/database.py
@@ -1,4 +1,4 @@
-"""The file itself: connections to it, and the checks that it must pass before anything in it is trusted."""
+"""Connections to the state file, and the checks it must pass before its content is used."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from cloverkeel.fleet.state.codec import SCHEMA_VERSION, decode
 
 STATE_FILE, LOCK_FILE = "cloverkeel.db", "cloverkeel.lock"
-BUSY_TIMEOUT_MS = 2_000
+BUSY_TIMEOUT_MS = 2_000  # how long a statement waits for another connection's lock
 TABLES = """
 CREATE TABLE meta (key TEXT PRIMARY KEY, value TEXT NOT NULL);
 CREATE TABLE snapshot (id INTEGER PRIMARY KEY, taken_unix_s REAL NOT NULL, payload BLOB NOT NULL,
@@ -22,10 +22,11 @@
 
 
 class CorruptError(Exception):
-    """The file fails a check; the message says which, in one line."""
+    """The state file failed a check; the message names it in one line."""
 
 
 def connect(path: str) -> sqlite3.Connection:
+    """Opens the file for reading and writing, creating it if needed. Raises sqlite3.Error."""
     connection = sqlite3.connect(
         path, timeout=BUSY_TIMEOUT_MS / 1000, isolation_level=None, check_same_thread=False
     )
@@ -35,53 +36,55 @@
 
 
 def verify(connection: sqlite3.Connection) -> tuple[list[Snapshot], list[str]]:
-    """The file's sound snapshots, newest first, and a finding for each row that is not.
+    """Returns the valid snapshots, newest first, and a line for each row that is invalid.
 
-    Raises CorruptError where the file as a whole cannot be trusted: not SQLite, damaged, without the schema
-    or with another one, or with snapshots none of which is sound.
+    Raises CorruptError if the file as a whole is unusable: it is not SQLite or is damaged, its schema is
+    missing or of another version, or it has snapshots but none is valid.
     """
     try:
-        answer = connection.execute("PRAGMA quick_check").fetchall()
-        if answer != [("ok",)]:
-            raise CorruptError(f"quick_check: {'; '.join(str(row[0]) for row in answer[:3])}")
+        problems = connection.execute("PRAGMA quick_check").fetchall()
+        if problems != [("ok",)]:
+            raise CorruptError(f"quick_check: {'; '.join(str(row[0]) for row in problems[:3])}")
         tables = {row[0] for row in connection.execute("SELECT name FROM sqlite_master WHERE type='table'")}
         if not {"meta", "snapshot", "counter"} <= tables:
             raise CorruptError("no schema: tables missing")
         row = connection.execute("SELECT value FROM meta WHERE key='schema'").fetchone()
         if row is None or row[0] != str(SCHEMA_VERSION):
-            raise CorruptError(f"schema {row[0] if row else 'missing'}, not {SCHEMA_VERSION}")
+            raise CorruptError(f"schema version {row[0] if row else 'missing'}, expected {SCHEMA_VERSION}")
         rows = connection.execute("SELECT id, payload, sha256 FROM snapshot ORDER BY id DESC").fetchall()
     except sqlite3.DatabaseError as error:
         raise CorruptError(str(error)) from None
-    good, findings = [], []
-    for number, payload, digest in rows:
+    valid, invalid = [], []
+    for row_id, payload, digest in rows:
         if not isinstance(payload, bytes) or hashlib.sha256(payload).hexdigest() != digest:
-            findings.append(f"snapshot {number}: checksum does not match")
+            invalid.append(f"snapshot {row_id}: checksum does not match")
             continue
         try:
-            good.append(decode(payload))
+            valid.append(decode(payload))
         except ValueError as error:
-            findings.append(f"snapshot {number}: {error}")
-    if rows and not good:
-        raise CorruptError(f"no sound snapshot: {'; '.join(findings)}")
-    return good, findings
+            invalid.append(f"snapshot {row_id}: {error}")
+    if rows and not valid:
+        raise CorruptError(f"no sound snapshot: {'; '.join(invalid)}")
+    return valid, invalid
 
 
 def read_counters(connection: sqlite3.Connection) -> dict[str, int]:
+    """Returns all counters by name. Raises sqlite3.Error."""
     return dict(connection.execute("SELECT name, value FROM counter ORDER BY name").fetchall())
 
 
 def move_aside(path: str, now_unix_s: float) -> str:
-    """Rename a file that failed, with its WAL and shared memory, out of the way; returns the new name."""
-    aside = f"{path}.corrupt-{int(now_unix_s)}"
+    """Renames a file that failed its checks, with its `-wal` and `-shm` files; returns the new path."""
+    new_path = f"{path}.corrupt-{int(now_unix_s)}"
     for suffix in ("-wal", "-shm", ""):
         with contextlib.suppress(FileNotFoundError):
-            os.replace(path + suffix, aside + suffix)
-    return aside
+            os.replace(path + suffix, new_path + suffix)
+    return new_path
 
 
 @contextlib.contextmanager
 def transaction(connection: sqlite3.Connection) -> Iterator[None]:
+    """Runs the block in a write transaction: commits at its end, rolls back if it raises."""
     connection.execute("BEGIN IMMEDIATE")
     try:
         yield
@@ -93,7 +96,7 @@
 
 
 def open_read_only(path: str) -> sqlite3.Connection:
-    """A connection that only reads: it sets no journal mode and cannot write. Raises sqlite3.Error."""
+    """Opens the file read-only: sets no journal mode and cannot write. Raises sqlite3.Error."""
     uri = f"file:{path}?mode=ro"
     return sqlite3.connect(
         uri, uri=True, timeout=BUSY_TIMEOUT_MS / 1000, isolation_level=None, check_same_thread=False
@@ -101,8 +104,10 @@
 
 
 def read_snapshots(directory: str) -> list[Snapshot]:
-    """The sound snapshots of a file that another process holds, newest first; nothing is moved or written.
-    A file that fails a check gives none: its owner is the one to judge it."""
+    """Returns the valid snapshots, newest first, of a file that another process owns.
+
+    Moves and writes nothing. Returns none if the file fails a check: only its owner moves it aside.
+    """
     path = os.path.join(directory, STATE_FILE)
     if not os.path.isfile(path):
         return []
--- a/cloverkeel/fleet/state/recovery.py
+++ b/cloverkeel/fleet/state/recovery.py
@@ -1,4 +1,4 @@
-"""Recovery at the start: what may be used of a state directory, and the writer for what comes."""
+"""Opens the state directory when the process starts."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 
 
 def recover(
-    directory: str, interval_s: float, max_age_s: float, upgrade: bool, figures: StoreCounters
+    directory: str, interval_s: float, max_age_s: float, upgrade: bool, store_counters: StoreCounters
 ) -> tuple[StateWriter | None, Snapshot | None]:
-    """Recovery at the start: the store to write to (None: run without one) and the newest snapshot that may
-    be used (None: start cold). Never raises; each reason to go without is one line.
+    """Opens the store and returns its writer and the newest usable snapshot.
 
-    `upgrade`: this process is the new one beside an old one that may still hold the lock.
+    No writer (None) means that the process runs without a store, no snapshot that it starts cold. Never
+    raises; each reason to go without is logged in one line. `upgrade`: this process replaces a predecessor,
+    which may still hold the lock.
     """
     now_unix_s = time.time()
     store: Store | None = None
@@ -32,18 +33,18 @@
                   reason="another process holds this state directory; running without the store")  # fmt: skip
             return None, None
         if fd is None:
-            found = read_snapshots(directory)
+            snapshots = read_snapshots(directory)
         else:
-            store, found = Store.open(directory, fd, figures, now_unix_s)
+            store, snapshots = Store.open(directory, fd, store_counters, now_unix_s)
     except (OSError, sqlite3.Error) as error:
         event("state.unusable", directory=directory, reason=str(error), store="off")
         return None, None
-    newest = found[0] if found else None
+    newest = snapshots[0] if snapshots else None
     if newest is not None:
-        why = unusable_reason(newest, now_unix_s, max_age_s)
-        if why is not None:
-            event("state.stale", directory=directory, reason=why)
+        reason = unusable_reason(newest, now_unix_s, max_age_s)
+        if reason is not None:
+            event("state.stale", directory=directory, reason=reason)
             newest = None
-    event("state.opened", directory=directory, snapshots=len(found), warm=newest is not None,
+    event("state.opened", directory=directory, snapshots=len(snapshots), warm=newest is not None,
           writer="this process" if store is not None else "after the process before ends")  # fmt: skip
-    return StateWriter(directory, interval_s, figures, store), newest
+    return StateWriter(directory, interval_s, store_counters, store), newest
--- a/cloverkeel/fleet/state/writer.py
+++ b/cloverkeel/fleet/state/writer.py
@@ -1,4 +1,4 @@
-"""The writer: one thread, so that the event loop never waits for a disk."""
+"""The thread that writes the state file, so that the event loop never waits for the disk."""
 
 from __future__ import annotations
 
@@ -16,22 +16,23 @@
 
 
 class StateWriter:
-    """The writer: one thread that takes the newest snapshot offered and writes it, so that the loop that
-    offers never waits. Where another process holds the lock (the old process of an upgrade), it takes the
-    lock once that one has ended and writes from then on.
+    """A thread that writes the newest snapshot offered and increments counters.
+
+    If another process holds the lock (the predecessor in an upgrade), the thread takes the lock once that
+    process has exited, and writes from then on.
     """
 
     def __init__(
-        self, directory: str, interval_s: float, figures: StoreCounters, store: Store | None
+        self, directory: str, interval_s: float, store_counters: StoreCounters, store: Store | None
     ) -> None:
         self.directory, self.interval_s, self.store_counters, self.store = (
             directory,
             interval_s,
-            figures,
+            store_counters,
             store,
         )
         self.pending_snapshot: Snapshot | None = None
-        self.pending_increments: list[tuple[str, Future[int]]] = []  # counters to raise
+        self.pending_increments: list[tuple[str, Future[int]]] = []  # counter, and its new value once written
         self.failing = False
         self.closing = False
         self.condition = threading.Condition()
@@ -39,14 +40,17 @@
         self.thread.start()
 
     def offer(self, snapshot: Snapshot) -> None:
-        """Hand over a snapshot to write; an older one not yet written is dropped."""
+        """Passes a snapshot to the thread; replaces one that is not yet written."""
         with self.condition:
             self.pending_snapshot = snapshot
             self.condition.notify()
 
     def request_increment(self, name: str) -> Future[int]:
-        """Have a counter raised: its new value once that is written. It waits while another process holds the
-        file, and fails with sqlite3.Error or OSError where the write does."""
+        """Has the thread increment a counter; the future is its new value, once written.
+
+        It stays pending while another process owns the file, and fails with sqlite3.Error or OSError if the
+        write fails.
+        """
         number: Future[int] = Future()
         with self.condition:
             self.pending_increments.append((name, number))
@@ -54,7 +58,10 @@
         return number
 
     def read_counter(self, name: str) -> int:
-        """A counter as the file has it, whoever holds it; 0: none, or not readable. Reads the disk."""
+        """Reads a counter from the file, whichever process owns it; 0 if there is none or it is unreadable.
+
+        Blocks on the disk.
+        """
         try:
             with contextlib.closing(open_read_only(os.path.join(self.directory, STATE_FILE))) as connection:
                 return read_counters(connection).get(name, 0)
@@ -62,7 +69,7 @@
             return 0
 
     def close(self, final: Snapshot | None, wait_s: float) -> None:
-        """Write `final` if given, then end within `wait_s`; what is still unwritten then is lost."""
+        """Writes `final` if given and ends the thread; what is not written within `wait_s` is lost."""
         with self.condition:
             if final is not None:
                 self.pending_snapshot = final
@@ -93,18 +100,19 @@
         )
 
     def _increment_counters(self) -> None:
+        """Increments the counters asked for and resolves their futures."""
         assert self.store is not None
         with self.condition:
-            numbers, self.pending_increments = self.pending_increments, []
-        for name, number in numbers:
+            increments, self.pending_increments = self.pending_increments, []
+        for name, value in increments:
             try:
-                number.set_result(self.store.increment(name))
+                value.set_result(self.store.increment(name))
             except (OSError, sqlite3.Error) as error:
                 self._record_failure(error)
-                number.set_exception(error)
+                value.set_exception(error)
 
     def _ensure_store(self) -> bool:
-        """Whether there is a file to write to: the lock taken and the file begun, where they were not."""
+        """Takes the lock and prepares the file if that is not done yet; whether the file can be written."""
         if self.store is None:
             self._take_over()
         if self.store is not None and not self.store.boots:
@@ -112,7 +120,7 @@
         return self.store is not None and self.store.boots > 0
 
     def _take_over(self) -> None:
-        """The lock, once the process that held it has let go; then the file as an owner opens it."""
+        """Takes the lock if its holder has released it, then opens the file as its owner."""
         try:
             fd = Store.acquire_lock(self.directory)
             if fd is None:
@@ -124,6 +132,7 @@
         event("state.taken_over", directory=self.directory)
 
     def _prepare(self, store: Store) -> None:
+        """Creates the file if needed and increments `boots`; logs a failure."""
         try:
             store.prepare()
         except (OSError, sqlite3.Error) as error:
@@ -132,6 +141,7 @@
         event("state.ready", directory=self.directory, boots=store.boots)
 
     def _write(self, snapshot: Snapshot) -> None:
+        """Writes a snapshot; logs a failure, and the first success after one."""
         assert self.store is not None
         try:
             self.store.write(snapshot)
@@ -144,6 +154,7 @@
             event("state.write_resumed", directory=self.directory)
 
     def _record_failure(self, error: Exception) -> None:
+        """Counts a failed write, and logs the first of a series."""
         self.store_counters.write_failures += 1
         if not self.failing:
             self.failing = True
