--- a/cloverkeel/fleet/duties/__init__.py
+++ b/cloverkeel/fleet/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that one process holds at a time (docs/duties.md); imported only where some are named."""
+"""Singleton jobs, each held by one process at a time (docs/duties.md); imported only if configured."""
--- a/cloverkeel/fleet/duties/command.py
+++ b/cloverkeel/fleet/duties/command.py
@@ -1,4 +1,4 @@
-"""`python -m cloverkeel duties [release NAME]`: of a state directory, or of the gateway that is asked."""
+"""The command `python -m cloverkeel duties [release NAME]`, for a running gateway or a state directory."""
 
 from __future__ import annotations
 
@@ -12,26 +12,27 @@
 from cloverkeel.fleet import operator_commands
 from cloverkeel.fleet.membership.command import CommandError
 
-LACKS = "duties"
+LACKS = "duties"  # configuration key whose absence explains a 404
 
 
-def register(parts: Any) -> None:
-    duties = parts.add_parser("duties", help="who holds which duty, under which token")
+def register(subparsers: Any) -> None:
+    """Adds the command to the parser."""
+    duties = subparsers.add_parser("duties", help="who holds which duty, under which token")
     duties.add_argument("verb", nargs="?", choices=("release",), help="let go of NAME, whoever holds it")
     duties.add_argument("name", nargs="?", metavar="NAME")
     duties.add_argument("--state-dir", metavar="DIR", help="a state directory: the local backend's, offline")
     duties.add_argument("--json", action="store_true", help="one JSON object instead of lines")
     operator_commands.add_operator_option(duties, _online)
-    guarded = duties.get_default("run")
-    duties.set_defaults(run=lambda arguments: _run(arguments, guarded, duties))
+    run_online = duties.get_default("run")
+    duties.set_defaults(run=lambda arguments: _run(arguments, run_online, duties))
 
 
-def _run(arguments: argparse.Namespace, guarded: Any, duties: argparse.ArgumentParser) -> int:
-    """0: done; 1: not, in one line; 2: the call's words are off."""
+def _run(arguments: argparse.Namespace, run_online: Any, duties: argparse.ArgumentParser) -> int:
+    """Runs the command. Exit code 0: done; 1: failed, with a line on stderr; 2: usage error."""
     if (arguments.verb is None) != (arguments.name is None):
         duties.error("release takes the duty's NAME")
     if arguments.state_dir is None:
-        code: int = guarded(arguments)
+        code: int = run_online(arguments)
         return code
     try:
         return _offline(arguments)
@@ -41,6 +42,7 @@
 
 
 def _offline(arguments: argparse.Namespace) -> int:
+    """Reads or changes the leases in a state directory."""
     from cloverkeel.fleet.duties import local
     from cloverkeel.fleet.duties.part import force_release
 
@@ -57,10 +59,11 @@
 
 
 def _online(address: operator_commands.Address, arguments: argparse.Namespace) -> int:
+    """Asks a running gateway."""
     if arguments.verb is None:
         answer = operator_commands.request_json(address, "/api/duties", lacks=LACKS)
         if not isinstance(answer.get("duties"), list):
-            raise CommandError("the answer tells of no duties")
+            raise CommandError("the gateway's answer has no list of duties")
         _print_duties(answer, arguments.json)
         return 0
     query = urlencode({"name": arguments.name})
--- a/cloverkeel/fleet/duties/core.py
+++ b/cloverkeel/fleet/duties/core.py
@@ -1,7 +1,7 @@
-"""When to ask for a duty, renew it, act under it, step down and let go: events in, actions out, no clock.
+"""Decides when to acquire, renew, give up and release leases: events in, actions out, no clock.
 
-A process counts its time from the moment at which it sent the request that was granted, which is never later
-than the moment from which the backend counts, and stops a margin earlier (docs/duties.md).
+A holder counts its lease from when it sent the request that was granted. That is never later than the moment
+from which the backend counts, and the holder stops a margin before the lease expires (docs/duties.md).
 """
 
 from __future__ import annotations
@@ -30,28 +30,26 @@
     Verb,
 )
 
-RETRY_FRACTION = 0.1  # of the time to live: until a call that came to nothing is made again, at most
-JITTER_FRACTION = 0.02  # of the time to live: contenders that see one lease end ask at moments of their own
-CALL_TIMEOUT_FRACTION = (
-    1.0  # times the time to live: a call that has not been answered for so long is given up
-)
+RETRY_FRACTION = 0.1  # of the TTL: longest wait until a call of unknown outcome is retried
+JITTER_FRACTION = 0.02  # of the TTL: spreads the calls of contenders that see the same lease end
+CALL_TIMEOUT_FRACTION = 1.0  # of the TTL: a call not answered within it is given up
 
 
 @dataclass(slots=True)
 class Lease:
-    """One duty as this process has it. `token` 0: not held."""
+    """This process's state of one duty. `token` 0: not held."""
 
     duty: Duty
     token: int = 0
-    valid_until_s: float = 0.0  # acting ends here
-    pending_call: BackendCall | None = None  # the call that is out
-    sent_at_s: float = 0.0
-    next_call_s: float = 0.0  # when to ask next
-    wanted: bool = True
+    valid_until_s: float = 0.0  # from then on the process must not act
+    pending_call: BackendCall | None = None  # sent and not yet answered
+    sent_at_s: float = 0.0  # when the last call was sent
+    next_call_s: float = 0.0  # when to acquire or renew next, if no call is pending
+    wanted: bool = True  # whether to acquire it again once it is not held
 
 
 class LeaseManager:
-    """One process's duties. `holder`: its name, no other process's at the same time."""
+    """Manages the leases of one process. `holder`: its name, unique among running processes."""
 
     def __init__(self, holder: str, rng: random.Random) -> None:
         self.holder, self.rng = holder, rng
@@ -60,21 +58,22 @@
         self.shutting_down = False
 
     def current_token(self, now_s: float, duty: str) -> int | None:
-        """The token to act under now, or None where this process does not hold the duty at this moment."""
+        """The token to act under at this moment, or None if this process does not hold the duty."""
         lease = self.leases.get(duty)
         return lease.token if lease is not None and lease.token and now_s < lease.valid_until_s else None
 
     def handle(self, now_s: float, event: Event) -> list[Action]:
+        """Processes an event and returns the actions to execute, in order."""
         out: list[Action] = []
         match event:
             case DutiesConfigured(duties):
                 self._set_configured(now_s, duties, out)
-            case CallAnswered(name, number, answer):
+            case CallAnswered(name, call_id, answer):
                 lease = self.leases.get(name)
                 if (
                     lease is not None
                     and lease.pending_call is not None
-                    and lease.pending_call.call_id == number
+                    and lease.pending_call.call_id == call_id
                 ):
                     self._handle_answer(now_s, lease, answer, out)
                 elif isinstance(answer, Granted):
@@ -91,7 +90,7 @@
         return out
 
     def next_due_s(self) -> float:
-        """When a `Tick` next has something to do; infinite: never."""
+        """When a `Tick` is next needed; infinity if never."""
         times = [float("inf")]
         for lease in self.leases.values():
             if lease.token:
@@ -102,28 +101,34 @@
                 times.append(lease.next_call_s)
         return min(times)
 
-    # What is wanted
+    # Configured duties
 
     def _set_configured(self, now_s: float, duties: tuple[Duty, ...], out: list[Action]) -> None:
-        named = {duty.name: duty for duty in duties}
+        """Starts to contend for new duties, and releases those removed or given another TTL."""
+        configured = {duty.name: duty for duty in duties}
         for name, lease in self.leases.items():
-            if name not in named:
+            if name not in configured:
                 self._release(now_s, lease, "no longer named", out)
-        for name, duty in named.items():
-            known = self.leases.get(name)
-            if known is None:
+        for name, duty in configured.items():
+            existing = self.leases.get(name)
+            if existing is None:
                 self.leases[name] = Lease(
                     duty, next_call_s=now_s + self.rng.random() * JITTER_FRACTION * duty.ttl_s
                 )
                 continue
-            known.wanted = not self.shutting_down
-            if known.duty != duty:  # a lease runs to its end under the time to live that it was granted
-                self._release(now_s, known, "another time to live", out)
-                known.duty, known.next_call_s = duty, now_s + duty.ttl_s * JITTER_FRACTION
-        for name in [n for n, lease in self.leases.items() if n not in named and lease.pending_call is None]:
+            existing.wanted = not self.shutting_down
+            if existing.duty != duty:  # another TTL: it applies only to a new grant
+                self._release(now_s, existing, "another time to live", out)
+                existing.duty, existing.next_call_s = duty, now_s + duty.ttl_s * JITTER_FRACTION
+        for name in [
+            other
+            for other, lease in self.leases.items()
+            if other not in configured and lease.pending_call is None
+        ]:
             del self.leases[name]
 
     def _release(self, now_s: float, lease: Lease, reason: str, out: list[Action]) -> None:
+        """Releases a lease if it is held; it is acquired again only after a change of its TTL."""
         lease.wanted = lease.wanted and reason == "another time to live"
         token = lease.token
         if token:
@@ -143,13 +148,12 @@
                 lease.valid_until_s = lease.sent_at_s + duty.holder_ttl_s
                 lease.next_call_s = lease.sent_at_s + duty.renew_interval_s
             case Held(holder, token, _) if holder == self.holder and not lease.token:
-                self._call_backend(
-                    now_s, lease, "release", token, out
-                )  # granted by a call whose answer was lost
+                # Granted by a call whose answer was lost.
+                self._call_backend(now_s, lease, "release", token, out)
             case Held(_, _, left_s):
                 if lease.token:
                     self._end_holding(lease, "taken by another", out)
-                # Sooner, where the backend sees it let go (`Changed`).
+                # Sooner if the backend sees that it was released (`DutyFreed`).
                 lease.next_call_s = now_s + max(left_s, duty.ttl_s * JITTER_FRACTION) + self._jitter_s(lease)
             case NotHeld():
                 if lease.token:
@@ -166,18 +170,18 @@
         duty = lease.duty
         lease.valid_until_s = lease.sent_at_s + duty.holder_ttl_s
         if not lease.wanted or now_s >= lease.valid_until_s:
-            # The answer came too late to act on, or the duty is not wanted any more: the next may have it.
+            # The grant came too late to act under, or the duty is no longer wanted: give it back.
             out.append(LogEvent("duties.late", (("duty", duty.name), ("token", token))))
             self._call_backend(now_s, lease, "release", token, out)
             return
         if invariants.ON:
-            invariants.check(lease.token == 0, "a duty begins where it is not held", duty=duty.name)
+            invariants.check(lease.token == 0, "a duty starts only where it is not held", duty=duty.name)
         lease.token = token
         lease.next_call_s = lease.sent_at_s + duty.renew_interval_s
         out.append(DutyStarted(duty.name, token))
 
     def _return_late_grant(self, name: str, token: int, out: list[Action]) -> None:
-        """A grant that nobody waits for: given back, unless it is the one held."""
+        """Releases a grant that no pending call waits for, unless it is the lease held."""
         lease = self.leases.get(name)
         if lease is None or lease.token == token:
             return
@@ -189,9 +193,10 @@
         out.append(DutyEnded(lease.duty.name, lease.token, reason))
         lease.token, lease.valid_until_s = 0, 0.0
 
-    # What is due
+    # Timers
 
     def _run_due(self, now_s: float, out: list[Action]) -> None:
+        """Ends expired leases, gives up calls that timed out and makes the calls that are due."""
         for lease in list(self.leases.values()):
             duty = lease.duty
             if lease.token and now_s >= lease.valid_until_s:
@@ -200,7 +205,7 @@
                 lease.pending_call is not None
                 and now_s - lease.sent_at_s >= duty.ttl_s * CALL_TIMEOUT_FRACTION
             ):
-                lease.pending_call = None  # its answer, if it comes, changes nothing
+                lease.pending_call = None  # an answer that still comes is ignored; a grant is released
                 lease.next_call_s = now_s
                 if not lease.wanted:
                     del self.leases[duty.name]
--- a/cloverkeel/fleet/duties/interface.py
+++ b/cloverkeel/fleet/duties/interface.py
@@ -1,4 +1,4 @@
-"""What goes into the core and what comes out of it. Times are seconds of a monotonic clock."""
+"""The events and actions of the lease core, and the answers of a backend. Times: seconds, monotonic clock."""
 
 from __future__ import annotations
 
@@ -6,24 +6,25 @@
 from typing import Any, Literal
 
 Verb = Literal["acquire", "renew", "release"]
-SAFETY_MARGIN = 0.15  # of the time to live: the holder stops that much earlier, by its own clock
-RENEWALS_PER_TTL = 4  # in a time to live
+SAFETY_MARGIN = 0.15  # fraction of the TTL by which the holder stops early, so that clocks may differ in rate
+RENEWALS_PER_TTL = 4  # so that some renewals may fail before the lease expires
 
 
 @dataclass(slots=True, frozen=True)
 class Duty:
-    """A duty that this process may hold. `ttl_s`: how long after its last renewal it may pass to another."""
+    """A duty that this process may hold. `ttl_s`: time after its last renewal at which the lease expires."""
 
     name: str
     ttl_s: float = 10.0
 
     @property
     def holder_ttl_s(self) -> float:
-        """How long its holder acts after it sent the request that was granted."""
+        """How long the holder may act, counted from when it sent the request that was granted."""
         return self.ttl_s * (1.0 - SAFETY_MARGIN)
 
     @property
     def renew_interval_s(self) -> float:
+        """Time from sending a granted request to sending the next renewal."""
         return self.ttl_s / RENEWALS_PER_TTL
 
 
@@ -32,14 +33,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Granted:
-    """To `acquire`: held from now on under a new token. To `renew`: still held, under the same."""
+    """To `acquire`: the lease is granted under a new token. To `renew`: it is extended under the same."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
 class Held:
-    """Another holds it, for `left_s` more unless it renews."""
+    """Another process holds the lease; unless renewed, it expires in `left_s`."""
 
     holder: str
     token: int
@@ -48,12 +49,12 @@
 
 @dataclass(slots=True, frozen=True)
 class NotHeld:
-    """To `renew`: no longer this holder's under that token. To `release`: not held under it now."""
+    """To `renew`: the lease is no longer held under that token. To `release`: it is now free of it."""
 
 
 @dataclass(slots=True, frozen=True)
 class Unreachable:
-    """Nothing is known: the call may or may not have taken effect."""
+    """The outcome is unknown: the call may or may not have taken effect."""
 
     reason: str
 
@@ -63,7 +64,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseStatus:
-    """A duty as a backend has it; `left_s` at 0 or below: it is free."""
+    """A duty's lease as the backend records it; with `left_s` at 0 or below it is free."""
 
     name: str
     holder: str
@@ -71,7 +72,7 @@
     left_s: float
 
     def to_dict(self) -> dict[str, Any]:
-        """For operators: who is past its time holds nothing."""
+        """For operators: an expired lease is shown without a holder."""
         holder = self.holder if self.left_s > 0 else ""
         left_s = round(max(0.0, self.left_s), 3)
         return {"duty": self.name, "holder": holder, "token": self.token, "left_s": left_s}
@@ -82,14 +83,14 @@
 
 @dataclass(slots=True, frozen=True)
 class DutiesConfigured:
-    """The duties of the configuration; those held that are not among them are let go."""
+    """The configured duties; those held that are not among them are released."""
 
     duties: tuple[Duty, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class CallAnswered:
-    """The answer to the `Ask` of this number; a late or second one changes nothing."""
+    """The backend's answer to the call of this id; a grant that comes too late is released."""
 
     duty: str
     call_id: int
@@ -98,19 +99,19 @@
 
 @dataclass(slots=True, frozen=True)
 class DutyFreed:
-    """The backend saw the duty pass or become free."""
+    """The backend saw that the duty has become free."""
 
     duty: str
 
 
 @dataclass(slots=True, frozen=True)
 class Tick:
-    """Due when `Duties.due_s` says."""
+    """Time has passed; due at `LeaseManager.next_due_s`."""
 
 
 @dataclass(slots=True, frozen=True)
 class Shutdown:
-    """The process ends: all is let go, nothing more is asked for."""
+    """The process ends: releases all leases and acquires no more."""
 
 
 Event = DutiesConfigured | CallAnswered | DutyFreed | Tick | Shutdown
@@ -121,17 +122,17 @@
 
 @dataclass(slots=True, frozen=True)
 class BackendCall:
-    """Call the backend, and say `Answered` with the same number."""
+    """Call the backend, then pass its answer in `CallAnswered` with the same id."""
 
     duty: Duty
     verb: Verb
     call_id: int
-    token: int = 0  # of the lease to renew or release
+    token: int = 0  # of the lease to renew or release; 0 for `acquire`
 
 
 @dataclass(slots=True, frozen=True)
 class DutyStarted:
-    """This process holds the duty from now on."""
+    """This process now holds the duty, under `token`."""
 
     duty: str
     token: int
@@ -139,7 +140,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DutyEnded:
-    """It holds it no longer."""
+    """This process no longer holds the duty."""
 
     duty: str
     token: int
@@ -148,7 +149,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LogEvent:
-    """Something for the log."""
+    """Write a log event with these fields."""
 
     name: str
     fields: tuple[tuple[str, object], ...]
--- a/cloverkeel/fleet/duties/local.py
+++ b/cloverkeel/fleet/duties/local.py
@@ -1,8 +1,8 @@
-"""The backend of one machine: leases in the state store's SQLite file, which several processes open.
+"""The backend for one machine: leases in the state store's SQLite file, which several processes open.
 
-Times are the monotonic clock that all processes of one boot share. A file that is seen for the first time (a
-new one, a copy put in its place, another boot) grants nothing for a time to live: who held a duty by the file
-before may still act.
+Times are read from the monotonic clock, which all processes of one boot share. A file seen for the first
+time (new, a copy put in its place, or after a reboot) grants nothing for one TTL, because a process that held
+a duty in the previous file may still act.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 )
 from cloverkeel.fleet.state.database import STATE_FILE, connect, open_read_only, transaction
 
-BUSY_TIMEOUT_MS = 200  # for another's transaction to end; then nothing is known
+BUSY_TIMEOUT_MS = 200  # wait for another process's transaction; after it the outcome is `Unreachable`
 BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
 TABLES = (
     "CREATE TABLE IF NOT EXISTS lease (name TEXT PRIMARY KEY, holder TEXT NOT NULL, token INTEGER NOT NULL, "
@@ -38,7 +38,10 @@
 
 
 class LocalBackend:
-    """Calls block on the disk and on other processes: they belong on a thread, one at a time."""
+    """One process's access to the lease table. Calls block on the disk and on other processes' transactions.
+
+    So they belong on a thread of their own, one call at a time.
+    """
 
     def __init__(
         self,
@@ -50,33 +53,35 @@
         self.path = os.path.join(directory, STATE_FILE)
         self.holder, self.clock, self.unix_clock = holder, clock, unix
         self.connection: sqlite3.Connection | None = None
-        self.opened_identity = ""  # device, inode and boot of the file that the connection has open
+        self.opened_identity = ""  # device, inode and boot id of the file that `connection` has open
         self.data_version = -1
         self.transactions = 0
 
-    def call(self, ask: BackendCall) -> BackendAnswer:
-        """Carry a call out. Raises nothing: what goes wrong is `Unreachable`."""
+    def call(self, call: BackendCall) -> BackendAnswer:
+        """Executes a call; returns `Unreachable` on an error instead of raising."""
         try:
-            return self._transact(lambda c: self._execute(c, ask))
+            return self._transact(lambda connection: self._execute(connection, call))
         except (OSError, sqlite3.Error) as error:
             return Unreachable(str(error) or type(error).__name__)
 
     def freed(self, names: set[str]) -> list[str]:
-        """Which of these duties are free now, where the file has changed since the last look; reads alone."""
+        """Which of these duties are free now, if the file has changed since the last poll. Only reads."""
         try:
             connection = self._open()
-            version = connection.execute("PRAGMA data_version").fetchone()[0]
-            if version == self.data_version:
+            data_version = connection.execute("PRAGMA data_version").fetchone()[0]
+            if data_version == self.data_version:
                 return []
             rows = _read_leases(connection, self.clock())
-            self.data_version = version
+            self.data_version = data_version
         except (OSError, sqlite3.Error):
-            return []  # the call that follows says why
+            return []  # the next `call` reports the error
         return [row.name for row in rows if row.name in names and row.left_s <= 0]
 
     def force_release(self, name: str) -> int:
-        """Let go of a duty whoever holds it, so that the next grant has a higher token than the one given
-        back, which nobody holds. Raises OSError, sqlite3.Error, or KeyError where nobody ever held it."""
+        """Releases a duty whichever process holds it; returns a new token, which no process holds.
+
+        The next grant has a higher token. Raises OSError, sqlite3.Error, or KeyError if it was never held.
+        """
 
         def release(connection: sqlite3.Connection) -> int:
             token = _read_lease(connection, name)[1]
@@ -88,21 +93,22 @@
         return self._transact(release)
 
     def list_leases(self) -> list[LeaseStatus]:
-        """Raises OSError, sqlite3.Error."""
+        """Returns all leases. Raises OSError, sqlite3.Error."""
         return list_leases(os.path.dirname(self.path))
 
     def close(self) -> None:
+        """Closes the connection; the next call opens it again."""
         if self.connection is not None:
             self.connection.close()
             self.connection = None
 
-    def _execute(self, connection: sqlite3.Connection, ask: BackendCall) -> BackendAnswer:
-        now_s, name, ttl_s = self.clock(), ask.duty.name, ask.duty.ttl_s
+    def _execute(self, connection: sqlite3.Connection, call: BackendCall) -> BackendAnswer:
+        now_s, name, ttl_s = self.clock(), call.duty.name, call.duty.ttl_s
         since_s = self._in_use_since_s(connection, now_s)
         holder, token, until_s = _read_lease(connection, name)
         held = bool(holder) and now_s < until_s
-        mine = held and holder == self.holder and token == ask.token
-        if ask.verb == "acquire":
+        is_holder = held and holder == self.holder and token == call.token
+        if call.verb == "acquire":
             if held:
                 return Held(holder, token, until_s - now_s)
             if now_s < since_s + ttl_s:
@@ -110,15 +116,16 @@
             token = self._next_token(token)
             self._put(connection, name, self.holder, token, now_s + ttl_s)
             return Granted(token)
-        if not mine:
+        if not is_holder:
             return NotHeld()
-        if ask.verb == "release":
+        if call.verb == "release":
             self._put(connection, name, "", token, 0.0)
             return NotHeld()
         self._put(connection, name, self.holder, token, now_s + ttl_s)
         return Granted(token)
 
     def _next_token(self, token: int) -> int:
+        """A token above `token` and at least the wall clock in ms: so it also grows in a replaced file."""
         return max(token + 1, int(self.unix_clock() * 1000))
 
     @staticmethod
@@ -129,11 +136,11 @@
         )
 
     def _in_use_since_s(self, connection: sqlite3.Connection, now_s: float) -> float:
-        """Since when this very file has been in use, on this boot."""
+        """Since when this file has been in use on this boot; records its first use and clears all leases."""
         row = connection.execute("SELECT seen_as, since_s FROM lease_file").fetchone()
         if row is not None and row[0] == self.opened_identity:
             return float(row[1])
-        # Leases of another boot or place say nothing of this one: their times are another clock's.
+        # Leases written on another boot or to another file have times of another clock: clear them.
         connection.execute("UPDATE lease SET holder = '', until_s = 0")
         connection.execute(
             "INSERT OR REPLACE INTO lease_file VALUES (1, ?, ?)", (self.opened_identity, now_s)
@@ -143,15 +150,16 @@
     # The file
 
     def _transact(self, change: Callable[[sqlite3.Connection], Result]) -> Result:
+        """Runs `change` in a write transaction. Raises OSError, sqlite3.Error."""
         connection = self._open()
         self.transactions += 1
         with transaction(connection):
             if self._identity() != self.opened_identity:
-                raise OSError("the state file was replaced meanwhile")
+                raise OSError("the state file was replaced before the transaction began")
             return change(connection)
 
     def _open(self) -> sqlite3.Connection:
-        """The connection to the file that the path names now."""
+        """Returns a connection to the file that is now at the path; reopens it if it was replaced."""
         identity = self._identity()
         if self.connection is not None and identity == self.opened_identity:
             return self.connection
@@ -169,31 +177,32 @@
         return connection
 
     def _identity(self) -> str:
-        """Raises OSError where there is no file: the state store begins it."""
+        """The identity of the file at the path. Raises OSError if the store has not created it yet."""
         return _file_identity(os.stat(self.path))
 
 
-def _file_identity(found: os.stat_result) -> str:
-    """A file's device and inode, and the boot whose monotonic clock its leases go by."""
+def _file_identity(stat: os.stat_result) -> str:
+    """A file's device and inode, and the id of the boot whose monotonic clock its leases use."""
     with open(BOOT_ID_PATH, encoding="ascii") as file:
-        return f"{found.st_dev}:{found.st_ino}:{file.read().strip()}"
+        return f"{stat.st_dev}:{stat.st_ino}:{file.read().strip()}"
 
 
 def _read_lease(connection: sqlite3.Connection, name: str) -> tuple[str, int, float]:
+    """Holder, token and expiry of a duty; empty and 0 if it was never held."""
     row = connection.execute("SELECT holder, token, until_s FROM lease WHERE name = ?", (name,)).fetchone()
     return (str(row[0]), int(row[1]), float(row[2])) if row is not None else ("", 0, 0.0)
 
 
 def _read_leases(connection: sqlite3.Connection, now_s: float) -> list[LeaseStatus]:
-    found = connection.execute("SELECT name, holder, token, until_s FROM lease ORDER BY name").fetchall()
+    rows = connection.execute("SELECT name, holder, token, until_s FROM lease ORDER BY name").fetchall()
     return [
         LeaseStatus(name, holder, token, until_s - now_s if holder else 0.0)
-        for name, holder, token, until_s in found
+        for name, holder, token, until_s in rows
     ]
 
 
 def list_leases(directory: str) -> list[LeaseStatus]:
-    """The duties of a state directory as they stand, read without a write. Raises OSError, sqlite3.Error."""
+    """Returns the leases in a state directory without writing to it. Raises OSError, sqlite3.Error."""
     path = os.path.join(directory, STATE_FILE)
     if not os.path.isfile(path):
         raise FileNotFoundError(2, "no such file", path)
@@ -202,8 +211,8 @@
         if "lease" not in tables:
             return []
         rows = _read_leases(connection, time.monotonic())
-        found = os.stat(path)
+        stat = os.stat(path)
         seen_as = connection.execute("SELECT seen_as FROM lease_file").fetchone()
-        if seen_as != (_file_identity(found),):  # of another boot or place: their times are another clock's
+        if seen_as != (_file_identity(stat),):  # times of another clock
             return [replace(row, holder="", left_s=0.0) for row in rows]
         return rows
--- a/cloverkeel/fleet/duties/part.py
+++ b/cloverkeel/fleet/duties/part.py
@@ -1,4 +1,4 @@
-"""Duties beside one gateway: begun once the state store is there, told to operators, let go at the end."""
+"""Runs the duties of one gateway: starts them once the state store is open, shows them to operators."""
 
 from __future__ import annotations
 
@@ -27,49 +27,53 @@
     from cloverkeel.fleet.membership.service import Membership
 
 BOOTSTRAP_CALL = "duties.founding"
-BOOTSTRAP_RETRY_S = 0.5  # between two rounds of the founding
-BOOTSTRAP_CALL_TIMEOUT_S = 1.0
+BOOTSTRAP_RETRY_S = 0.5  # between two rounds of calls to the other voters
+BOOTSTRAP_CALL_TIMEOUT_S = 1.0  # for the answer of one voter
 NOT_STARTED = Answer(503, b"duties have not started yet\n")
 
 
 class DutiesPart:
-    """`start` after the store and membership; `leave` at the signal to end."""
+    """The gateway's duties. Call `start` after the store and membership have started, `leave` on shutdown."""
 
     def __init__(self, settings: DutySettings, name: str, directory: str) -> None:
         events.setup_logging()
         self.settings, self.name, self.directory = settings, name, directory
         self.run_id = secrets.randbits(62) + 1
-        self.holder = f"{name}/{self.run_id:x}"  # the old and the new process of an upgrade are two
+        self.holder = f"{name}/{self.run_id:x}"  # unique: the two processes of an upgrade have one name
         self.configured: tuple[Duty, ...] = settings.duties
         self.service: DutyService | None = None
         self.backend: LocalBackend | QuorumBackend | None = None
         self.start_task: asyncio.Task[None] | None = None
         self.jobs: list[PeriodicJob] = []
-        self.listeners: list[tuple[str, Callable[[int | None], None]]] = []  # until the service is there
+        self.listeners: list[
+            tuple[str, Callable[[int | None], None]]
+        ] = []  # added before the service started
 
     def start(self, membership: Membership | None) -> None:
+        """Starts the duties; with the quorum backend in the background, once this voter may join."""
         if self.settings.backend == "local":
             from cloverkeel.fleet.duties.local import LocalBackend
 
             self._start_service(LocalBackend(self.directory, self.holder))
             return
-        assert membership is not None, "settings.parse_duties sees to it"
+        assert membership is not None, "settings.parse_duties sees to it: quorum needs a cluster"
         self.start_task = asyncio.get_running_loop().create_task(self._bootstrap(membership))
 
     def add_listener(self, duty: str, listener: Callable[[int | None], None]) -> None:
-        """See `Service.listen`; also before there is one."""
+        """As `DutyService.add_listener`, also before the service has started."""
         if self.service is not None:
             self.service.add_listener(duty, listener)
         else:
             self.listeners.append((duty, listener))
 
     def reconfigured(self, config: Config) -> None:
-        """After a SIGHUP: which duties are named may change, the backend may not."""
+        """Applies the configuration after a SIGHUP: the duties may change, the backend may not."""
         self.configured = config.duties.duties if config.duties is not None else ()
         if self.service is not None:
             self.service.set_duties(self.configured)
 
     def _start_service(self, backend: LocalBackend | QuorumBackend) -> None:
+        """Contends for the configured duties on a backend that is ready."""
         self.backend = backend
         self.service = DutyService(self.holder, backend)
         self.jobs = [PeriodicJob(duty, self.service, self.directory, JOBS[duty]) for duty in JOBS]
@@ -78,36 +82,38 @@
         self.service.set_duties(self.configured)
 
     async def _bootstrap(self, membership: Membership) -> None:
+        """Asks the other voters until this one may join, then starts the quorum backend."""
         from cloverkeel.fleet.duties.quorum import JOURNAL, QuorumBackend
 
         voters = self.settings.voters
         others = frozenset(voters) - {self.name}
         has_journal = os.path.exists(os.path.join(self.directory, JOURNAL))
-        founding = Bootstrap(self.name, self.run_id, others, has_journal)
-        membership.calls.serve(BOOTSTRAP_CALL, lambda member, life: founding.answer(member, int(life)))
-        said = ""
-        while not founding.may_start:
+        bootstrap = Bootstrap(self.name, self.run_id, others, has_journal)
+        membership.calls.serve(BOOTSTRAP_CALL, lambda voter, run_id: bootstrap.answer(voter, int(run_id)))
+        logged_reason = ""
+        while not bootstrap.may_start:
             view = membership.view()
-            for member in others:
-                rumour = view.get(member)
-                if rumour is None:
+            for voter in others:
+                update = view.get(voter)
+                if update is None:
                     continue
                 try:
-                    has_log, life = await membership.calls.call(
-                        rumour.address, BOOTSTRAP_CALL, self.run_id, BOOTSTRAP_CALL_TIMEOUT_S
+                    has_log, run_id = await membership.calls.call(
+                        update.address, BOOTSTRAP_CALL, self.run_id, BOOTSTRAP_CALL_TIMEOUT_S
                     )
-                    founding.handle_answer(member, bool(has_log), int(life))
+                    bootstrap.handle_answer(voter, bool(has_log), int(run_id))
                 except (CallFailed, TypeError, ValueError):
-                    continue  # it is asked again
-            waits = (
-                founding.refusal or f"waits for {', '.join(sorted(others - founding.founder_run_ids.keys()))}"
+                    continue  # it is asked again in the next round
+            reason = (
+                bootstrap.refusal
+                or f"waits for answers of {', '.join(sorted(others - bootstrap.founder_run_ids.keys()))}"
             )
-            if not founding.may_start:
-                if waits != said:
-                    events.event("duties.no_vote", voter=self.name, reason=waits)
-                    said = waits
+            if not bootstrap.may_start:
+                if reason != logged_reason:
+                    events.event("duties.no_vote", voter=self.name, reason=reason)
+                    logged_reason = reason
                 await asyncio.sleep(BOOTSTRAP_RETRY_S)
-        addresses = tuple(voters[member] for member in sorted(others))
+        addresses = tuple(voters[voter] for voter in sorted(others))
         backend = QuorumBackend(
             self.holder, self.directory, voters[self.name], addresses, self.settings.password or None
         )
@@ -115,27 +121,29 @@
         self._start_service(backend)
 
     async def leave(self) -> None:
-        """Let go of all duties; the next process has them at once."""
+        """Releases all duties, so that other processes can take them at once."""
         if self.start_task is not None:
             self.start_task.cancel()
-        for chore in self.jobs:
-            chore.close()
+        for job in self.jobs:
+            job.close()
         if self.service is not None:
             await self.service.close()
 
     def counters(self) -> dict[str, int]:
-        """For telemetry."""
+        """The duties' counters under their metric names; empty before the start."""
         if self.service is None or self.backend is None:
             return {}
         counts = {"transactions": self.backend.transactions, **self.service.counts}
         return {f"duties_{name}_total": number for name, number in counts.items()}
 
     def gauges(self) -> dict[str, int]:
+        """The number of duties held now, under its metric name."""
         return {"duties_held": self.service.held_count() if self.service is not None else 0}
 
-    # Operators' calls
+    # Operator interface
 
     def status(self) -> Answer:
+        """Answers with all leases of the backend."""
         if self.service is None or self.backend is None:
             return NOT_STARTED
         try:
@@ -146,7 +154,7 @@
         return Answer(200, json.dumps(body).encode(), JSON_CONTENT_TYPE)
 
     async def release(self, query: bytes, body: bytes) -> Answer:
-        """`name` in the query: let go of it, whoever holds it."""
+        """Releases the duty that the query's `name` names, whichever process holds it."""
         if self.service is None or self.backend is None:
             return NOT_STARTED
         try:
@@ -161,7 +169,7 @@
 
 
 def force_release(backend: LocalBackend | QuorumBackend | None, name: str) -> int:
-    """The token from which on a duty is free. Raises ValueError where nobody ever held it."""
+    """Releases a duty; returns the token under which it is free. Raises ValueError if it was never held."""
     assert backend is not None
     try:
         return backend.force_release(name)
--- a/cloverkeel/fleet/duties/settings.py
+++ b/cloverkeel/fleet/duties/settings.py
@@ -1,4 +1,4 @@
-"""The configuration's `duties` object, checked strictly: an unknown key is refused by its name."""
+"""Parses the configuration's `duties` object strictly: an unknown key is an error that names it."""
 
 from __future__ import annotations
 
@@ -11,16 +11,18 @@
 from cloverkeel.fleet.duties.interface import Duty
 from cloverkeel.fleet.membership.codec import parse_address
 
-MIN_VOTERS = 3  # at the least: two of them are a majority, with one away
+MIN_VOTERS = 3  # with three, two are a majority if one is down
 
 
 class NamedDuty(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """A duty that the gateway contends for. `ttl_s`: time after its last renewal at which a lease expires."""
+
     name: Annotated[str, msgspec.Meta(pattern="^[a-z0-9][a-z0-9._-]{0,63}$")]
     ttl_s: Annotated[float, msgspec.Meta(ge=0.5, le=3600)] = 10.0
 
 
 class DutySettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """`voters`: for `quorum`, each voter's name (its gateway's) and the address at which Raft hears it."""
+    """The `duties` object. `voters`: for `quorum`, the gateway name and Raft address of each voter."""
 
     named: tuple[NamedDuty, ...]
     backend: Literal["local", "quorum"] = "local"
@@ -28,17 +30,20 @@
     password: str = ""
 
     def reloaded(self, new: DutySettings | None) -> DutySettings:
-        """After a SIGHUP: other duties may be named, the backend is that of the start."""
+        """The settings after a SIGHUP: the duties of `new`, the backend of the start."""
         return msgspec.structs.replace(self, named=new.named if new is not None else ())
 
     @property
     def duties(self) -> tuple[Duty, ...]:
+        """The configured duties."""
         return tuple(Duty(each.name, each.ttl_s) for each in self.named)
 
 
 def parse_duties(raw: object, gateway: str, trusted: bool | None) -> DutySettings:
-    """`trusted`: the cluster's `trusted_network`, None without a cluster. Raises ConfigError: one line that
-    names the key."""
+    """Parses and checks the `duties` object; raises ConfigError, in one line that names the key.
+
+    `trusted`: the cluster's `trusted_network`; None without a cluster.
+    """
     if not isinstance(raw, dict):
         raise ConfigError("duties is no object: leave the key out for none")
     try:
--- a/cloverkeel/fleet/duties/shell.py
+++ b/cloverkeel/fleet/duties/shell.py
@@ -1,4 +1,4 @@
-"""Duties in a process: the core joined to a backend, to the clock and to the log."""
+"""Runs the lease core in a process: connects it to a backend, the event loop's clock and the log."""
 
 from __future__ import annotations
 
@@ -29,30 +29,38 @@
 )
 from cloverkeel.fleet.events import event
 
-POLL_FRACTION = 0.01  # of the time to live: between looks whether a duty has become free
-MIN_POLL_S = 0.02  # at the least
+POLL_FRACTION = 0.01  # of the shortest TTL waited for: interval of polling for freed duties
+MIN_POLL_S = 0.02  # shortest interval between two polls
 Result = TypeVar("Result")
 
 
 class NotHeldError(Exception):
-    """The duty is not this process's now: nothing was done."""
+    """This process does not hold the duty at this moment; nothing was done."""
 
 
 class Backend(Protocol):
-    """Called on one thread of its own, one call at a time."""
+    """Keeps the leases. Called on one thread of its own, one call at a time."""
 
-    transactions: int  # made so far
+    transactions: int  # made since the process started
 
-    def call(self, ask: BackendCall) -> BackendAnswer: ...
+    def call(self, ask: BackendCall) -> BackendAnswer:
+        """Executes a call; returns `Unreachable` instead of raising."""
+        ...
 
-    def freed(self, names: set[str]) -> list[str]: ...
+    def freed(self, names: set[str]) -> list[str]:
+        """Which of these duties have become free since the last poll."""
+        ...
 
-    def close(self) -> None: ...
+    def close(self) -> None:
+        """Releases the backend's resources."""
+        ...
 
 
 class DutyService:
-    """`holder`: this process's name, no other's at the same time. `named` says what it may hold; `listen` to
-    be told of a duty's begin (its token) and end (None)."""
+    """Holds duties for this process. `holder`: its name, unique among running processes.
+
+    `set_duties` says which duties it contends for, `add_listener` subscribes to the start and end of a duty.
+    """
 
     def __init__(self, holder: str, backend: Backend) -> None:
         self.core = LeaseManager(holder, random.Random())
@@ -67,13 +75,16 @@
         self.closed = False
 
     def set_duties(self, duties: tuple[Duty, ...]) -> None:
-        """These are this process's to hold from now on; others that it holds are let go."""
+        """Contends for these duties from now on, and releases others that it holds."""
         self._handle(DutiesConfigured(duties))
         if self.poll_timer is None and duties:
             self._schedule_poll()
 
     def add_listener(self, duty: str, listener: Callable[[int | None], None]) -> None:
-        """`listener(token)` as this process begins the duty, `listener(None)` at its end; must not raise."""
+        """Calls `listener(token)` when this process starts to hold the duty, `listener(None)` when it stops.
+
+        The listener must not raise.
+        """
         self.listeners.setdefault(duty, []).append(listener)
 
     def token(self, duty: str) -> int | None:
@@ -81,7 +92,10 @@
         return self.core.current_token(self.loop.time(), duty)
 
     def run_if_held(self, duty: str, action: Callable[[int], Result]) -> Result:
-        """Run `action(token)`, which is to hand its token to what it acts on. Raises NotHeldError."""
+        """Runs `action(token)` if this process holds the duty; raises NotHeldError if not.
+
+        The action should pass the token on, so that the resource can reject an outdated holder.
+        """
         token = self.token(duty)
         if token is None:
             self.counts["not_held"] += 1
@@ -89,7 +103,7 @@
         return action(token)
 
     async def run_on_thread(self, call: Callable[[], Result]) -> Result:
-        """A call of the backend's beside the core's, on its thread. Raises what it raises."""
+        """Runs a function on the backend's thread and returns its result. Raises what it raises."""
         return await self.loop.run_in_executor(self.thread, call)
 
     def held_count(self) -> int:
@@ -97,7 +111,10 @@
         return sum(self.token(duty) is not None for duty in self.core.leases)
 
     async def close(self, wait_s: float = 1.0) -> None:
-        """Let go of all that is held, so that the next has it at once; `wait_s` for the backend."""
+        """Releases all leases, so that other processes need not wait for them to expire.
+
+        Waits at most `wait_s` for the backend's answers.
+        """
         self._handle(Shutdown())
         if self.pending_calls:
             await asyncio.wait(set(self.pending_calls), timeout=wait_s)
@@ -110,10 +127,10 @@
 
     # Events in, actions out
 
-    def _handle(self, what: Event) -> None:
+    def _handle(self, core_event: Event) -> None:
         if self.closed:
             return
-        for action in self.core.handle(self.loop.time(), what):
+        for action in self.core.handle(self.loop.time(), core_event):
             self._execute(action)
         if self.timer is not None:
             self.timer.cancel()
@@ -143,31 +160,33 @@
         for listener in self.listeners.get(duty, ()):
             listener(token)
 
-    async def _call_backend(self, ask: BackendCall) -> None:
+    async def _call_backend(self, call: BackendCall) -> None:
         self.counts["calls"] += 1
         try:
-            answer = await self.loop.run_in_executor(self.thread, self.backend.call, ask)
-        except Exception as error:  # guards the duty against a call that would stay out for ever
+            answer = await self.loop.run_in_executor(self.thread, self.backend.call, call)
+        except Exception as error:  # an error of the backend must not leave the call pending
             answer = Unreachable(repr(error))
-        if isinstance(answer, Granted) and ask.verb == "renew":
+        if isinstance(answer, Granted) and call.verb == "renew":
             self.counts["renewed"] += 1
-        self._handle(CallAnswered(ask.duty.name, ask.call_id, answer))
+        self._handle(CallAnswered(call.duty.name, call.call_id, answer))
 
-    # Duties that others let go
+    # Polling for freed duties
 
     def _schedule_poll(self) -> None:
-        waiting = [
-            lease.duty.ttl_s for lease in self.core.leases.values() if not lease.token and lease.wanted
-        ]
-        wait_s = max(MIN_POLL_S, POLL_FRACTION * min(waiting)) if waiting else 10 * MIN_POLL_S
+        """Schedules the next poll, sooner if a duty with a short TTL is waited for."""
+        ttls_s = [lease.duty.ttl_s for lease in self.core.leases.values() if not lease.token and lease.wanted]
+        wait_s = max(MIN_POLL_S, POLL_FRACTION * min(ttls_s)) if ttls_s else 10 * MIN_POLL_S
         self.poll_timer = self.loop.call_later(wait_s, lambda: self.loop.create_task(self._poll_freed()))
 
     async def _poll_freed(self) -> None:
-        names = {n for n, lease in self.core.leases.items() if not lease.token and lease.pending_call is None}
+        """Asks the backend which awaited duties have become free, so that they are acquired at once."""
+        names = {
+            duty for duty, lease in self.core.leases.items() if not lease.token and lease.pending_call is None
+        }
         if names and not self.closed:
             try:
                 freed = await self.loop.run_in_executor(self.thread, self.backend.freed, names)
-            except RuntimeError:
+            except RuntimeError:  # the executor has been shut down
                 return
             for name in freed:
                 self._handle(DutyFreed(name))
