--- a/cloverkeel/fleet/rollout/__init__.py
+++ b/cloverkeel/fleet/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Staged rollouts of sets of hosts (docs/rollouts.md); imported only where `rollout` is configured."""
+"""Staged rollouts of sets of hosts (docs/rollouts.md); imported only if `rollout` is configured."""
--- a/cloverkeel/fleet/rollout/analysis.py
+++ b/cloverkeel/fleet/rollout/analysis.py
@@ -1,4 +1,4 @@
-"""Whether a new set of hosts is worse than the base: pure, over counts of one window."""
+"""Judges from the counts of one window whether a new set of hosts is worse than the base; no I/O."""
 
 from __future__ import annotations
 
@@ -9,26 +9,27 @@
 
 from cloverkeel.fleet.rollout.records import Rules
 
-LATENCY_BUCKETS = 96  # of good answers' latency: four to each doubling, from 1 ms
-SIGNIFICANCE = 0.01  # of a difference as great where the sets are alike: one-sided
-# Where breakers open on a set that fails, the attempts that would make up a sample never come: fewer will do
-# where the difference is certain.
+LATENCY_BUCKETS = 96  # of the latency histogram of successful attempts: from 1 ms, four per doubling
+SIGNIFICANCE = 0.01  # one-sided p-value below which a difference is not taken for chance
+# If breakers open on a failing set, it never gets the attempts that a full sample needs. So from
+# MIN_EARLY_SAMPLE attempts on, a difference with this much stricter significance fails the stage.
 MIN_EARLY_SAMPLE, EARLY_SIGNIFICANCE = 10, 1e-5
 PERCENTILE = 0.95
 
 
 def latency_bucket(latency_us: int) -> int:
+    """The index of a latency's bucket in the histogram."""
     return min(LATENCY_BUCKETS - 1, max(0, int(4 * math.log2(max(1, latency_us) / 1000) + 1)))
 
 
 def bucket_limit_ms(bucket: int) -> float:
-    """The longest latency in a bucket."""
+    """The upper limit of a bucket's latencies."""
     return float(2 ** (bucket / 4))
 
 
 @dataclass(slots=True)
 class Counts:
-    """Attempts at one set of hosts: all that ended, failed, turned away; and good answers by latency."""
+    """Attempts at one set of hosts: ended, failed and refused ones, and successes by latency bucket."""
 
     ended: int = 0
     failed: int = 0
@@ -36,6 +37,7 @@
     latency: list[int] = field(default_factory=lambda: [0] * LATENCY_BUCKETS)
 
     def plus(self, other: Counts, sign: int = 1) -> Counts:
+        """The sum of two counts; with `sign` -1 their difference."""
         latency = [mine + sign * theirs for mine, theirs in zip(self.latency, other.latency, strict=True)]
         return Counts(
             self.ended + sign * other.ended,
@@ -45,86 +47,99 @@
         )
 
     def to_list(self) -> list[int]:
-        """For a message; see `counts_of`."""
+        """The counts as a list for a message; `counts_from_list` is the inverse."""
         return [self.ended, self.failed, self.refused, *self.latency]
 
     def p95_ms(self) -> float:
-        """Of good answers, by bucket; 0 without any."""
-        wanted, seen = PERCENTILE * sum(self.latency), 0
-        for bucket, number in enumerate(self.latency):
-            seen += number
-            if number and seen >= wanted:
+        """The 95th percentile of successes, as the upper limit of its bucket; 0 without any."""
+        rank, cumulative = PERCENTILE * sum(self.latency), 0
+        for bucket, count in enumerate(self.latency):
+            cumulative += count
+            if count and cumulative >= rank:
                 return bucket_limit_ms(bucket)
         return 0.0
 
 
 def counts_from_list(flat: Sequence[int]) -> Counts:
-    """Raises ValueError for what `flat` did not make."""
+    """The inverse of `Counts.to_list`; raises ValueError for other input."""
     if len(flat) != LATENCY_BUCKETS + 3 or not all(isinstance(n, int) and n >= 0 for n in flat):
         raise ValueError("no counts")
     return Counts(flat[0], flat[1], flat[2], list(flat[3:]))
 
 
 def sum_counts(counts: Iterable[Counts]) -> Counts:
-    found = Counts()
-    for each in counts:
-        found = found.plus(each)
-    return found
+    """The sum of all counts."""
+    sum_ = Counts()
+    for item in counts:
+        sum_ = sum_.plus(item)
+    return sum_
 
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
-    """`why`: the figures that decided it, in one line."""
+    """The result of a window. `thin`: too few attempts to judge; `why`: the figures, in one line."""
 
     outcome: Literal["pass", "fail", "thin"]
     why: str
 
 
 def judge(new: Counts, base: Counts, rules: Rules, alone: bool = False) -> Verdict:
-    """`alone`: the new set gets all, so that there may be no base; it is then judged by itself."""
-    shown = (
+    """Compares the new set with the base.
+
+    `alone`: the new set gets all requests, so the base may have no attempts; the new set's failed and refused
+    share is then compared with the limit alone.
+    """
+    figures = (
         f"new {new.failed} failed and {new.refused} refused of {new.ended}, p95 {new.p95_ms():.0f} ms; "
         f"base {base.failed} and {base.refused} of {base.ended}, p95 {base.p95_ms():.0f} ms"
     )
     if new.ended < min(MIN_EARLY_SAMPLE, rules.least):
-        return Verdict("thin", shown)
-    chance = SIGNIFICANCE if new.ended >= rules.least else EARLY_SIGNIFICANCE
-    for what, bad, its in (("failed", new.failed, base.failed), ("refused", new.refused, base.refused)):
-        if base.ended and _is_worse(bad, new.ended, its, base.ended, rules.failed_points, chance):
-            return Verdict("fail", f"more {what}: {shown}")
+        return Verdict("thin", figures)
+    p_limit = SIGNIFICANCE if new.ended >= rules.least else EARLY_SIGNIFICANCE
+    for kind, bad, base_bad in (("failed", new.failed, base.failed), ("refused", new.refused, base.refused)):
+        if base.ended and _is_worse(bad, new.ended, base_bad, base.ended, rules.failed_points, p_limit):
+            return Verdict("fail", f"more {kind}: {figures}")
     if new.ended < rules.least:
-        return Verdict("thin", shown)
+        return Verdict("thin", figures)
     if base.ended < rules.least:
         if not alone:
-            return Verdict("thin", shown)
+            return Verdict("thin", figures)
         bad = (new.failed + new.refused) / new.ended > rules.failed_points
-        return Verdict("fail" if bad else "pass", f"no base: {shown}")
-    enough = min(sum(new.latency), sum(base.latency)) >= rules.least
+        return Verdict("fail" if bad else "pass", f"no base: {figures}")
+    has_latencies = min(sum(new.latency), sum(base.latency)) >= rules.least
     limit_ms = max(rules.latency_ratio * base.p95_ms(), base.p95_ms() + rules.latency_ms)
-    if enough and new.p95_ms() > limit_ms:
-        return Verdict("fail", f"slower: {shown}")
-    return Verdict("pass", shown)
+    if has_latencies and new.p95_ms() > limit_ms:
+        return Verdict("fail", f"slower: {figures}")
+    return Verdict("pass", figures)
+
 
+def _is_worse(bad: int, ended: int, base_bad: int, base_ended: int, points: float, p_limit: float) -> bool:
+    """Whether one share exceeds another by more than `points`, and significantly at level `chance`."""
+    return (
+        bad / ended - base_bad / base_ended > points
+        and fisher_p_value(bad, ended, base_bad, base_ended) < p_limit
+    )
 
-def _is_worse(bad: int, of: int, its: int, its_of: int, points: float, chance: float) -> bool:
-    """Whether a share is above another by more than `points`, and more than chance would have it."""
-    return bad / of - its / its_of > points and fisher_p_value(bad, of, its, its_of) < chance
 
+def fisher_p_value(bad: int, ended: int, other_bad: int, other_ended: int) -> float:
+    """The p-value of Fisher's exact test, one-sided.
 
-def fisher_p_value(bad: int, of: int, its: int, its_of: int) -> float:
-    """Fisher's exact test, one-sided: how probable it is that of all that failed so many or more fell to the
-    one, were both alike."""
+    It is the probability that at least `bad` of all failures fall on the first sample, if both samples have
+    the same failure rate.
+    """
 
-    def chosen(among: int, number: int) -> float:
-        return math.lgamma(among + 1) - math.lgamma(number + 1) - math.lgamma(among - number + 1)
+    def log_combinations(total: int, count: int) -> float:
+        return math.lgamma(total + 1) - math.lgamma(count + 1) - math.lgamma(total - count + 1)
 
-    all_bad, whole = bad + its, chosen(of + its_of, bad + its)
-    found = 0.0
-    for number in range(bad, min(of, all_bad) + 1):
-        if all_bad - number > its_of:
+    all_bad, log_all = bad + other_bad, log_combinations(ended + other_ended, bad + other_bad)
+    p_value = 0.0
+    for count in range(bad, min(ended, all_bad) + 1):
+        if all_bad - count > other_ended:
             continue
-        term = math.exp(chosen(of, number) + chosen(its_of, all_bad - number) - whole)
-        found += term
-        if term < found * 1e-9:
+        term = math.exp(
+            log_combinations(ended, count) + log_combinations(other_ended, all_bad - count) - log_all
+        )
+        p_value += term
+        if term < p_value * 1e-9:
             break
-    return found
+    return p_value
--- a/cloverkeel/fleet/rollout/command.py
+++ b/cloverkeel/fleet/rollout/command.py
@@ -1,4 +1,4 @@
-"""`python -m cloverkeel rollout start | status | pause | resume | abort | undo`."""
+"""The command `python -m cloverkeel rollout start | status | pause | resume | abort | undo`."""
 
 from __future__ import annotations
 
@@ -11,13 +11,14 @@
 from cloverkeel.fleet import operator_commands
 from cloverkeel.fleet.membership.command import CommandError
 
-LACKS = "rollout"
+LACKS = "rollout"  # configuration key whose absence explains a 404
 
 
-def register(parts: Any) -> None:
-    rollout = parts.add_parser("rollout", help="give a new set of hosts its share by stages")
-    verbs = rollout.add_subparsers(dest="verb", required=True)
-    start = verbs.add_parser("start", help="begin one")
+def register(subparsers: Any) -> None:
+    """Adds the command to the parser."""
+    rollout = subparsers.add_parser("rollout", help="give a new set of hosts its share by stages")
+    subcommands = rollout.add_subparsers(dest="verb", required=True)
+    start = subcommands.add_parser("start", help="begin one")
     start.add_argument("name", metavar="NAME")
     for kind in ("types", "groups", "zones", "labels"):
         start.add_argument(f"--{kind}", default="", metavar="A,B", help="hosts of the new set")
@@ -26,15 +27,15 @@
     start.add_argument("--least", type=int, default=50, help="attempts on each side to judge by (default 50)")
     start.add_argument("--failed-points", type=float, default=0.02, help="failed share above the base's")
     start.add_argument("--latency-ratio", type=float, default=1.5, help="of the 95th percentiles")
-    status = verbs.add_parser("status", help="state, stage, share, and the figures that decided it")
+    status = subcommands.add_parser("status", help="state, stage, share, and the figures that decided it")
     status.add_argument("--json", action="store_true", help="the gateway's answer as one JSON object")
     operator_commands.add_operator_option(start, _start)
     operator_commands.add_operator_option(status, _status)
-    for verb, what in (
+    for verb, summary in (
         ("pause", "stay at the stage"), ("resume", "go on, with a new window"),
         ("abort", "back to the base at once"), ("undo", "back to the base after it was done"),
     ):  # fmt: skip
-        parser = verbs.add_parser(verb, help=what)
+        parser = subcommands.add_parser(verb, help=summary)
         parser.add_argument("name", metavar="NAME")
         operator_commands.add_operator_option(parser, _order)
 
@@ -82,8 +83,8 @@
     hosts = "; ".join(f"{kind} {', '.join(names)}" for kind, names in spec["hosts"].items() if names)
     steps = " ".join(f"[{s:g}]" if i == answer["stage"] else f"{s:g}" for i, s in enumerate(spec["steps"]))
     print(f"{spec['name']}: {answer['state']}, {answer['share']:g} % to {hosts}")
-    at = f"step {answer['step']} under token {answer['token']}"
-    print(f"  steps {steps}, each baked {spec['bake_s']:g} s; {at}")
+    position = f"step {answer['step']} under token {answer['token']}"
+    print(f"  steps {steps}, each baked {spec['bake_s']:g} s; {position}")
     print(f"  {answer['why']}")
     if "verdict" in answer:
         print(f"  now {answer['verdict']['outcome']}: {answer['verdict']['why']}")
--- a/cloverkeel/fleet/rollout/part.py
+++ b/cloverkeel/fleet/rollout/part.py
@@ -1,5 +1,8 @@
-"""Rollouts beside one gateway: it serves the share that the progress says, tells its counts, and conducts
-while its process holds the duty."""
+"""Rollouts in one gateway.
+
+It applies the traffic split of the progress in the ledger, reports its counts to the conductor, and conducts
+while its process holds the conductor duty.
+"""
 
 from __future__ import annotations
 
@@ -48,29 +51,35 @@
     from cloverkeel.fleet.membership.service import Membership
     from cloverkeel.gateway import Gateway
 
-ORDER_TIMEOUT_S = 8.0  # for the conductor to say what becomes of an order
+ORDER_TIMEOUT_S = 8.0  # for the conductor to process an order
 VERBS = ("start", "pause", "resume", "abort", "undo")
 
 
 class RolloutPart:
-    """`start` after membership, `conduct_by` once the duties are there; `close` before the ledger closes."""
+    """The gateway's part in rollouts.
+
+    Call `start` after membership has started, `attach_duties` once the duties exist, and `close` before the
+    ledger closes.
+    """
 
-    def __init__(self, gateway: Gateway, ledger: LedgerPart, serving: RouteTable) -> None:
-        self.gateway, self.ledger_part, self.route_table = gateway, ledger, serving
+    def __init__(self, gateway: Gateway, ledger: LedgerPart, route_table: RouteTable) -> None:
+        self.gateway, self.ledger_part, self.route_table = gateway, ledger, route_table
         self.attempt_counter = AttemptCounter(gateway)
         self.ledger: LedgerService | None = None
         self.progress = Progress()
-        self.progress_changed = asyncio.Event()  # set at each new progress, for who waits
+        self.progress_changed = asyncio.Event()  # set and replaced at each new progress
         self.conductor: ConductorService | None = None
         self.duties: DutiesPart | None = None
         self.membership: Membership | None = None
         self.start_task: asyncio.Task[None] | None = None
 
     def start(self, membership: Membership) -> None:
+        """Starts in the background, once the ledger is ready."""
         self.membership = membership
         self.start_task = asyncio.get_running_loop().create_task(self._start(membership))
 
     def attach_duties(self, duties: DutiesPart) -> None:
+        """Conducts whenever this process holds the conductor duty."""
         self.duties = duties
         duties.add_listener(CONDUCTOR_DUTY, self._duty_changed)
 
@@ -85,38 +94,45 @@
         service = self.duties.service if self.duties is not None else None
         return service.token(CONDUCTOR_DUTY) if service is not None else None
 
-    # What this gateway serves
+    # The rollout as this gateway serves it
 
-    def _key_changed(self, exposed: KeyChanged) -> None:
-        if exposed.kind == PROGRESS:
+    def _key_changed(self, change: KeyChanged) -> None:
+        if change.kind == PROGRESS:
             self._read_progress()
-        elif exposed.kind == ORDER and self.conductor is not None:
+        elif change.kind == ORDER and self.conductor is not None:
             self.conductor.orders_changed(self.orders())
 
     def _read_progress(self) -> None:
+        """Applies the newest progress of the ledger if it is newer than the one applied."""
         assert self.ledger is not None
         records, _ = self.ledger.read(PROGRESS, PROGRESS_KEY)
-        found = newest(tuple(payload for _, payload in records if payload is not None))
-        if found is None or found.version <= self.progress.version:
+        progress = newest(tuple(payload for _, payload in records if payload is not None))
+        if progress is None or progress.version <= self.progress.version:
             return
-        before, self.progress = self.progress, found
-        over = self.traffic_split()
-        if over != self.route_table.traffic_split:
-            self.route_table.set_traffic_split(over)
-        self.attempt_counter.set_host_sets(self.host_sets() if found.spec is not None else None)
-        if (found.state, found.stage) != (before.state, before.stage):
-            event("rollout.serves", state=found.state, stage=found.stage, share=found.share, step=found.step)
+        before, self.progress = self.progress, progress
+        traffic_split = self.traffic_split()
+        if traffic_split != self.route_table.traffic_split:
+            self.route_table.set_traffic_split(traffic_split)
+        self.attempt_counter.set_host_sets(self.host_sets() if progress.spec is not None else None)
+        if (progress.state, progress.stage) != (before.state, before.stage):
+            event(
+                "rollout.serves",
+                state=progress.state,
+                stage=progress.stage,
+                share=progress.share,
+                step=progress.step,
+            )
         self.progress_changed.set()
         self.progress_changed = asyncio.Event()
 
     def reconfigured(self, _config: Config) -> None:
-        """After a SIGHUP: names may have other numbers."""
+        """Compiles the selectors anew after a SIGHUP, which may change the ids of names."""
         if self.progress.spec is not None:
             self.route_table.set_traffic_split(self.traffic_split())
             self.attempt_counter.set_host_sets(self.host_sets())
 
     def host_sets(self) -> tuple[HostSelector, HostSelector]:
-        """The new set's hosts and the base's, as the module knows them."""
+        """Selectors of the new set and of the base, with the ids that the balancer uses."""
         spec, base = self.progress.spec, self.progress.base
         assert spec is not None
         new = self._selector(spec.hosts)
@@ -127,7 +143,7 @@
         return compile_hosts(selector.target(), self.gateway.names)
 
     def traffic_split(self) -> tuple[Target, ...]:
-        """How all requests are divided; empty: no rollout has ever been."""
+        """The targets that divide all requests; empty if there has been no rollout yet."""
         if self.progress.spec is None:
             return ()
         new, base = self.host_sets()
@@ -135,7 +151,7 @@
         return tuple(t for t in (Target(new, share), Target(base, 1 - share)) if t.share > 0)
 
     def counts_report(self) -> list[Any]:
-        """For the conductor: life, place of the progress served, counts of the new set and of the base."""
+        """Report to the conductor: counts id, version served, counts of the new set and of the base."""
         new, base = self.attempt_counter.counts
         return [self.attempt_counter.counts_id, self.progress.version, new.to_list(), base.to_list()]
 
@@ -153,33 +169,37 @@
         self.conductor.orders_changed(self.orders())
 
     def orders(self) -> tuple[Order, ...]:
+        """All orders in the ledger; malformed ones are logged and skipped."""
         assert self.ledger is not None
-        found = []
+        orders = []
         for key in self.ledger.keys(ORDER):
             records, _ = self.ledger.read(ORDER, key)
             for _, payload in records:
                 try:
-                    found += [decode(payload, Order)] if payload is not None else []
+                    orders += [decode(payload, Order)] if payload is not None else []
                 except ValueError as error:
                     event("rollout.malformed", key=key, reason=str(error))
-        return tuple(found)
+        return tuple(orders)
 
     def close(self) -> None:
+        """Stops the start, if it is pending, and the conductor."""
         if self.start_task is not None:
             self.start_task.cancel()
         if self.conductor is not None:
             self.conductor.close()
 
     def gauges(self) -> dict[str, int]:
+        """The gauges under their metric names."""
         return {
             "rollout_conducts": int(self.conductor is not None),
             "rollout_stage": self.progress.stage,
             "rollout_share_percent": round(self.progress.share),
         }
 
-    # Operators' calls
+    # Operator interface
 
     def status(self) -> Answer:
+        """Answers with the progress, this gateway's counts and, at the conductor, its verdict."""
         if self.ledger is None:
             return LEDGER_NOT_STARTED
         progress = self.progress
@@ -196,7 +216,11 @@
         return Answer(200, json.dumps(body).encode(), JSON_CONTENT_TYPE)
 
     async def submit_order(self, query: bytes, body: bytes) -> Answer:
-        """`verb`, `name` and `wait` in the query; the spec of a start, as JSON, in the body."""
+        """Writes an order to the ledger and waits until the conductor has processed it.
+
+        The query has `verb`, `name` and `wait` (the acknowledgement waited for), the body the JSON spec of a
+        start.
+        """
         if self.ledger is None:
             return LEDGER_NOT_STARTED
         try:
@@ -221,11 +245,12 @@
                 JSON_CONTENT_TYPE,
             )
         outcome = await self._await_outcome(order.id)
-        reason = "" if outcome else "no conductor has taken it yet: it is kept"
-        told = {"id": order.id, "outcome": outcome, "reason": reason}
-        return Answer(200 if outcome else 202, json.dumps(told).encode(), JSON_CONTENT_TYPE)
+        reason = "" if outcome else "no conductor has taken it yet: it is kept in the ledger"
+        result = {"id": order.id, "outcome": outcome, "reason": reason}
+        return Answer(200 if outcome else 202, json.dumps(result).encode(), JSON_CONTENT_TYPE)
 
     async def _await_outcome(self, id: str) -> str:
+        """Waits for the outcome of an order; empty after ORDER_TIMEOUT_S."""
         try:
             async with asyncio.timeout(ORDER_TIMEOUT_S):
                 while id not in (outcomes := dict(self.progress.outcomes)):
@@ -236,7 +261,7 @@
 
 
 def _parse_spec(body: bytes) -> Spec:
-    """Raises ValueError."""
+    """Decodes a rollout's spec; raises ValueError if it is invalid."""
     try:
         return msgspec.json.decode(body, type=Spec)
     except (msgspec.MsgspecError, RecursionError) as error:
--- a/cloverkeel/fleet/rollout/settings.py
+++ b/cloverkeel/fleet/rollout/settings.py
@@ -1,4 +1,4 @@
-"""The configuration's `rollout` object."""
+"""Parses the configuration's `rollout` object."""
 
 from __future__ import annotations
 
@@ -8,17 +8,17 @@
 
 from cloverkeel.errors import ConfigError
 
-CONDUCTOR_DUTY = "rollout-conductor"
+CONDUCTOR_DUTY = "rollout-conductor"  # the duty whose holder conducts rollouts
 
 
 class RolloutSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """`size`: gateways that the fleet is made of, for the ledger's quorum."""
+    """`size`: number of gateways in the fleet, for the ledger's quorum."""
 
     size: Annotated[int, msgspec.Meta(ge=1, le=10_000)]
 
 
 def parse_rollout(raw: object) -> RolloutSettings:
-    """Raises ConfigError: one line that names the key."""
+    """Parses and checks the object; raises ConfigError, in one line that names the key."""
     if not isinstance(raw, dict):
         raise ConfigError("rollout is no object: leave the key out for none")
     try:
