--- a/cloverkeel/fleet/duties/interface.py
+++ b/cloverkeel/fleet/duties/interface.py
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NotHeld:
-    """To `renew`: the lease is no longer held under that token. To `release`: it is now free of it."""
+    """To `renew`: the lease is no longer held under that token. To `release`: it is not held under it now."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/cloverkeel/fleet/duties/local.py
+++ b/cloverkeel/fleet/duties/local.py
@@ -54,8 +54,8 @@
         self.holder, self.clock, self.unix_clock = holder, clock, unix
         self.connection: sqlite3.Connection | None = None
         self.opened_identity = ""  # device, inode and boot id of the file that `connection` has open
-        self.data_version = -1
-        self.transactions = 0
+        self.data_version = -1  # SQLite's `data_version` at the last poll; -1: not polled yet
+        self.transactions = 0  # begun by this process
 
     def call(self, call: BackendCall) -> BackendAnswer:
         """Executes a call; returns `Unreachable` on an error instead of raising."""
--- a/cloverkeel/fleet/rollout/core.py
+++ b/cloverkeel/fleet/rollout/core.py
@@ -184,7 +184,7 @@
     # Decisions
 
     def _decide(self, now_s: float, out: list[Action]) -> None:
-        """Makes at most one decision: take over, process an order, or end or judge the stage."""
+        """Takes over, or drops processed orders and then processes one order or judges the stage."""
         if self.step_seen_s is None:
             self.step_seen_s = now_s
         if self.progress.token != self.token and (
--- a/cloverkeel/fleet/rollout/records.py
+++ b/cloverkeel/fleet/rollout/records.py
@@ -39,12 +39,10 @@
     least: Annotated[int, msgspec.Meta(ge=1, le=1_000_000)] = 50  # attempts needed, at new set and base each
     # How far the failed (or refused) share may exceed the base's.
     failed_points: Annotated[float, msgspec.Meta(ge=0, le=1)] = 0.02
-    latency_ratio: Annotated[float, msgspec.Meta(ge=1, le=100)] = (
-        1.5  # allowed ratio of the 95th percentiles, new to base
-    )
-    latency_ms: Annotated[float, msgspec.Meta(ge=0, le=60_000)] = (
-        10.0  # excess of the 95th percentile that is always allowed
-    )
+    # The 95th percentile of the new set may be up to this many times the base's, ...
+    latency_ratio: Annotated[float, msgspec.Meta(ge=1, le=100)] = 1.5
+    # ... or longer than the base's by up to this much, whichever limit is higher.
+    latency_ms: Annotated[float, msgspec.Meta(ge=0, le=60_000)] = 10.0
 
 
 class Spec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
