--- a/tests/test_duties_lab.py
+++ b/tests/test_duties_lab.py
@@ -1,4 +1,4 @@
-"""Several processes, duties, and faults between them (faultlab/duties)."""
+"""Processes that contend for duties while the fault lab injects faults (faultlab/duties)."""
 
 from __future__ import annotations
 
@@ -15,23 +15,25 @@
 TTL_S = 1.0
 
 
-def sound(resource: Resource) -> None:
+def assert_no_violations(resource: Resource) -> None:
     assert resource.overlaps == resource.repeated_tokens == 0
 
 
 @on_loop
-async def test_ten_race_and_each_fault_is_followed_by_one_holder_under_a_higher_token(tmp_path: Path) -> None:
+async def test_after_each_fault_one_of_ten_contenders_holds_the_duty_under_a_higher_token(
+    tmp_path: Path,
+) -> None:
     async with DutySite(tmp_path, 10, {DUTY: TTL_S}) as site:
         holder = await site.wait_held(DUTY)
         for kind in ("kill", "end", "stop", "lock", "replace", "restart-all"):
             after = await apply_fault(site, kind, holder, TTL_S)
             assert after is not None and after.token > holder.token, kind
             holder = after
-        sound(site.resource)
+        assert_no_violations(site.resource)
 
 
 @on_loop
-async def test_who_does_not_look_whether_it_still_holds_the_duty_is_rejected_by_its_token(
+async def test_a_holder_that_ignores_its_expiry_is_rejected_by_its_token(
     tmp_path: Path,
 ) -> None:
     async with DutySite(tmp_path, 2, {DUTY: TTL_S}, careless=2) as site:
@@ -46,18 +48,18 @@
 
 
 @on_loop
-async def test_a_duty_that_is_no_longer_named_passes_on_and_the_others_stay(tmp_path: Path) -> None:
+async def test_a_duty_removed_from_the_configuration_passes_on_and_others_stay(tmp_path: Path) -> None:
     async with DutySite(tmp_path, 2, {"first": TTL_S, "second": TTL_S}) as site:
         second = await site.wait_held("second")
         site.worker_of(second.holder).send_signal(signal.SIGHUP)
         after = await site.resource.wait_first_action("second", second.token, 10.0)
         assert after is not None and after.holder != second.holder
         await site.wait_held("first")
-        sound(site.resource)
+        assert_no_violations(site.resource)
 
 
 @on_loop
-async def test_a_quorum_grants_anew_after_a_kill_and_a_minority_does_nothing(tmp_path: Path) -> None:
+async def test_a_quorum_grants_again_after_a_kill_and_a_minority_grants_nothing(tmp_path: Path) -> None:
     async with DutySite(tmp_path, 3, {DUTY: TTL_S}, backend="quorum") as site:
         holder = await site.wait_held(DUTY)
         for kind in ("kill", "stop", "end"):
@@ -66,14 +68,14 @@
             holder = after
         assert await stop_majority(site, holder, TTL_S) == 0
         assert await site.resource.wait_first_action(DUTY, holder.token, 10.0) is not None
-        sound(site.resource)
+        assert_no_violations(site.resource)
 
 
 def test_the_resource_finds_an_overlap_a_repeated_token_and_a_stale_one() -> None:
     resource = Resource()
     resource.receive_action("d", 1, "a/1", 10.0)
     resource.receive_action("d", 1, "a/1", 11.0)
-    resource.receive_action("d", 2, "b/1", 10.9)  # sent before the holder before had sent its last
+    resource.receive_action("d", 2, "b/1", 10.9)  # sent before the last action of the previous holder
     resource.receive_action("d", 1, "a/1", 11.1)
     resource.receive_action("d", 2, "c/1", 12.0)
     assert (resource.overlaps, resource.rejected["d"], resource.repeated_tokens) == (1, 1, 1)
--- a/tests/test_duties_local.py
+++ b/tests/test_duties_local.py
@@ -1,4 +1,4 @@
-"""The local backend on real files: grants, expiry, tokens, files replaced, locked, gone; and the service."""
+"""The local backend on real files: grants, expiry, tokens, replaced, locked and missing files; service."""
 
 from __future__ import annotations
 
@@ -47,14 +47,14 @@
 
 
 def pair(directory: Path, clock: Clock) -> tuple[LocalBackend, LocalBackend]:
-    """Two processes' backends, past the time in which a new file grants nothing."""
+    """The backends of two processes, after the TTL in which a new file grants nothing."""
     one, other = LocalBackend(str(directory), "one", clock), LocalBackend(str(directory), "other", clock)
     assert call(one, "acquire") == Held("", 0, 2.0)
     clock.now_s += 2.0
     return one, other
 
 
-def test_one_holds_until_it_lets_go_or_its_time_is_over_and_tokens_grow(tmp_path: Path) -> None:
+def test_a_lease_is_held_until_release_or_expiry_and_tokens_grow(tmp_path: Path) -> None:
     create_state_file(tmp_path)
     clock = Clock()
     one, other = pair(tmp_path, clock)
@@ -67,7 +67,7 @@
     assert call(one, "release", first) == NotHeld() and other.freed({"chore"}) == ["chore"]
     second = granted(call(other, "acquire"))
     clock.now_s += 2.0
-    assert call(other, "renew", second) == NotHeld()  # over: it is not held, though nobody else has it
+    assert call(other, "renew", second) == NotHeld()  # expired: not held, even though nobody else holds it
     third = granted(call(one, "acquire"))
     assert first < second < third
     assert [(row.name, row.holder, row.token) for row in list_leases(str(tmp_path))] == [
@@ -81,7 +81,7 @@
 
 
 @pytest.mark.parametrize("how", ["new", "copy"])
-def test_a_file_that_was_replaced_grants_nothing_for_a_time_to_live(tmp_path: Path, how: str) -> None:
+def test_a_replaced_file_grants_nothing_for_one_ttl(tmp_path: Path, how: str) -> None:
     create_state_file(tmp_path)
     clock = Clock()
     one, other = pair(tmp_path, clock)
@@ -103,7 +103,7 @@
     assert granted(call(other, "acquire")) > token
 
 
-def test_what_cannot_be_asked_is_not_known(tmp_path: Path) -> None:
+def test_a_missing_or_locked_file_makes_calls_unreachable(tmp_path: Path) -> None:
     clock = Clock()
     one = LocalBackend(str(tmp_path), "one", clock)
     assert isinstance(call(one, "acquire"), Unreachable)  # no file yet
@@ -124,7 +124,7 @@
 
 
 @on_loop
-async def test_services_hand_over_at_the_end_and_guard_what_they_do(tmp_path: Path) -> None:
+async def test_a_service_hands_over_on_close_and_runs_actions_only_while_it_holds(tmp_path: Path) -> None:
     create_state_file(tmp_path)
     duty = Duty("chore", ttl_s=0.4)
     heard: asyncio.Queue[tuple[str, int | None]] = asyncio.Queue()
--- a/tests/test_duties_model.py
+++ b/tests/test_duties_model.py
@@ -1,4 +1,4 @@
-"""The core of duties: an explicit search over small interleavings, and its rules one by one."""
+"""The lease core: an exhaustive search over short interleavings, and its rules one by one."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
 class Process:
     core: LeaseManager
     rate: float  # of its clock
-    holds: int = 0  # as its Begin and End say
-    asks: list[BackendCall] = field(default_factory=list)  # on their way to the backend
+    holds: int = 0  # token, as its DutyStarted and DutyEnded say
+    calls: list[BackendCall] = field(default_factory=list)  # on their way to the backend
     answers: list[CallAnswered] = field(default_factory=list)  # on their way back
 
 
 @dataclass
 class State:
-    """Two processes, and a backend that grants by its own clock alone."""
+    """Two processes, and a backend that grants leases by its own clock alone."""
 
     processes: list[Process]
     now_s: float = 100.0
@@ -60,7 +60,7 @@
         for action in process.core.handle(self.now_s * process.rate, event):
             match action:
                 case BackendCall():
-                    process.asks.append(action)
+                    process.calls.append(action)
                 case DutyStarted(_, token):
                     assert process.holds == 0 and token not in self.granted, "a token is granted twice"
                     self.granted.add(token)
@@ -76,23 +76,23 @@
         for process, token in zip(self.processes, acting, strict=True):
             assert token is None or token == process.holds
 
-    def backend(self, holder: str, ask: BackendCall) -> BackendAnswer:
+    def backend(self, holder: str, call: BackendCall) -> BackendAnswer:
         free = not self.holder or self.now_s >= self.until_s
-        mine = not free and (self.holder, self.token) == (holder, ask.token)
-        if ask.verb == "acquire" and free:
+        mine = not free and (self.holder, self.token) == (holder, call.token)
+        if call.verb == "acquire" and free:
             self.holder, self.token, self.until_s = holder, self.token + 1, self.now_s + DUTY.ttl_s
             return Granted(self.token)
-        if ask.verb == "acquire":
+        if call.verb == "acquire":
             return Held(self.holder, self.token, self.until_s - self.now_s)
-        if ask.verb == "renew" and mine:
+        if call.verb == "renew" and mine:
             self.until_s = self.now_s + DUTY.ttl_s
             return Granted(self.token)
-        if ask.verb == "release" and mine:
+        if call.verb == "release" and mine:
             self.holder = ""
         return NotHeld()
 
     def key(self) -> object:
-        """Equal for states that go on alike: times by their distance, tokens by how far back they are."""
+        """Equal for states that behave alike: times relative to now, tokens relative to the newest."""
         seen: list[object] = [self.holder, max(0.0, self.until_s - self.now_s)]
         for p in self.processes:
             now_s = self.now_s * p.rate
@@ -106,7 +106,7 @@
                 ))  # fmt: skip
             asked = next(iter(p.core.leases.values())).pending_call if p.core.leases else None
             number = asked.call_id if asked else 0
-            seen.append(tuple((a.verb, self.token - a.token, a.call_id == number) for a in p.asks))
+            seen.append(tuple((a.verb, self.token - a.token, a.call_id == number) for a in p.calls))
             seen.append(tuple((repr(_aged(a.answer, self.token)), a.call_id == number) for a in p.answers))
         return tuple(seen)
 
@@ -123,7 +123,7 @@
 def moves(state: State) -> list[tuple[str, int]]:
     found = [("time", 0)]
     for number, process in enumerate(state.processes):
-        if process.asks:
+        if process.calls:
             found += [("take", number), ("lose", number)]
         if process.answers:
             found += [("tell", number), ("drop", number)]
@@ -131,12 +131,12 @@
 
 
 def copied(state: State) -> State:
-    """A state of its own; what is never changed in place is shared."""
+    """A copy that can be changed on its own; shares what is never changed in place."""
     processes = []
     for process in state.processes:
         core = copy.copy(process.core)
         core.leases = {name: copy.copy(lease) for name, lease in core.leases.items()}
-        processes.append(replace(process, core=core, asks=[*process.asks], answers=[*process.answers]))
+        processes.append(replace(process, core=core, calls=[*process.calls], answers=[*process.answers]))
     return replace(state, processes=processes, granted={*state.granted})
 
 
@@ -146,15 +146,15 @@
     match what:
         case "time":
             state.now_s += STEP_S
-            state.check()  # before anybody has woken up
+            state.check()  # before any process has handled the tick
             for each in state.processes:
                 state.give(each, Tick())
         case "take":
-            ask = process.asks.pop(0)
-            process.answers.append(CallAnswered("d", ask.call_id, state.backend(process.core.holder, ask)))
+            call = process.calls.pop(0)
+            process.answers.append(CallAnswered("d", call.call_id, state.backend(process.core.holder, call)))
         case "lose":
-            ask = process.asks.pop(0)
-            process.answers.append(CallAnswered("d", ask.call_id, Unreachable("lost")))
+            call = process.calls.pop(0)
+            process.answers.append(CallAnswered("d", call.call_id, Unreachable("lost")))
         case "tell":
             state.give(process, process.answers.pop(0))
         case "drop":
@@ -163,7 +163,7 @@
 
 
 def search(rates: tuple[float, float], depth: int) -> int:
-    """Every order of up to `depth` moves; returns how many states there were. Raises AssertionError."""
+    """Tries every sequence of up to `depth` moves; returns the number of states. Raises AssertionError."""
     first = State([Process(LeaseManager(f"p{n}", LOW), rate) for n, rate in enumerate(rates)])
     for process in first.processes:
         first.give(process, DutiesConfigured((DUTY,)))
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("rates", [(1.0, 1.0), (0.9, 1.0), (1.0, 0.86)])
-def test_two_never_act_at_once_whatever_the_order_of_calls_losses_and_expiries(
+def test_two_processes_never_act_at_once_in_any_order_of_calls_losses_and_expiries(
     rates: tuple[float, float],
 ) -> None:
     assert search(rates, 9) > 5_000
@@ -193,53 +193,53 @@
 
 
 def begun(core: LeaseManager, now_s: float, token: int) -> None:
-    ask = next(a for a in core.handle(now_s, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
-    assert core.handle(now_s, CallAnswered("d", ask.call_id, Granted(token)))[0] == DutyStarted("d", token)
+    call = next(a for a in core.handle(now_s, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
+    assert core.handle(now_s, CallAnswered("d", call.call_id, Granted(token)))[0] == DutyStarted("d", token)
 
 
-def asked(actions: list[Action]) -> list[tuple[str, int]]:
+def calls_in(actions: list[Action]) -> list[tuple[str, int]]:
     return [(a.verb, a.token) for a in actions if isinstance(a, BackendCall)]
 
 
-def test_a_process_that_wakes_up_past_its_time_does_not_act_before_it_has_looked() -> None:
+def test_a_process_that_wakes_up_after_expiry_does_not_act() -> None:
     core = LeaseManager("p", LOW)
     begun(core, 10.0, 7)
     assert core.current_token(10.84, "d") == 7
-    assert core.current_token(10.86, "d") is None  # nothing has ticked meanwhile
+    assert core.current_token(10.86, "d") is None  # expired, though no Tick has come
     assert DutyEnded("d", 7, "not renewed in time") in core.handle(12.0, Tick())
 
 
-def test_an_answer_that_comes_too_late_is_given_back() -> None:
+def test_a_grant_that_arrives_too_late_is_released() -> None:
     core = LeaseManager("p", LOW)
-    ask = next(a for a in core.handle(10.0, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
-    actions = core.handle(10.9, CallAnswered("d", ask.call_id, Granted(3)))
-    assert asked(actions) == [("release", 3)] and core.current_token(10.9, "d") is None
+    call = next(a for a in core.handle(10.0, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
+    actions = core.handle(10.9, CallAnswered("d", call.call_id, Granted(3)))
+    assert calls_in(actions) == [("release", 3)] and core.current_token(10.9, "d") is None
 
 
-def test_a_grant_whose_answer_was_lost_is_let_go_and_asked_for_anew() -> None:
+def test_a_grant_whose_answer_was_lost_is_released_and_acquired_again() -> None:
     core = LeaseManager("p", LOW)
-    ask = next(a for a in core.handle(10.0, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
-    core.handle(10.01, CallAnswered("d", ask.call_id, Unreachable("reset")))
+    call = next(a for a in core.handle(10.0, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
+    core.handle(10.01, CallAnswered("d", call.call_id, Unreachable("reset")))
     again = next(a for a in core.handle(10.2, Tick()) if isinstance(a, BackendCall))
     release = core.handle(10.2, CallAnswered("d", again.call_id, Held("p", 4, 0.8)))
-    assert asked(release) == [("release", 4)]
+    assert calls_in(release) == [("release", 4)]
     number = next(a.call_id for a in release if isinstance(a, BackendCall))
-    assert asked(core.handle(10.21, CallAnswered("d", number, NotHeld()))) == [("acquire", 0)]
+    assert calls_in(core.handle(10.21, CallAnswered("d", number, NotHeld()))) == [("acquire", 0)]
 
 
-def test_what_is_dropped_from_the_configuration_or_left_at_the_end_is_released() -> None:
+def test_duties_removed_from_the_configuration_or_held_at_shutdown_are_released() -> None:
     for event in (DutiesConfigured(()), Shutdown()):
         core = LeaseManager("p", LOW)
         begun(core, 10.0, 7)
         actions = core.handle(10.1, event)
-        assert isinstance(actions[0], DutyEnded) and asked(actions) == [("release", 7)]
+        assert isinstance(actions[0], DutyEnded) and calls_in(actions) == [("release", 7)]
         number = next(a.call_id for a in actions if isinstance(a, BackendCall))
         assert core.handle(10.2, CallAnswered("d", number, NotHeld())) == []
         assert core.handle(30.0, Tick()) == [] and core.current_token(30.0, "d") is None
 
 
-def test_a_contender_asks_at_once_where_the_duty_is_seen_to_be_free() -> None:
+def test_a_contender_acquires_at_once_when_the_duty_is_freed() -> None:
     core = LeaseManager("p", LOW)
-    ask = next(a for a in core.handle(10.0, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
-    assert core.handle(10.0, CallAnswered("d", ask.call_id, Held("other", 4, 0.9))) == []
-    assert asked(core.handle(10.01, DutyFreed("d"))) == [("acquire", 0)]
+    call = next(a for a in core.handle(10.0, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
+    assert core.handle(10.0, CallAnswered("d", call.call_id, Held("other", 4, 0.9))) == []
+    assert calls_in(core.handle(10.01, DutyFreed("d"))) == [("acquire", 0)]
--- a/tests/test_duties_parts.py
+++ b/tests/test_duties_parts.py
@@ -1,4 +1,4 @@
-"""The founding of a quorum, the configuration, the chores and the command of duties."""
+"""Duties: the bootstrap of a quorum, the configuration, the periodic job and the command."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from faultlab.duties.site import create_state_file
 
 
-def test_the_raft_library_leaves_the_addresses_of_the_process_alone() -> None:
+def test_importing_the_raft_library_leaves_the_socket_functions_unchanged() -> None:
     from cloverkeel.fleet.duties import quorum
 
     assert quorum.JOURNAL and socket.inet_ntop(socket.AF_INET, b"\x7f\0\0\1") == "127.0.0.1"
@@ -29,8 +29,8 @@
 
 def founders(*with_journal: str) -> dict[str, Bootstrap]:
     return {
-        name: Bootstrap(name, life, frozenset(VOTERS) - {name}, name in with_journal)
-        for life, name in enumerate(VOTERS, 1)
+        name: Bootstrap(name, run_id, frozenset(VOTERS) - {name}, name in with_journal)
+        for run_id, name in enumerate(VOTERS, 1)
     }
 
 
@@ -45,21 +45,21 @@
     assert not voters["a"].may_start  # c may have a log
     ask_all(voters["a"], voters)
     assert voters["a"].may_start
-    ask_all(voters["c"], voters)  # late, of the same founding
+    ask_all(voters["c"], voters)  # later than the others, in the same bootstrap
     assert voters["c"].may_start and not voters["c"].refusal
 
 
-def test_a_voter_whose_disk_was_lost_takes_no_part() -> None:
+def test_a_voter_whose_disk_was_lost_may_not_join() -> None:
     voters = founders("a", "b")
     ask_all(voters["c"], voters)
     assert not voters["c"].may_start and "its votes may be lost" in voters["c"].refusal
-    assert voters["a"].may_start  # a journal of its own
+    assert voters["a"].may_start  # it has a journal of its own
     founded = founders()
     for each in founded.values():
         ask_all(each, founded)
     blank = Bootstrap(
         "c", 99, frozenset({"a", "b"}), False
-    )  # c again, in another life, before the others end
+    )  # c restarts with an empty disk while the others run on
     ask_all(blank, founded)
     assert not blank.may_start and blank.refusal
     with pytest.raises(ValueError, match="x is no voter here"):
@@ -91,7 +91,7 @@
         (NAMED | {"backend": "quorum", "voters": VOTERS | {"b": "10.0.0.1:7"}}, False, "trusted_network"),
     ],
 )
-def test_duties_that_cannot_be_used_are_one_line_that_names_the_key(
+def test_an_invalid_duties_object_is_a_one_line_error_that_names_the_key(
     raw: object, trusted: bool | None, says: str
 ) -> None:
     with pytest.raises(ConfigError) as error:
@@ -110,14 +110,14 @@
     assert len(left) == 7 and not any("corrupt-100" in name and "1000" not in name for name in left)
 
 
-def test_the_command_shows_and_releases_what_a_directory_holds(
+def test_the_command_shows_and_releases_the_leases_of_a_state_directory(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     where = ["--state-dir", str(tmp_path)]
     assert run(["duties", *where]) == 1
     assert capsys.readouterr().err.count("\n") == 1
     create_state_file(tmp_path)
-    duty = Duty("chore", ttl_s=0.0)  # a new file grants nothing for a time to live
+    duty = Duty("chore", ttl_s=0.0)  # a new file grants nothing for one TTL
     held = Duty("chore", ttl_s=60.0)
     backend = LocalBackend(str(tmp_path), "g1/1f")
     first = backend.call(BackendCall(duty, "acquire", 1))
--- a/tests/test_duties_process.py
+++ b/tests/test_duties_process.py
@@ -1,4 +1,4 @@
-"""Duties in real gateway processes: an upgrade, a SIGHUP, a quorum of three, and the operators' calls."""
+"""Duties in real gateway processes: an upgrade, a SIGHUP, a quorum of three, and the operator interface."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def holder(operator: int, duty: str, *but: str) -> tuple[str, int]:
-    """The gateway's name and the token, once a process other than these holds the duty."""
+    """Waits until a process other than `but` holds the duty; returns its name and the token."""
     while True:
         with contextlib.suppress(AssertionError):  # not started yet
             for row in json.loads(await read(operator, b"duties"))["duties"]:
--- a/tests/test_rollout_core.py
+++ b/tests/test_rollout_core.py
@@ -1,4 +1,4 @@
-"""The conductor's core and the analysis: stages, verdicts, orders, conductors that follow one another."""
+"""The conductor's core and the analysis: stages, verdicts, orders, successive conductors."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclasses.dataclass
 class Fleet:
-    """Members that serve what is written at once and count by rates a second; a ledger that holds it all."""
+    """Members that serve each step at once and count at fixed rates, and a ledger that holds every write."""
 
     new_rate: float = 40
     base_rate: float = 60
@@ -94,9 +94,11 @@
                 base += 0.5 * self.base_rate * (share < 1)
                 self.ended[member] = new, base
                 failed = int(new * self.new_fails)
-                place = self.progress.version
+                version = self.progress.version
                 self.give(
-                    CountsReported(member, 1, place, counts(int(new), failed, self.new_ms), counts(int(base)))
+                    CountsReported(
+                        member, 1, version, counts(int(new), failed, self.new_ms), counts(int(base))
+                    )
                 )
             self.give(Tick())
 
@@ -107,7 +109,7 @@
     return fleet
 
 
-def test_a_good_set_takes_every_stage_in_order_and_is_done() -> None:
+def test_a_good_set_passes_every_stage_in_order_and_is_done() -> None:
     fleet = started()
     shares = []
     for _ in range(30):
@@ -137,7 +139,7 @@
     assert fleet.seen() == ("baking", 0)
 
 
-def test_orders_are_taken_in_turn_and_each_is_told_what_became_of_it() -> None:
+def test_orders_are_processed_in_turn_and_each_gets_an_outcome() -> None:
     fleet = started()
     other = fleet.order("start", "other", named(SPEC, "other"))
     outcomes = dict(fleet.progress.outcomes)
@@ -156,14 +158,14 @@
     assert fleet.progress.state == "rolled-back"
 
 
-def test_an_order_written_beside_the_one_taken_has_its_turn_though_it_comes_late() -> None:
+def test_an_order_that_arrives_late_with_a_lower_key_is_still_processed() -> None:
     fleet = started()
     beside = Order("00", 1, "start", "other", named(SPEC, "other"))
     assert beside.sort_key < fleet.orders[0].sort_key
     fleet.orders.append(beside)
     fleet.give(OrdersChanged(tuple(fleet.orders)))
     assert dict(fleet.progress.outcomes)["00"].startswith("refused: new is under way")
-    fleet.orders.clear()  # dropped
+    fleet.orders.clear()  # the ledger has dropped them
     fleet.give(OrdersChanged(()))
     fleet.order("pause")
     assert fleet.seen() == ("paused", 0)
@@ -173,7 +175,7 @@
     return Spec(name, spec.hosts, spec.steps, spec.bake_s, spec.rules)
 
 
-def test_the_next_conductor_goes_on_and_what_the_one_before_still_writes_changes_nothing() -> None:
+def test_the_next_conductor_continues_and_late_writes_of_the_previous_one_change_nothing() -> None:
     fleet = started()
     fleet.run(3)
     before = fleet.progress
@@ -193,7 +195,7 @@
     assert fleet.seen()[0] == "done"
 
 
-def test_a_step_that_the_ledger_does_not_take_is_tried_again_and_no_stage_is_skipped() -> None:
+def test_a_failed_write_of_a_step_is_retried_and_no_stage_is_skipped() -> None:
     fleet = started()
     fleet.full = True
     fleet.run(10)
@@ -203,12 +205,12 @@
     assert fleet.progress.stage == 1
 
 
-def test_a_gateway_that_restarts_within_a_window_adds_only_what_it_has_counted_since() -> None:
+def test_a_gateway_that_restarts_within_a_window_adds_only_its_counts_since() -> None:
     fleet = started(new_rate=0)
     fleet.run(1)
-    place = fleet.progress.version
-    fleet.give(CountsReported("a", 2, place, counts(5), counts(5)))  # another life
-    fleet.give(CountsReported("b", 1, place, counts(4_000, 4_000), counts(10)))
+    version = fleet.progress.version
+    fleet.give(CountsReported("a", 2, version, counts(5), counts(5)))  # restarted: a new counts_id
+    fleet.give(CountsReported("b", 1, version, counts(4_000, 4_000), counts(10)))
     fleet.give(Tick())
     assert fleet.progress.state == "rolling-back"  # b's failures are of this window
     fresh = started(new_rate=0)
@@ -219,7 +221,7 @@
     assert fresh.progress.state == "baking"
 
 
-def test_chance_alone_aborts_seldom_and_a_set_that_fails_twice_as_much_is_found() -> None:
+def test_chance_rarely_fails_a_good_set_and_a_clearly_worse_one_is_found() -> None:
     rng = random.Random(5)
 
     def drawn(of: int, share: float) -> Counts:
@@ -228,7 +230,9 @@
     same = sum(judge(drawn(200, 0.05), drawn(2_000, 0.05), Rules()).outcome == "fail" for _ in range(300))
     worse = sum(judge(drawn(400, 0.15), drawn(2_000, 0.05), Rules()).outcome == "fail" for _ in range(100))
     assert same <= 12 and worse == 100
-    few = judge(counts(21, 21), counts(3_000), Rules(least=40))  # its breakers have opened
+    few = judge(
+        counts(21, 21), counts(3_000), Rules(least=40)
+    )  # a small sample, as when breakers have opened
     assert few.outcome == "fail" and judge(counts(21, 1), counts(3_000), Rules(least=40)).outcome == "thin"
 
 
@@ -239,7 +243,7 @@
         {"bake_s": 0.0}, {"name": "New"}, {"rules": {"least": 0}}, {"more": 1},
     ],
 )  # fmt: skip
-def test_a_rollout_that_cannot_be_is_refused(spec: dict[str, object]) -> None:
+def test_an_invalid_spec_is_refused(spec: dict[str, object]) -> None:
     import json
 
     from cloverkeel.fleet.rollout.part import _parse_spec
@@ -258,7 +262,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.lists(MOVES, max_size=14))
-def test_whatever_happens_no_stage_is_skipped_and_an_abort_ends_at_no_share(moves: list[str]) -> None:
+def test_under_any_sequence_no_stage_is_skipped_and_an_abort_ends_at_share_zero(moves: list[str]) -> None:
     fleet = started()
     for move in moves:
         match move:
--- a/tests/test_rollout_lab.py
+++ b/tests/test_rollout_lab.py
@@ -1,4 +1,4 @@
-"""Rollouts at real gateways: a bad set stopped, a good one done and undone, conductors lost in a stage."""
+"""Rollouts at real gateways: a bad set is rolled back, a good one done and undone, conductors are lost."""
 
 from __future__ import annotations
 
@@ -28,17 +28,17 @@
         old, new = fleet.request_counts()
         while fleet.request_counts()[1] < new + 50:
             await fleet.status(fleet.names[0])
-        # What was on its way when the last gateway took the step may still reach the old hosts.
+        # Requests in flight when the last gateway applied the step may still reach the old hosts.
         assert fleet.request_counts()[0] - old <= 10
         assert await fleet.send_order("undo", "other") == "refused: other is not the rollout at hand (new)"
         assert await fleet.send_order("undo") == "taken"
         await fleet.wait_state("rolled-back")
         tally = await fleet.stop_traffic()
-        assert 0 not in tally.statuses, tally  # each request has had an answer
+        assert 0 not in tally.statuses, tally  # every request was answered
 
 
 @on_loop
-async def test_a_conductor_that_is_killed_within_a_stage_is_followed(tmp_path: Path) -> None:
+async def test_another_gateway_takes_over_from_a_conductor_killed_within_a_stage(tmp_path: Path) -> None:
     wrong: list[str] = []
     async with RolloutFleet(3, tmp_path) as fleet:
         await fleet.wait_conductor()
@@ -48,7 +48,7 @@
 
 
 @on_loop
-async def test_one_that_is_stopped_past_its_lease_changes_nothing_and_of_two_starts_one_is_told_why(
+async def test_a_conductor_stopped_past_its_lease_changes_nothing_and_one_of_two_starts_is_refused(
     tmp_path: Path,
 ) -> None:
     wrong: list[str] = []
--- a/tests/test_rollout_shares.py
+++ b/tests/test_rollout_shares.py
@@ -1,4 +1,4 @@
-"""A division laid over the plan of routes: what the module is told, and whom it then sends to."""
+"""A traffic split applied to a plan of routes, and the servers that the balancer then sends to."""
 
 from __future__ import annotations
 
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -1,4 +1,4 @@
-"""The learned state: out of one balancer, through the store's file, into another."""
+"""The learned state: taken from one balancer, stored in the state file, restored into another."""
 
 import os
 import sqlite3
@@ -24,7 +24,7 @@
     return driver
 
 
-def test_a_new_balancer_takes_up_what_an_old_one_learned() -> None:
+def test_a_new_balancer_restores_the_learned_state_of_an_old_one() -> None:
     old = learned_driver()
     learned = old.balancer.learned_state()
     new = Driver(servers=3)
@@ -40,7 +40,7 @@
     ]
 
 
-def test_servers_of_another_list_or_start_are_passed_over() -> None:
+def test_restore_skips_servers_that_are_gone_or_restarted() -> None:
     old = learned_driver()
     new = Driver(servers=0)
     new.list_servers(ListedServer(0), ListedServer(1, started_us=5))  # 1 started again; 2 is gone
@@ -118,8 +118,8 @@
     assert "from now" in str(state.unusable_reason(snapshot, 98.0, 60.0))
 
 
-def test_what_was_learned_of_a_class_goes_by_its_name() -> None:
-    """A process that was reconfigured numbers its classes otherwise than the next one, which starts anew."""
+def test_class_state_is_restored_by_class_name() -> None:
+    """Guards against restoring by class id: a reconfigured process numbers classes unlike a new process."""
     breaker = LearnedBreaker((True,), "open", 500_000, COOLDOWN_US)
     learned = LearnedState(
         (LearnedServer(0, 0, 0.5, 1.0, breaker, tuple((k, 0.1 * (k + 1), breaker) for k in range(3))),),
--- a/tests/test_state_lab.py
+++ b/tests/test_state_lab.py
@@ -1,4 +1,4 @@
-"""The state store under faults, with real processes: the fault lab's experiments, judged."""
+"""The state store under faults, with real processes: runs the fault lab's experiments and checks them."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 
 async def learned(tmp_path: Path, hosts: list[Host], **extra: object) -> Gateway:
-    """A gateway that has sent to `hosts` and written a snapshot of it, then been SIGKILLed."""
+    """A gateway that has sent to `hosts`, written a snapshot of that, and then been killed with SIGKILL."""
     config = configuration("g", free_port(), "127.0.0.1:9", [endpoint(h) for h in hosts])
     gateway = Gateway("g", tmp_path, config | {"state_snapshot_s": 0.05} | extra, tmp_path / "state")
     await gateway.start()
