--- a/faultlab/membership.py
+++ b/faultlab/membership.py
@@ -123,7 +123,9 @@
         "member_hours": size * ran_s / 3600.0, "members": size, "loss": LOSS_RATE, "stops": stops,
         "stop_s": STOP_S,
         "false_deaths": len(deaths), "deaths_of": len({death.member for death in deaths}),
-        "first_deaths": [f"{d.member} by {d.reporter} after {d.reported_s - began_s:.1f} s" for d in deaths[:5]],
+        "first_deaths": [
+            f"{d.member} by {d.reporter} after {d.reported_s - began_s:.1f} s" for d in deaths[:5]
+        ],
         "suspicions": sum(c["suspicions"] for c in counters.values()),
         "refutations": sum(c["refutations"] for c in counters.values()),
         "datagrams_a_member_s": sent / size / ran_s,
