--- a/faultlab/storm/__init__.py
+++ b/faultlab/storm/__init__.py
@@ -1,1 +1,1 @@
-"""The storm: long seeded runs of random events, in which no invariant may break."""
+"""Storm: long runs of random events, reproducible from a seed, that search for violated invariants."""
--- a/faultlab/storm/world/__init__.py
+++ b/faultlab/storm/world/__init__.py
@@ -1,1 +1,1 @@
-"""A seeded random world round one balancer: hosts, lists, clients, their faults. Pure: no clock, no I/O."""
+"""A random simulated environment of one balancer: hosts, lists, clients, faults. No real clock, no I/O."""
--- a/faultlab/storm/world/draws.py
+++ b/faultlab/storm/world/draws.py
@@ -1,4 +1,4 @@
-"""Settings of one gateway, and what an operator changes in them, at random."""
+"""Random settings of one gateway, and random changes of them by an operator."""
 
 from __future__ import annotations
 
@@ -10,6 +10,7 @@
 
 
 def draw_class(rng: Random) -> RequestClass:
+    """A random request class."""
     aim_us = rng.choice((60_000, 150_000, 300_000))
     effect = rng.choice(tuple(Effect))
     return RequestClass(
@@ -25,7 +26,7 @@
 
 
 def draw_settings(rng: Random) -> Settings:
-    """Settings of one gateway out of a few or hundreds, with every rule switched at random."""
+    """Random settings of one gateway out of a fleet of 1 to 60, with every feature on or off at random."""
     proxies = rng.choice((1, 3, 12, 60))
     shares = rng.choice(((), (0.5, 0.5), (0.2, 0.3, 0.4)))
     return Settings(
@@ -57,17 +58,17 @@
 
 
 def reconfigured(rng: Random, old: Settings) -> Settings:
-    """The settings after an operator's change: classes and tenants keep their numbers."""
+    """The settings after an operator's change. Classes and tenants keep their numbers."""
     classes = list(old.classes)
-    place = rng.randrange(len(classes))
-    turn = rng.randrange(4)
-    if turn == 0 and len(classes) < 6:
+    index = rng.randrange(len(classes))
+    choice = rng.randrange(4)
+    if choice == 0 and len(classes) < 6:
         classes.append(draw_class(rng))
-    elif turn == 1 and sum(not c.dropped for c in classes) > 1:
-        classes[place] = replace(classes[place], dropped=True)
-    elif turn == 2:
-        classes[place] = replace(draw_class(rng), dropped=classes[place].dropped)
+    elif choice == 1 and sum(not c.dropped for c in classes) > 1:
+        classes[index] = replace(classes[index], dropped=True)
+    elif choice == 2:
+        classes[index] = replace(draw_class(rng), dropped=classes[index].dropped)
     tenants = (*old.tenants, Tenant(0.1)) if rng.random() < 0.2 and len(old.tenants) < 6 else old.tenants
     other = draw_settings(rng)
-    kept = {"classes": tuple(classes), "tenants": tenants, "zone": old.zone}
-    return replace(other, **kept, proxies=old.proxies, proxy=old.proxy)  # type: ignore[arg-type]
+    kept_fields = {"classes": tuple(classes), "tenants": tenants, "zone": old.zone}
+    return replace(other, **kept_fields, proxies=old.proxies, proxy=old.proxy)  # type: ignore[arg-type]
