--- a/faultlab/storm/cluster/history_result.py
+++ b/faultlab/storm/cluster/history_result.py
@@ -1,4 +1,4 @@
-"""How a history of a replicated part ended."""
+"""Runs a history of a replicated part (ledger, activation, routes) and reports how it ended."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @dataclass(slots=True)
 class HistoryResult:
-    """`violations` are those of event number `events`, which ended the history; empty: nothing broke."""
+    """Result of a history. `violations` were found at event number `events`, which ended it; empty: none."""
 
     members: int
     events: int
-    virtual_s: float
+    virtual_s: float  # simulated seconds
     violations: list[str]
 
 
 def run_history(cluster: LedgerCluster, steps: int, step: Callable[[], None]) -> HistoryResult:
-    """Take so many random steps, heal all and judge; the first violation ends it. Deterministic."""
+    """Take `steps` random steps, heal all faults and check the end state; the first violation ends it."""
     raised: list[str] = []
     try:
         for _ in range(steps):
@@ -28,6 +28,6 @@
                 break
         else:
             cluster.finish()
-    except Exception as error:  # a core's own is as much a violation as what a check found
+    except Exception as error:  # an exception of a core counts as a violation
         raised.append(repr(error))
     return HistoryResult(len(cluster.members), cluster.events, cluster.now_s, cluster.violations() + raised)
--- a/faultlab/storm/cluster/listservice.py
+++ b/faultlab/storm/cluster/listservice.py
@@ -1,4 +1,4 @@
-"""The list service of a storm: whole lists and changes by index, restarts at a lower index, silence."""
+"""The simulated list service: full lists and deltas by index, restarts at a lower index, outages."""
 
 from __future__ import annotations
 
@@ -7,30 +7,31 @@
 
 from cloverkeel.fleet.lists.versioned_list import RawEntry, is_deleted
 
-# Index at the start of each life. None comes near the one before: a restart that reaches an index that the
-# life before it had cannot be told from a change, but by the service's own epoch.
+# Index at the start of each life of the service. The indexes of two lives must not overlap: a restart that
+# reaches an index of the life before cannot be distinguished from a change without the service's epoch.
 START_INDEXES = (10_000, 1_000, 10)
 
 
 @dataclass(slots=True)
 class ListService:
-    """`epoch` is told where `tells_epoch`. Entries carry a number that no two of them share, in any life."""
+    """A list service of up to 12 hosts. The `made` number of an entry is unique over all lives."""
 
     rng: random.Random
-    reports_epoch: bool = False
-    up: bool = True
-    life: int = 0
+    reports_epoch: bool = False  # answers carry the epoch
+    up: bool = True  # it answers calls
+    life: int = 0  # number of restarts
     index: int = START_INDEXES[0]
-    entry_count: int = 0
+    entry_count: int = 0  # number of the newest entry
     entries: dict[str, RawEntry] = field(default_factory=dict)
-    changes: list[tuple[int, RawEntry]] = field(default_factory=list)  # of this life, each with its index
+    changes: list[tuple[int, RawEntry]] = field(default_factory=list)  # of this life, by index
 
     @property
     def epoch(self) -> int | None:
+        """The epoch that answers carry; None: they carry none."""
         return self.life if self.reports_epoch else None
 
     def change(self) -> None:
-        """One host comes, changes or goes."""
+        """Add, change or delete one host."""
         self.index += self.rng.randint(1, 2)
         self.entry_count += 1
         name = f"h{self.rng.randrange(12)}"
@@ -44,8 +45,7 @@
             self.entries[name] = entry
 
     def restart(self) -> None:
-        """A new life, with what hosts it finds: its index starts lower and its changes are forgotten. There
-        are as many as LIVES has."""
+        """Restart with other hosts, a lower index and no changes; START_INDEXES limits the restarts."""
         self.life += 1
         self.index = START_INDEXES[self.life]
         self.changes.clear()
@@ -55,9 +55,11 @@
         }
 
     def answer(self, from_index: int | None) -> tuple[int, bool, list[RawEntry]]:
-        """Index, whether it is the whole list, and entries, to a call from `from_index`; what this life does
-        not know the changes from is answered whole."""
-        first = self.changes[0][0] if self.changes else self.index
-        if from_index is None or not first <= from_index <= self.index:
+        """The answer to a call from `from_index`: index, whether the list is full, and entries.
+
+        The list is full if this life does not have all changes since `from_index`.
+        """
+        first_index = self.changes[0][0] if self.changes else self.index
+        if from_index is None or not first_index <= from_index <= self.index:
             return self.index, True, list(self.entries.values())
         return self.index, False, [entry for index, entry in self.changes if index > from_index]
--- a/faultlab/storm/cluster/membership.py
+++ b/faultlab/storm/cluster/membership.py
@@ -1,4 +1,4 @@
-"""One history of a cluster: its members as pure cores, its faults, and how each befalls them."""
+"""A simulated membership cluster: its members as protocol cores, and the faults applied to them."""
 
 from __future__ import annotations
 
@@ -22,24 +22,24 @@
 from faultlab.storm.cluster.faults import Fault, History, FaultKind
 from faultlab.storm.cluster.network import NORMAL_DELAY_S, Clock, Partition, Links
 
-KEPT_ACTIONS = 30  # of the last things that cores told, kept for a replay
-MAX_QUEUED_MESSAGES = 256  # datagrams that wait at a paused process; the rest is lost, as at a full socket
+KEPT_ACTIONS = 30  # last actions of the cores that a replay prints
+MAX_QUEUED_MESSAGES = 256  # datagrams that wait at a paused process; more are lost, as at a full socket
 
 
 @dataclass(slots=True)
 class Process:
-    """A process with one member; a core that was refused at its join gives way to another."""
+    """A process with one member. If its join is refused, it joins again with a new core."""
 
-    me: MemberUpdate  # as at its start
-    take_over: bool
-    older: tuple[str, ...]
+    me: MemberUpdate  # its name, address and incarnation at the start
+    take_over: bool  # it may take over the name of a running predecessor
+    older: tuple[str, ...]  # addresses of its predecessors
     member: Member
     up: bool = True
-    will_rejoin: bool = False  # refused at its join, it is to join again
+    will_rejoin: bool = False  # its join was refused; it joins again later
     paused_until_s: float = 0.0
-    next_tick_s: float = 0.0  # its next tick
+    next_tick_s: float = 0.0
     queued_messages: list[Message] = field(default_factory=list)
-    view_changed: bool = True  # its view, since it was last looked at
+    view_changed: bool = True  # since the lists last read its view
 
     @property
     def name(self) -> str:
@@ -47,51 +47,56 @@
 
     @property
     def is_active(self) -> bool:
+        """Whether it runs as a member: joined, not refused, not left."""
         member = self.member
         return self.up and not member.refused and not member.left and member.joining_until_s is None
 
 
 class MembershipCluster:
-    """Plays a history's members on `clock` and `links`. `events` counts the calls of cores."""
+    """Runs the members and the faults of a history on a simulated clock and network.
+
+    `check`: the members check their invariants after each call.
+    """
 
     def __init__(self, history: History, check: bool) -> None:
         self.history, self.check = history, check
         self.rng = random.Random(history.seed)
         self.clock = Clock()
         self.links = Links(random.Random(history.seed + 1))
-        self.processes: dict[str, Process] = {}  # by address; one that was killed stays until it is replaced
-        self.successors: dict[str, Process] = {}  # by the address of the one that they follow
-        self.last_actions: deque[tuple[float, Process, Action]] = deque(
-            maxlen=KEPT_ACTIONS
-        )  # but for what was sent
-        self.deaths: list[tuple[float, str, MemberUpdate]] = []  # told: when, by whom, of whom
-        self.faulted_names: set[str] = set()  # names whose process was killed, replaced or left
-        self.upgrade_until_s: dict[str, float] = {}  # until when the older process of a name stays
+        self.processes: dict[str, Process] = {}  # by address; a killed one stays until it is replaced
+        self.successors: dict[str, Process] = {}  # by the address of the predecessor
+        # The last actions of the cores, without messages sent.
+        self.last_actions: deque[tuple[float, Process, Action]] = deque(maxlen=KEPT_ACTIONS)
+        self.deaths: list[tuple[float, str, MemberUpdate]] = []  # when, reported by whom, who
+        self.faulted_names: set[str] = set()  # names of processes that were killed, restarted or left
+        self.upgrade_until_s: dict[str, float] = {}  # by name: when the predecessor leaves
         self.on_start: Callable[[Process], None] | None = None
-        self.events = 0
-        self.max_running = 0
+        self.events = 0  # calls of cores
+        self.max_running = 0  # most processes that ran at once
         self.address_count = 0
         self.seeds = tuple(f"10.0.0.{n}:7" for n in range(history.seeds))
         for n in range(history.size):
             when_s = self.rng.uniform(0.0, history.start_s)
-            on_held_socket = n % 2 == 1  # let take over, as the first process there may be
+            on_held_socket = n % 2 == 1  # the first process on a held socket may be started to take over
             self.clock.call_at(when_s, self.start, f"m{n}", self._new_address(), 1, on_held_socket)
         self.name_count = history.size
         for fault in history.faults:
             self.clock.call_at(fault.at_s, self.apply_fault, fault)
 
     def _new_address(self) -> str:
+        """The next address that no process has had."""
         self.address_count += 1
         high, low = divmod(self.address_count - 1, 256)
         return f"10.0.{high}.{low}:7"
 
     def active_processes(self) -> list[Process]:
+        """Processes that run as members."""
         return [p for p in self.processes.values() if p.is_active]
 
     def start(
         self, name: str, address: str, incarnation: int, take_over: bool = False, older: tuple[str, ...] = ()
     ) -> None:
-        """A process starts at `address`, in place of any that was there."""
+        """Start a process at `address`; a process that was there ends."""
         old = self.processes.get(address)
         if old is not None:
             old.up = False
@@ -106,8 +111,8 @@
 
     def _new_member(self, me: MemberUpdate, take_over: bool, older: tuple[str, ...]) -> Member:
         rng = random.Random(self.rng.getrandbits(64))
-        kind = CheckedMember if self.check else Member
-        return kind(me, self.history.timing, self.seeds, take_over, rng, older)
+        member_class = CheckedMember if self.check else Member
+        return member_class(me, self.history.timing, self.seeds, take_over, rng, older)
 
     def _rejoin(self, process: Process) -> None:
         process.will_rejoin = False
@@ -116,6 +121,7 @@
             self.execute(process, process.member.start(self.clock.now_s))
 
     def execute(self, process: Process, actions: list[Action]) -> None:
+        """Carry out the actions of a process's core."""
         clock, source = self.clock, process.me.address
         for action in actions:
             if isinstance(action, Send):
@@ -136,13 +142,14 @@
                 self.deaths.append((clock.now_s, process.name, action.update))
 
     def process_at(self, address: str) -> Process | None:
-        """Who hears at `address`: its process, or once that has ended its successor of an upgrade."""
+        """The process that receives at `address`: the one started there, or after its end its successor."""
         process = self.processes.get(address)
         while process is not None and not process.up:
             process = self.successors.get(process.me.address)
         return process
 
     def deliver(self, address: str, message: Message) -> None:
+        """Deliver a datagram; at a paused process it waits."""
         process = self.process_at(address)
         if process is None:
             return
@@ -154,7 +161,7 @@
         self.execute(process, process.member.receive(message, self.clock.now_s))
 
     def exchange_views(self, process: Process, address: str) -> None:
-        """Both take the other's whole view, as over a stream."""
+        """Both processes receive the other's full view, as over a stream."""
         other = self.process_at(address)
         now_s = self.clock.now_s
         if other is None or not process.up or max(other.paused_until_s, process.paused_until_s) > now_s:
@@ -169,36 +176,38 @@
         self.clock.call_at(process.next_tick_s, self.tick, process)
 
     def tick(self, process: Process) -> None:
+        """Tick a process's core, after a pause together with the datagrams that waited."""
         now_s, tick_s = self.clock.now_s, self.history.tick_s
         if not process.up:
             return
         if now_s < process.paused_until_s:
             self.clock.call_at(process.paused_until_s, self.tick, process)
             return
-        held, process.queued_messages = process.queued_messages, []
+        waiting, process.queued_messages = process.queued_messages, []
         late_s = now_s - process.next_tick_s
-        if late_s > 2 * tick_s:  # as `gossip` tells its core; what waited is read before the tick or after it
+        if late_s > 2 * tick_s:  # reported as by `gossip`
             process.member.on_stall(late_s)
-        before = self.rng.random() < 0.5
-        for message in held if before else ():
+        before = self.rng.random() < 0.5  # datagrams that waited are read before the tick or after it
+        for message in waiting if before else ():
             self.deliver(process.me.address, message)
         self.events += 1
         self.execute(process, process.member.tick(now_s))
-        for message in () if before else held:
+        for message in () if before else waiting:
             self.deliver(process.me.address, message)
         self._schedule_tick(process, tick_s)
 
     # Faults
 
     def apply_fault(self, fault: Fault) -> None:
+        """Apply a fault of the history to the links, or to one of the active processes."""
         links, ends_s = self.links, self.clock.now_s + fault.duration_s
         match fault.kind:
             case FaultKind.SPLIT | FaultKind.ONE_WAY:
-                known = list(self.processes)
-                inside = frozenset(self.rng.sample(known, int(len(known) * fault.share)))
-                cut = Partition(inside, fault.kind is FaultKind.ONE_WAY)
-                links.partitions.append(cut)
-                self.clock.call_at(ends_s, self._end_partition, cut)
+                addresses = list(self.processes)
+                inside = frozenset(self.rng.sample(addresses, int(len(addresses) * fault.share)))
+                partition = Partition(inside, fault.kind is FaultKind.ONE_WAY)
+                links.partitions.append(partition)
+                self.clock.call_at(ends_s, self._end_partition, partition)
             case FaultKind.LOSS:
                 links.loss = fault.share / 2
             case FaultKind.DUPLICATE:
@@ -209,15 +218,15 @@
                 self.name_count += 1
                 self.start(f"m{self.name_count - 1}", self._new_address(), 1)
             case _:
-                up = self.active_processes()
-                if up:
-                    self._apply_process_fault(fault, up[fault.process_index % len(up)], ends_s)
+                active = self.active_processes()
+                if active:
+                    self._apply_process_fault(fault, active[fault.process_index % len(active)], ends_s)
 
-    def _end_partition(self, cut: Partition) -> None:
-        self.links.partitions = [c for c in self.links.partitions if c is not cut]
+    def _end_partition(self, partition: Partition) -> None:
+        self.links.partitions = [p for p in self.links.partitions if p is not partition]
 
     def _apply_process_fault(self, fault: Fault, process: Process, ends_s: float) -> None:
-        name, present = process.name, process.member.me.incarnation
+        name, current = process.name, process.member.me.incarnation
         if fault.kind is FaultKind.PAUSE:
             process.paused_until_s = max(process.paused_until_s, ends_s)
             return
@@ -231,39 +240,42 @@
             case FaultKind.RESTART | FaultKind.RESTART_OLD | FaultKind.MOVE:
                 process.up = False
                 address = self._new_address() if fault.kind is FaultKind.MOVE else process.me.address
-                incarnation = process.me.incarnation if fault.kind is FaultKind.RESTART_OLD else present + 1
+                incarnation = process.me.incarnation if fault.kind is FaultKind.RESTART_OLD else current + 1
                 self.clock.call_at(ends_s, self._restart, name, address, incarnation)
             case FaultKind.CLAIM:
-                step = fault.process_index % 3 - 1
-                self.start(name, self._new_address(), max(1, present + step))
+                difference = fault.process_index % 3 - 1
+                self.start(name, self._new_address(), max(1, current + difference))
             case FaultKind.UPGRADE:
                 if self.upgrade_until_s.get(name, -1.0) >= self.clock.now_s:
-                    return  # a process has one successor at a time
+                    return  # a process has at most one successor at a time
                 self.upgrade_until_s[name] = ends_s
                 address = self._new_address()
-                self.start(name, address, present + 1, True, (process.me.address,))
+                self.start(name, address, current + 1, True, (process.me.address,))
                 self.successors[process.me.address] = self.processes[address]
                 self.clock.call_at(ends_s, self.leave, process)
 
     def _restart(self, name: str, address: str, incarnation: int) -> None:
-        held = self.processes.get(address)
-        if held is None or not held.up:
+        existing = self.processes.get(address)
+        if existing is None or not existing.up:
             self.start(name, address, incarnation)
 
     def leave(self, process: Process) -> None:
+        """A process leaves the cluster and ends."""
         if process.up:
             self.execute(process, process.member.leave(self.clock.now_s))
             process.up = False
 
     def restart_seeds(self) -> bool:
-        """A seed's address that is silent gets a process again, as its operators would see to, though its
-        process runs and only its name was lost to another; says whether one was started."""
+        """Start a process at each seed address without an active one, as its operators would.
+
+        This includes a seed whose process runs but lost its name to another. Returns whether one was started.
+        """
         started = False
-        spoken = {p.name for p in self.active_processes()}
+        active_names = {p.name for p in self.active_processes()}
         for n, seed in enumerate(self.seeds):
             old = self.processes.get(seed)
             if old is None or not old.up or old.member.refused:
-                name = old.name if old is not None and old.name not in spoken else f"s{n}"
+                name = old.name if old is not None and old.name not in active_names else f"s{n}"
                 self.faulted_names.add(name)
                 self.start(name, seed, old.member.me.incarnation + 1 if old is not None else 1)
                 started = True
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -81,7 +81,7 @@
     shown = capsys.readouterr()
     assert json.loads(shown.out)["violations"] == 1
     events = json.loads(shown.out)["cluster_events"]
-    assert f"seed={broken} event={events} broken: not forgotten" in shown.err
+    assert f"seed={broken} event={events} broken: gone members were not reaped" in shown.err
     replay = shown.err.partition("replay: python -m faultlab ")[2].split()
     assert main(replay) == 1
     assert f"event {events} at " in capsys.readouterr().out
@@ -143,7 +143,7 @@
 def test_a_part_that_passes_the_budget_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(budget, "fall_budget_us", lambda proxy: budget.FALL_BUDGET_US / 2)
     outcome = play(History(seed=3, size=6, timing=TIMING, faults_until_s=4.0, with_lists=True))
-    assert outcome.violation is not None and "a fall budget is passed" in outcome.violation
+    assert outcome.violation is not None and "fall budget exceeded" in outcome.violation
 
 
 def test_replay_asks_for_the_part_that_failed(capsys: pytest.CaptureFixture[str]) -> None:
