--- a/faultlab/storm/cluster/membership.py
+++ b/faultlab/storm/cluster/membership.py
@@ -32,7 +32,7 @@
 
     me: MemberUpdate  # its name, address and incarnation at the start
     take_over: bool  # it may take over the name of a running predecessor
-    older: tuple[str, ...]  # addresses of its predecessors
+    older_addresses: tuple[str, ...]  # of its predecessors
     member: Member
     up: bool = True
     will_rejoin: bool = False  # its join was refused; it joins again later
@@ -94,14 +94,19 @@
         return [p for p in self.processes.values() if p.is_active]
 
     def start(
-        self, name: str, address: str, incarnation: int, take_over: bool = False, older: tuple[str, ...] = ()
+        self,
+        name: str,
+        address: str,
+        incarnation: int,
+        take_over: bool = False,
+        older_addresses: tuple[str, ...] = (),
     ) -> None:
         """Start a process at `address`; a process that was there ends."""
         old = self.processes.get(address)
         if old is not None:
             old.up = False
         me = MemberUpdate(name, address, incarnation, Status.ALIVE, f"z{len(name) % 3}")
-        process = Process(me, take_over, older, self._new_member(me, take_over, older))
+        process = Process(me, take_over, older_addresses, self._new_member(me, take_over, older_addresses))
         self.processes[address] = process
         self.max_running = max(self.max_running, sum(p.up for p in self.processes.values()))
         self.execute(process, process.member.start(self.clock.now_s))
@@ -109,15 +114,15 @@
         if self.on_start is not None:
             self.on_start(process)
 
-    def _new_member(self, me: MemberUpdate, take_over: bool, older: tuple[str, ...]) -> Member:
+    def _new_member(self, me: MemberUpdate, take_over: bool, older_addresses: tuple[str, ...]) -> Member:
         rng = random.Random(self.rng.getrandbits(64))
         member_class = CheckedMember if self.check else Member
-        return member_class(me, self.history.timing, self.seeds, take_over, rng, older)
+        return member_class(me, self.history.timing, self.seeds, take_over, rng, older_addresses)
 
     def _rejoin(self, process: Process) -> None:
         process.will_rejoin = False
         if process.up:
-            process.member = self._new_member(process.me, process.take_over, process.older)
+            process.member = self._new_member(process.me, process.take_over, process.older_addresses)
             self.execute(process, process.member.start(self.clock.now_s))
 
     def execute(self, process: Process, actions: list[Action]) -> None:
