--- a/faultlab/storm/cluster/faults.py
+++ b/faultlab/storm/cluster/faults.py
@@ -17,7 +17,7 @@
     KILL = "kill"
     PAUSE = "pause"  # for `duration_s` its ticks stop and its datagrams wait
     RESTART = "restart"  # killed; started at the same address with a higher incarnation after `duration_s`
-    RESTART_OLD = "restart_old"  # the same, with the incarnation of its own start
+    RESTART_OLD = "restart_old"  # the same, with the incarnation that it started with
     MOVE = "move"  # the same as RESTART, at another address
     LEAVE = "leave"
     JOIN = "join"
--- a/faultlab/storm/cluster/ledger_history.py
+++ b/faultlab/storm/cluster/ledger_history.py
@@ -1,8 +1,8 @@
-"""Random histories of a cluster of ledgers.
+"""Random histories of a ledger cluster.
 
-Writes under fresh and under old contexts, deletes, drops, doubles, delays, partitions, members that crash,
-are away, come back, lose their disk or get an old copy of it, disks that refuse, members that serve false
-payloads. Then all is healed, and all must agree.
+They contain writes under current and old contexts, and deletes; messages that are dropped, duplicated and
+delayed; partitions; members that crash, restart, are away for long, lose their disk or get an old copy of it;
+full disks; and members that send damaged payloads. Then all faults are healed, and all members must agree.
 """
 
 from __future__ import annotations
@@ -14,18 +14,19 @@
 from faultlab.storm.cluster.ledger import TICK_S, LedgerCluster, Disk, Member
 from faultlab.storm.cluster.history_result import HistoryResult, run_history
 
-LARGE_MEMBERS, LARGE_STEPS, LARGE_TICK_S = 500, 20, 0.5  # members, and what keeps a history of so many short
+# Members of a large history, and the fewer steps and longer ticks that keep its run time short.
+LARGE_MEMBERS, LARGE_STEPS, LARGE_TICK_S = 500, 20, 0.5
 
 
 def play_seed(seed: int) -> HistoryResult:
-    """The history of a seed: one in 100 is of LARGE members."""
+    """Run the history of a seed; one in 100 has LARGE_MEMBERS members."""
     if random.Random(f"size {seed}").random() < 1 / 100:
         return play(seed, LARGE_MEMBERS, LARGE_STEPS, LARGE_TICK_S)
     return play(seed)
 
 
 def play(seed: int, members: int | None = None, steps: int = 60, tick_s: float = TICK_S) -> HistoryResult:
-    """One random history of 5 to 20 members (or so many)."""
+    """Run a random history of `members` members, 5 to 20 if not given."""
     rng = random.Random(seed)
     cluster = LedgerCluster(seed, members or rng.randint(5, 20), tick_s)
     names = [("kind", f"key{i}") for i in range(rng.randint(1, 6))]
@@ -35,12 +36,12 @@
     def step() -> None:
         cluster.run(rng.choice((0.01, 0.05, 0.3, 1.0)))
         cluster.check()
-        up = cluster.running_members()
-        if up and rng.random() < 0.6:
+        running = cluster.running_members()
+        if running and rng.random() < 0.6:
             for _ in range(rng.randint(1, 3)):
                 level = rng.choice(tuple(Level))
                 cluster.write(
-                    rng.choice(up), rng.choice(names), rng.random() < 0.2, rng.random() < 0.3, level
+                    rng.choice(running), rng.choice(names), rng.random() < 0.2, rng.random() < 0.3, level
                 )
         else:
             _random_fault(cluster, rng, copies)
@@ -51,7 +52,7 @@
 def apply_fault(
     cluster: LedgerCluster, rng: random.Random, member: Member, number: int, copies: dict[str, Disk]
 ) -> None:
-    """The faults 0 to 8, of any cluster of ledgers: stops, starts, sides, full disks, false payloads."""
+    """Apply fault 0 to 8: stop, start, partition, heal, full disk, damaged payloads, copy of the disk."""
     match number:
         case 0:
             cluster.stop(member)
@@ -74,6 +75,7 @@
 
 
 def _random_fault(cluster: LedgerCluster, rng: random.Random, copies: dict[str, Disk]) -> None:
+    """Apply a random fault to a random member; `copies` are the copies of disks made before."""
     member = rng.choice(list(cluster.members.values()))
     number = rng.randrange(10)
     if number < 9:
@@ -84,5 +86,5 @@
         cluster.restore_disk(member, copies.pop(member.name))
     else:
         member.side = 2
-        cluster.run(rng.choice((2.0, 9.0)))  # away, perhaps past `reap_after_s`
+        cluster.run(rng.choice((2.0, 9.0)))  # unreachable, perhaps for longer than `reap_after_s`
         member.side = 0
--- a/tests/test_ledger_core.py
+++ b/tests/test_ledger_core.py
@@ -99,9 +99,13 @@
         cluster = LedgerCluster(3, size, TICK_S)
         assert cluster.run(60.0, cluster.agreed)
         for number, member in enumerate(cluster.members.values()):
-            cluster.write(member, ("kind", str(number)), old=False, delete=False, level=Level.LOCAL)
+            cluster.write(
+                member, ("kind", str(number)), use_old_context=False, delete=False, level=Level.LOCAL
+            )
         cluster.run(30.0)
-        cluster.write(cluster.members["m0"], ("kind", "0"), old=False, delete=True, level=Level.LOCAL)
+        cluster.write(
+            cluster.members["m0"], ("kind", "0"), use_old_context=False, delete=True, level=Level.LOCAL
+        )
         cluster.run(120.0)
         cores = [member.core for member in cluster.running_members() if member.core is not None]
         assert not any(
