--- a/faultlab/storm/cluster/activation_reference.py
+++ b/faultlab/storm/cluster/activation_reference.py
@@ -1,4 +1,4 @@
-"""What activation must keep, whatever happens to its members (docs/activation.md, "Invariants")."""
+"""Reference model of activation: what must hold under all faults (docs/activation.md, "Invariants")."""
 
 from __future__ import annotations
 
@@ -12,23 +12,30 @@
 
 
 class ActivationReference:
-    """Told of every epoch seen and of what members run; `violations` is empty where all held."""
+    """Is told of each epoch and of what members run; `violations` is empty while all invariants hold."""
 
     def __init__(self, size: int) -> None:
         self.size = size
         self.violations: list[str] = []
         self.epochs: dict[int, Epoch] = {0: Epoch()}
-        self.highest_epoch: dict[str, int] = {}  # by member
-        self.removed_versions: dict[str, set[str]] = {}  # by name: versions that an epoch took out
+        self.highest_epoch: dict[str, int] = {}  # by member: number of its newest epoch
+        self.removed_versions: dict[str, set[str]] = {}  # by transform name: versions that an epoch removed
 
-    def add_violation(self, what: str) -> None:
+    def add_violation(self, violation: str) -> None:
+        """Note a violation; only the first 20 are kept."""
         if len(self.violations) < 20:
-            self.violations.append(what)
+            self.violations.append(violation)
 
     def check_epoch(self, member: str, epoch: Epoch, votes: Votes) -> None:
-        """`votes`: of each member's own word, what its disks hold, once asked for."""
+        """A member reached this epoch. `votes` returns the votes of each member that its disks hold.
+
+        A new epoch must follow a known one, and have the votes of a majority of that one's voters, or of all
+        of its members on any disk.
+        """
         if epoch.number < self.highest_epoch.get(member, 0):
-            self.add_violation(f"{member} falls from epoch {self.highest_epoch[member]} to {epoch.number}")
+            self.add_violation(
+                f"{member} went back from epoch {self.highest_epoch[member]} to {epoch.number}"
+            )
         self.highest_epoch[member] = epoch.number
         known = self.epochs.get(epoch.number)
         if known is not None:
@@ -37,70 +44,69 @@
             return
         before = self.epochs.get(epoch.number - 1)
         if before is None:
-            self.add_violation(f"epoch {epoch.number} without the one before it")
+            self.add_violation(f"epoch {epoch.number} without its predecessor")
             return
         electorate = before.voter_store_ids()
-        backing = {voter for voter, vote in votes() if vote.value == epoch}
-        backing = {(m, disk) for m, disk in backing if not electorate or m in electorate}
-        named, every = backing & set(electorate.items()), {member for member, _ in backing}
-        if 2 * len(named) <= len(electorate) and len(every) < (len(electorate) or self.size):
+        supporters = {voter for voter, vote in votes() if vote.value == epoch}
+        supporters = {(m, disk) for m, disk in supporters if not electorate or m in electorate}
+        from_voters, members = supporters & set(electorate.items()), {member for member, _ in supporters}
+        if 2 * len(from_voters) <= len(electorate) and len(members) < (len(electorate) or self.size):
             self.add_violation(
-                f"epoch {epoch.number} on the word of {len(named)} voters and {len(every)} members"
+                f"epoch {epoch.number} with the votes of {len(from_voters)} voters and {len(members)} members"
                 f" of {len(electorate) or self.size}"
             )
         self._record_epoch(before, epoch)
 
     def _record_epoch(self, before: Epoch, epoch: Epoch) -> None:
+        """Keep a new epoch, and check its versions against the epoch before."""
         self.epochs[epoch.number] = epoch
         for name, slot in epoch.slots.items():
-            gone = self.removed_versions.setdefault(name, set())
+            removed = self.removed_versions.setdefault(name, set())
             old = before.slot(name)
-            gone |= old.referenced_versions() - slot.referenced_versions()
-            if again := gone & slot.referenced_versions():
-                self.add_violation(f"epoch {epoch.number}: {name}: {again} is back")
+            removed |= old.referenced_versions() - slot.referenced_versions()
+            if reused := removed & slot.referenced_versions():
+                self.add_violation(f"epoch {epoch.number}: {name}: {reused} was removed and is used again")
             if len(old.runnable_versions() | slot.runnable_versions()) > 2:
-                self.add_violation(f"epoch {epoch.number}: {name}: over two versions at its switch")
+                self.add_violation(f"epoch {epoch.number}: {name}: more than two versions at its switch")
 
-    def check_running(self, member: str, brain: Activation, compiled: set[str]) -> None:
-        for name, version in brain.active.items():
+    def check_running(self, member: str, core: Activation, compiled: set[str]) -> None:
+        """Check that a member runs only staged versions of its epoch."""
+        for name, version in core.active.items():
             if version not in compiled:
                 self.add_violation(f"{member} runs {name} {version}, which it has not staged")
-            if version not in brain.epoch.slot(name).referenced_versions():
-                self.add_violation(f"{member} runs {name} {version}, which its epoch does not name")
+            if version not in core.epoch.slot(name).referenced_versions():
+                self.add_violation(f"{member} runs {name} {version}, which is not in its epoch")
 
-    def check_together(self, brains: Iterable[Activation]) -> None:
-        """Of members that have long been present side by side."""
+    def check_together(self, cores: Iterable[Activation]) -> None:
+        """Check that members that have long been connected run at most two versions of a transform."""
         versions: dict[str, set[str]] = {}
-        for brain in brains:
-            for name, version in brain.active.items():
+        for core in cores:
+            for name, version in core.active.items():
                 versions.setdefault(name, set()).add(version)
         for name, found in versions.items():
             if len(found) > 2:
                 self.add_violation(f"{name}: {len(found)} versions at once")
 
-    def check_final(self, brains: list[Activation], bad: set[str]) -> None:
-        """All are healed and have had time: one epoch, nothing open, nothing bad."""
-        first = brains[0]
-        for brain in brains:
-            if (
-                brain.ledger_state.epoch != first.ledger_state.epoch
-                or brain.epoch != brain.ledger_state.epoch
-            ):
+    def check_final(self, cores: list[Activation], bad_versions: set[str]) -> None:
+        """Check the end state: one epoch, no unfinished order, and no bad version active."""
+        first = cores[0]
+        for core in cores:
+            if core.ledger_state.epoch != first.ledger_state.epoch or core.epoch != core.ledger_state.epoch:
                 self.add_violation(
-                    f"{brain.member} ends on epoch {brain.epoch.number}, "
+                    f"{core.member} ends on epoch {core.epoch.number}, "
                     f"{first.member} on {first.epoch.number}"
                 )
-            for name, slot in brain.epoch.slots.items():
-                left = {o.id for o in brain.ledger_state.open_orders(name)}
-                if slot.candidate or left:
+            for name, slot in core.epoch.slots.items():
+                unfinished = {o.id for o in core.ledger_state.open_orders(name)}
+                if slot.candidate or unfinished:
                     self.add_violation(
-                        f"{name} does not come to rest: {slot.candidate} {left} {first.wait_reasons}"
+                        f"{name} has unfinished work: {slot.candidate} {unfinished} {first.wait_reasons}"
                     )
-                if slot.active in bad:
-                    self.add_violation(f"{name} ends on a version that fails")
-                expected = slot.before if brain.member in slot.behind else slot.active
-                able = brain.stage_results.get(expected) == ""
-                if brain.active.get(name, "") != (expected if able else ""):
+                if slot.active in bad_versions:
+                    self.add_violation(f"{name} ends with a bad version active")
+                expected = slot.before if core.member in slot.behind else slot.active
+                is_staged = core.stage_results.get(expected) == ""
+                if core.active.get(name, "") != (expected if is_staged else ""):
                     self.add_violation(
-                        f"{brain.member} runs {brain.active.get(name)} of {name}, not {expected}"
+                        f"{core.member} runs {core.active.get(name)} of {name}, not {expected}"
                     )
--- a/faultlab/storm/cluster/routes_history.py
+++ b/faultlab/storm/cluster/routes_history.py
@@ -1,9 +1,10 @@
-"""Random histories of routes: teams that commit under fresh, old and exported plans at members that fail.
+"""Random histories of routes: teams commit under current, old and exported plans at members that fail.
 
-Edits of fields, deletes, routes made anew, resolutions, acceptances, new owners, overlapping prefixes, orders
-between routes, values that block; drops, doubles, delays, partitions, crashes between any two events, disks
-that refuse, are lost or set back, members away for long, transforms that some hear of later. Then all is
-healed, and all must agree.
+Commits contain edits of fields, deletes, routes created again, resolutions and acceptances of conflicts, new
+owners, overlapping prefixes, orders between routes, and values that block a route. Messages are dropped,
+duplicated and delayed; there are partitions, crashes between any two events, full, lost and restored disks,
+members away for long, and transforms that some members learn of later. Then all faults are healed, and all
+members must agree.
 """
 
 from __future__ import annotations
@@ -21,14 +22,16 @@
 from faultlab.storm.cluster.history_result import HistoryResult, run_history
 from faultlab.storm.cluster.routes import MAX_EXPORTS, RoutesCluster
 
-# Members, and what keeps a history of so many short: each of them merges every change.
+# Members of a large history, and the fewer steps and longer ticks that keep its run time short: each member
+# merges each change.
 LARGE_MEMBERS, LARGE_STEPS, LARGE_TICK_S = 100, 6, 0.5
-SIZES = (5, 5, 5, 5, 5, 5, 5, 6, 8, 12, 20)
-STEPS = (4, 4, 4, 5, 5, 5, 6, 6, 8, 16)  # many short ones find more than few long ones in the same time
+SIZES = (5, 5, 5, 5, 5, 5, 5, 6, 8, 12, 20)  # numbers of members to choose from
+# Numbers of steps to choose from: many short histories find more than a few long ones in the same time.
+STEPS = (4, 4, 4, 5, 5, 5, 6, 6, 8, 16)
 
 
 def play_seed(seed: int) -> HistoryResult:
-    """The history of a seed: one in 100 is of LARGE members."""
+    """Run the history of a seed; one in 100 has LARGE_MEMBERS members."""
     if random.Random(f"size {seed}").random() < 1 / 100:
         return play(seed, LARGE_MEMBERS, LARGE_STEPS, LARGE_TICK_S)
     return play(seed)
@@ -39,11 +42,11 @@
     members: int | None = None,
     steps: int | None = None,
     tick_s: float = TICK_S,
-    make: Callable[[Environment], Merge] = Merge,
+    merge_factory: Callable[[Environment], Merge] = Merge,
 ) -> HistoryResult:
-    """One random history of 5 to 20 members (or so many), mostly of the fewer."""
+    """Run a random history of `members` members; if not given, 5 to 20, in most cases 5."""
     rng = random.Random(seed)
-    cluster = RoutesCluster(seed, members or rng.choice(SIZES), tick_s, make)
+    cluster = RoutesCluster(seed, members or rng.choice(SIZES), tick_s, merge_factory)
     names = NamePool(
         teams=NamePool().teams[: rng.randint(2, 4)],
         routes=NamePool().routes[: rng.randint(1, 6)],
@@ -65,26 +68,26 @@
 
 
 def _random_commits(cluster: RoutesCluster, rng: random.Random, names: NamePool) -> None:
-    """One to four teams at once, at members of their own."""
+    """Commits of one to four teams at once, each at a random member."""
     for _ in range(rng.choice((1, 1, 2, 4))):
-        up = cluster.running_members()
-        if not up:
+        running = cluster.running_members()
+        if not running:
             return
-        member = rng.choice(up)
-        read = cluster.instances[member.name].last_read
-        if read is None:
+        member = rng.choice(running)
+        plan_read = cluster.instances[member.name].last_read
+        if plan_read is None:
             continue
         if rng.random() < 0.2 and cluster.exports:
-            read = rng.choice(cluster.exports)  # exported here or elsewhere, now or long ago
+            plan_read = rng.choice(cluster.exports)  # read at any member, at any time before
         elif rng.random() < 0.3:
-            cluster.exports = [*cluster.exports[1 - MAX_EXPORTS :], read]
-        cluster.commit(member, read, random_commit(rng, names, read.view), rng.choice(tuple(Level)))
+            cluster.exports = [*cluster.exports[1 - MAX_EXPORTS :], plan_read]
+        cluster.commit(member, plan_read, random_commit(rng, names, plan_read.view), rng.choice(tuple(Level)))
         if rng.random() < 0.1:
             _schedule_kill(cluster, rng, member.name)
 
 
 def _schedule_kill(cluster: RoutesCluster, rng: random.Random, name: str) -> None:
-    """At any moment after the commit: before its disk, its quorum, or after."""
+    """Kill the member at a random moment after a commit: before its disk write or quorum, or after."""
     member, life = cluster.members[name], cluster.members[name].life
 
     def kill() -> None:
@@ -95,6 +98,7 @@
 
 
 def _random_fault(cluster: RoutesCluster, rng: random.Random, copies: dict[str, Disk]) -> None:
+    """Apply a random fault, publish a transform, or drop superseded changes."""
     members = list(cluster.members.values())
     member = rng.choice(members)
     match number := rng.randrange(13):
@@ -107,12 +111,11 @@
                 cluster.restore_disk(member, copies.pop(member.name))
         case 10:
             member.side = 2
-            cluster.run(rng.choice((2.0, 9.0)))  # away, perhaps past `reap_after_s`
+            cluster.run(rng.choice((2.0, 9.0)))  # unreachable, perhaps for longer than `reap_after_s`
             member.side = 0
         case 11:
-            cluster.environment_number = min(
-                2, cluster.environment_number + 1
-            )  # a transform more, which some hear of later
+            # One more transform is published; some members learn of it later.
+            cluster.environment_number = min(2, cluster.environment_number + 1)
             for other in members:
                 cluster.call_later(
                     rng.choice((0.0, 0.5, 3.0)) * rng.random(), _environment_updater(cluster, other.name)
--- a/tests/test_routes_storm.py
+++ b/tests/test_routes_storm.py
@@ -21,7 +21,7 @@
 def test_histories_keep_the_invariants_and_a_merge_without_contexts_is_found() -> None:
     assert [routes_history.play(seed, members=5, steps=6).violations for seed in range(20, 27)] == [[]] * 7
     broken = [
-        routes_history.play(seed, members=5, steps=6, make=IgnoresContexts).violations
+        routes_history.play(seed, members=5, steps=6, merge_factory=IgnoresContexts).violations
         for seed in range(20, 27)
     ]
     assert any("had seen" in found[0] or "other than what it saw" in found[0] for found in broken if found)
