--- a/faultlab/storm/cluster/__init__.py
+++ b/faultlab/storm/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Whole clusters of membership cores in one process, on simulated time and a simulated network."""
+"""Clusters of protocol cores in one process, on simulated time and a simulated network."""
--- a/faultlab/storm/cluster/activation.py
+++ b/faultlab/storm/cluster/activation.py
@@ -82,11 +82,13 @@
         self.initial_disks = {name: member.disk.disk_id for name, member in self.members.items()}
 
     def violations(self) -> list[str]:
+        """The violations of the ledger and of activation found so far."""
         return self.reference.violations + self.activation_reference.violations
 
     # Members.
 
     def start(self, member: Member) -> None:
+        """Start the ledger, and activation with the records that it holds."""
         super().start(member)
         life = self.rng.getrandbits(40)
         core, loaded = member.core, []
@@ -112,6 +114,7 @@
         return len(others | {member.name}) <= len(self.members) // 2
 
     def lose_disk(self, member: Member) -> None:
+        """Lose a disk, keeping its member's votes for the reference model."""
         self.lost_votes += self._votes_of(member)
         self.activation_reference.highest_epoch.pop(member.name, None)
         super().lose_disk(member)
@@ -135,6 +138,7 @@
         return instance.member.core is not None and self.instances[instance.member.name] is instance
 
     def handle_event(self, member: Member, event: LedgerEvent) -> None:
+        """Pass an event to the ledger, and a change of the view to activation too."""
         super().handle_event(member, event)
         if isinstance(event, ViewChanged) and member.core is not None:
             own_name = member.name
--- a/faultlab/storm/cluster/ledger.py
+++ b/faultlab/storm/cluster/ledger.py
@@ -83,8 +83,8 @@
         self.members = {f"m{i}": Member(f"m{i}", Disk(next(self.sequence))) for i in range(members)}
         self.drop_rate = self.duplicate_rate = 0.0
         self.writes: dict[Dot, tuple[str, frozenset[Dot]]] = {}  # the writer, and what it had seen of the key
-        self.sent_bytes = 0
-        self.acknowledged = 0
+        self.sent_bytes = 0  # of encoded messages
+        self.acknowledged = 0  # acknowledged writes
         self.events = 0  # calls of the queue that were run
         for member in self.members.values():
             self.start(member)
--- a/faultlab/storm/cluster/lists.py
+++ b/faultlab/storm/cluster/lists.py
@@ -73,6 +73,7 @@
 
     @property
     def name(self) -> str:
+        """The name of its member."""
         return self.process.name
 
 
--- a/faultlab/storm/cluster/membership.py
+++ b/faultlab/storm/cluster/membership.py
@@ -43,6 +43,7 @@
 
     @property
     def name(self) -> str:
+        """The name of its member."""
         return self.me.name
 
     @property
@@ -67,7 +68,7 @@
         self.successors: dict[str, Process] = {}  # by the address of the predecessor
         # The last actions of the cores, without messages sent.
         self.last_actions: deque[tuple[float, Process, Action]] = deque(maxlen=KEPT_ACTIONS)
-        self.deaths: list[tuple[float, str, MemberUpdate]] = []  # when, reported by whom, who
+        self.deaths: list[tuple[float, str, MemberUpdate]] = []  # time, reporting member, dead member
         self.faulted_names: set[str] = set()  # names of processes that were killed, restarted or left
         self.upgrade_until_s: dict[str, float] = {}  # by name: when the predecessor leaves
         self.on_start: Callable[[Process], None] | None = None
--- a/faultlab/storm/cluster/routes.py
+++ b/faultlab/storm/cluster/routes.py
@@ -95,11 +95,13 @@
         super().__init__(seed, members, tick_s, Settings(size=members, digest_s=1.0, reap_after_s=6.0))
 
     def violations(self) -> list[str]:
+        """The violations of the routes and of the ledger found so far."""
         return self.routes_reference.violations + self.reference.violations
 
     # The merge of a member.
 
     def start(self, member: Member) -> None:
+        """Start the ledger, and a merge with the changes that it holds, in random order."""
         super().start(member)
         core = member.core
         assert core is not None
--- a/faultlab/storm/command.py
+++ b/faultlab/storm/command.py
@@ -44,6 +44,7 @@
     violations: list[str] = field(default_factory=list)
 
     def add(self, result: ClusterResult) -> None:
+        """Add the result of one history."""
         self.histories += 1
         self.events += result.events
         self.members += result.members
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -152,9 +152,17 @@
         return event
 
     def client_leaves(self, name: str) -> Event | None:
-        asked = self.requests.get(name)
-        is_late = asked is not None and not asked.closed and self.now_us >= asked.deadline_us + 1_500
-        if asked is not None and is_late and not any(shot.streaming for shot in asked.attempts):
+        client_request = self.requests.get(name)
+        is_late = (
+            client_request is not None
+            and not client_request.closed
+            and self.now_us >= client_request.deadline_us + 1_500
+        )
+        if (
+            client_request is not None
+            and is_late
+            and not any(attempt.streaming for attempt in client_request.attempts)
+        ):
             self.late.append(name)
         return super().client_leaves(name)
 
