--- a/cloverkeel/transforms/__init__.py
+++ b/cloverkeel/transforms/__init__.py
@@ -1,1 +1,2 @@
-"""Header transforms: what one is, and how it runs (docs/transforms.md). Imported only where configured."""
+"""Header transforms: their language, compiler and runtime (docs/transforms.md). Imported only if
+configured."""
--- a/cloverkeel/transforms/commands.py
+++ b/cloverkeel/transforms/commands.py
@@ -1,5 +1,5 @@
-"""`python -m cloverkeel transforms check FILE`: compile a transform and run its golden cases, offline.
-`activation.command` has the verbs that ask a gateway."""
+"""`python -m cloverkeel transforms check FILE`: compiles a transform and runs its golden cases, offline.
+The subcommands that call a gateway are in `activation.command`."""
 
 from __future__ import annotations
 
@@ -8,20 +8,24 @@
 from typing import Any
 
 
-def register(parts: Any) -> None:
-    """Add `transforms` to the command line; each verb sets `run`, from the arguments to the exit code."""
-    top = parts.add_parser("transforms", help="header transforms")
-    verbs = top.add_subparsers(dest="verb", required=True)
-    verb = verbs.add_parser("check", help="compile FILE and run its cases, offline: exit 0 if sound, else 1")
-    verb.add_argument("file", metavar="FILE", help="a transform's source")
-    verb.set_defaults(run=check)
-    from cloverkeel.transforms.activation import command  # the fleet's verbs, over a gateway
+def register(subparsers: Any) -> None:
+    """Adds `transforms` to the command line. Each subcommand sets `run`, which takes the arguments and
+    returns the exit code."""
+    transforms = subparsers.add_parser("transforms", help="header transforms")
+    subcommands = transforms.add_subparsers(dest="verb", required=True)
+    subcommand = subcommands.add_parser(
+        "check", help="compile FILE and run its cases, offline: exit 0 if valid, else 1"
+    )
+    subcommand.add_argument("file", metavar="FILE", help="a transform's source")
+    subcommand.set_defaults(run=check)
+    from cloverkeel.transforms.activation import command  # subcommands that call a gateway
 
-    command.register(verbs)
+    command.register(subcommands)
 
 
 def check(arguments: argparse.Namespace) -> int:
-    """0: sound; 1: faults or failed cases, one a line; 2: the file cannot be read."""
+    """Checks one file. Exit codes: 0, it is valid; 1, faults or failed cases were printed, one per line;
+    2, the file cannot be read."""
     from cloverkeel.transforms.compiler import compile, failed_cases
     from cloverkeel.transforms.source import SourceError, parse
 
@@ -42,6 +46,6 @@
     if faults:
         return 1
     manifest = compiled.manifest
-    print(f"{path}: sound: {manifest.name}, phase {manifest.phase}, {len(compiled.cases)} cases hold, "
+    print(f"{path}: valid: {manifest.name}, phase {manifest.phase}, {len(compiled.cases)} cases pass, "
           f"sha256 {compiled.sha256}")  # fmt: skip
     return 0
--- a/cloverkeel/transforms/comparison.py
+++ b/cloverkeel/transforms/comparison.py
@@ -1,24 +1,27 @@
-"""Calls with a version against calls without it, parted by lot: whether hosts fail more of the former
-(docs/transforms.md, "Hosts that answer worse with one"). Pure."""
+"""Compares calls that a candidate version changed with calls that it did not, assigned at random: do hosts
+fail more of the former? (docs/transforms.md, "Hosts that answer worse with one"). No I/O."""
 
 from __future__ import annotations
 
 import math
 
-WINDOW_CALLS = 200  # calls of both kinds together
-MIN_CALLS_EACH = 5  # of each kind before a verdict
-MAX_P_VALUE = (
-    1e-4  # that calls parted by lot look as bad as this, at which the version is held to be the cause
-)
+WINDOW_CALLS = 200  # last calls compared, with and without the version together
+MIN_CALLS_EACH = 5  # calls with it, and calls without it, before a verdict
+# The version is blamed if random assignment alone would give so large a difference with at most this
+# probability.
+MAX_P_VALUE = 1e-4
 
 
 class Comparison:
+    """Outcomes of the last calls with and without one version."""
+
     def __init__(self) -> None:
-        self._calls: dict[str, tuple[bool, bool]] = {}  # by id, the oldest first: with it, failed
+        self._calls: dict[str, tuple[bool, bool]] = {}  # by call id, oldest first: (with it, failed)
         self._counts = [[0, 0], [0, 0]]  # calls and failures, without and with it
 
     def record(self, call_id: str, is_with: bool, failed: bool) -> bool:
-        """Enter a call's outcome; whether hosts now answer worse with the version."""
+        """Records a call's outcome, replacing an earlier one of the same id (a client's retry is the same
+        call). Returns whether hosts now fail more of the calls with the version."""
         if (before := self._calls.pop(call_id, None)) is not None:
             self._add_to_counts(before, -1)
         elif len(self._calls) == WINDOW_CALLS:
@@ -44,8 +47,8 @@
 
 
 def fisher_p_value(a_failed: int, a: int, b_failed: int, b: int) -> float:
-    """Fisher's exact test: of all ways to part `a + b` calls by lot, the share that puts as many of the
-    failures, or more, into the first kind."""
+    """Fisher's exact test, one-sided: the probability that a random split of all calls into groups of `a`
+    and `b` puts at least `a_failed` of the failures into the first group."""
     failed = a_failed + b_failed
     ways = sum(
         math.comb(failed, n) * math.comb(a + b - failed, a - n) for n in range(a_failed, min(failed, a) + 1)
--- a/cloverkeel/transforms/compiler.py
+++ b/cloverkeel/transforms/compiler.py
@@ -1,4 +1,4 @@
-"""From a parsed source to something that runs: each statement a closure, faults with their place."""
+"""Compiles a parsed source into closures, one per statement, and runs its golden cases."""
 
 from __future__ import annotations
 
@@ -29,69 +29,76 @@
 
 
 class Compiled:
-    """A transform that can run, a `protocol.Transform`. Immutable; runs share nothing."""
+    """A compiled transform, which implements `protocol.Transform`. Immutable; runs share no state."""
 
     __slots__ = ("_statements", "cases", "manifest", "sha256")
 
-    def __init__(self, source: Source, steps: list[CompiledStatement]) -> None:
+    def __init__(self, source: Source, statements: list[CompiledStatement]) -> None:
         self.manifest, self.sha256, self.cases = source.manifest, source.sha256, source.cases
-        self._statements = steps
+        self._statements = statements
 
     def apply(self, head: Head) -> list[Header]:
-        """As `protocol.Transform` has it; raises OverBudgetError or FailedError."""
+        """See `protocol.Transform.apply`. Raises OverBudgetError or FailedError."""
         run = Run(head, self.manifest.steps)
-        for step in self._statements:
-            step(run)
+        for statement in self._statements:
+            statement(run)
         if run.steps_left < 0:
             raise OverBudgetError
         writes = self.manifest.writes
         return [(name, value) for lower, name, value in run.headers if lower in writes]
 
     def run(self, head: Head) -> Head | Failure:
-        """The head changed (`head` itself where nothing did), or why not; raises nothing."""
+        """Returns the changed head, `head` itself if nothing changed, or a Failure. Never raises."""
         return guard.run(self, head)
 
 
 def compile(source: Source) -> Compiled:
-    """Raises SourceError."""
-    statements = _StatementCompiler(source)
-    steps = statements.block(source.statements)
-    faults = statements.expressions.faults
+    """Checks and compiles a parsed source. Raises SourceError with all faults found."""
+    compiler = _StatementCompiler(source)
+    statements = compiler.block(source.statements)
+    faults = compiler.expressions.faults
     if faults:
         raise SourceError(faults)
-    return Compiled(source, steps)
+    return Compiled(source, statements)
 
 
 def failed_cases(compiled: Compiled) -> list[Fault]:
-    """The golden cases that do not hold. Headers are compared by name; the order within one counts."""
+    """Returns the golden cases that fail. The order of headers counts only among headers of the same name."""
     faults = []
     for case in compiled.cases:
-        left = compiled.run(case.input_head)
-        if isinstance(left, Failure):
-            wrong = None if case.expected_headers is None else f"the run failed, {left.kind}: {left.reason}"
+        result = compiled.run(case.input_head)
+        if isinstance(result, Failure):
+            problem = (
+                None if case.expected_headers is None else f"the run failed, {result.kind}: {result.reason}"
+            )
         elif case.expected_headers is None:
-            wrong = "the run should fail"
+            problem = "the run should fail"
         else:
-            wrong = _difference(case, left)
-        if wrong is not None:
-            faults.append(Fault(case.line, case.column, f'case "{case.title}": {wrong}'))
+            problem = _difference(case, result)
+        if problem is not None:
+            faults.append(Fault(case.line, case.column, f'case "{case.title}": {problem}'))
     return faults
 
 
-def _difference(case: Case, left: Head) -> str | None:
-    def in_order(headers: tuple[Header, ...]) -> list[Header]:
+def _difference(case: Case, result: Head) -> str | None:
+    """Expected headers that are missing ("- ") and unexpected ones ("+ "); None if there is no difference."""
+
+    def sorted_by_name(headers: tuple[Header, ...]) -> list[Header]:
         return sorted(((name.lower(), value) for name, value in headers), key=lambda pair: pair[0])
 
-    wanted, got = in_order(case.expected_headers or ()), in_order(left.headers)
-    if wanted == got:
+    expected, actual = sorted_by_name(case.expected_headers or ()), sorted_by_name(result.headers)
+    if expected == actual:
         return None
     lines = [f"{sign}{(name + b': ' + value).decode('latin-1')}"
-             for sign, these, others in (("- ", wanted, got), ("+ ", got, wanted))
+             for sign, these, others in (("- ", expected, actual), ("+ ", actual, expected))
              for name, value in these if (name, value) not in others]  # fmt: skip
     return "; ".join(lines) or "the same headers in another order or number"
 
 
 class _StatementCompiler:
+    """Compiles statements; `block` finds the method `_<rule>` for each grammar rule. Faults are collected in
+    `expressions.faults`."""
+
     def __init__(self, source: Source) -> None:
         self.manifest = source.manifest
         self.expressions = ExpressionCompiler(source.manifest)
@@ -99,22 +106,25 @@
             self.expressions.define_function(function)
 
     def block(self, statements: tuple[Tree, ...]) -> list[CompiledStatement]:
-        steps: list[CompiledStatement] = []
+        """Compiles a sequence of statements."""
+        compiled: list[CompiledStatement] = []
         for statement in statements:
             make: Callable[[list[lark.Token | Tree]], CompiledStatement] = getattr(self, f"_{statement.data}")
-            steps.append(make(statement.children))
-        return steps
+            compiled.append(make(statement.children))
+        return compiled
 
     def writable_name(self, child: lark.Token | Tree) -> bytes:
+        """The header name of a token, which has to be in `writes`."""
         return self._declared_name(cast(lark.Token, child), self.manifest.writes, "writes")
 
     def readable_name(self, child: lark.Token | Tree) -> bytes:
+        """The header name of a token, which has to be in `reads`."""
         return self._declared_name(cast(lark.Token, child), self.manifest.reads, "reads")
 
-    def _declared_name(self, token: lark.Token, names: frozenset[bytes], what: str) -> bytes:
+    def _declared_name(self, token: lark.Token, names: frozenset[bytes], manifest_key: str) -> bytes:
         name = header_name(token, self.expressions.faults)
         if name not in names:
-            self.expressions.faults.append(Fault(*token_position(token), f"{token} is not in {what}"))
+            self.expressions.faults.append(Fault(*token_position(token), f"{token} is not in {manifest_key}"))
         return name
 
     def _set(self, parts: list[lark.Token | Tree]) -> CompiledStatement:
@@ -143,21 +153,23 @@
         return lambda run: run.rewrite(name, lambda: cast(bytes, value(run, ())))
 
     def _when(self, parts: list[lark.Token | Tree]) -> CompiledStatement:
-        question, *blocks = cast("list[Tree]", parts)
-        asked = self.expressions.compile_boolean(question)
-        yes, no, *_ = [self.block(cast("tuple[Tree, ...]", tuple(block.children))) for block in blocks] + [[]]
+        condition, *blocks = cast("list[Tree]", parts)
+        holds = self.expressions.compile_boolean(condition)
+        then, otherwise, *_ = [
+            self.block(cast("tuple[Tree, ...]", tuple(block.children))) for block in blocks
+        ] + [[]]
 
         def when(run: Run) -> None:
             run.spend(1)
-            for step in yes if asked(run, ()) else no:
-                step(run)
+            for statement in then if holds(run, ()) else otherwise:
+                statement(run)
 
         return when
 
     def _fail(self, parts: list[lark.Token | Tree]) -> CompiledStatement:
-        why = token_text(cast(lark.Token, parts[0]), self.expressions.faults)
+        reason = token_text(cast(lark.Token, parts[0]), self.expressions.faults)
 
         def fail(run: Run) -> None:
-            raise FailedError(why)
+            raise FailedError(reason)
 
         return fail
--- a/cloverkeel/transforms/grammar.py
+++ b/cloverkeel/transforms/grammar.py
@@ -1,4 +1,9 @@
-"""The grammar of a transform's file, for `lark`'s LALR(1) parser (docs/transforms.md has the language)."""
+"""The grammar of a transform's source file, for `lark`'s LALR(1) parser (docs/transforms.md has the
+language).
+
+The names of rules are looked up by `compiler`, `expressions` and `source`: a rule and the method or key of
+its name change together.
+"""
 
 from __future__ import annotations
 
--- a/cloverkeel/transforms/guard.py
+++ b/cloverkeel/transforms/guard.py
@@ -1,7 +1,7 @@
-"""Runs one transform on one head: the head that leaves differs from the one that came in `writes` alone.
+"""Runs one transform on one head, and ensures that only headers in `writes` change.
 
-What leaves is put together here, from the headers that the transform may not write as they came and from what
-it made of the others, so that nothing else can change.
+The resulting head is assembled here, from the unchanged headers that the transform may not write and from its
+output, so that a transform cannot change anything else.
 """
 
 from __future__ import annotations
@@ -24,56 +24,62 @@
 
 
 def run(transform: Transform, head: Head) -> Head | Failure:
-    """The head changed, `head` itself where nothing changed, or why the run failed; raises nothing."""
+    """Returns the changed head, `head` itself if nothing changed, or a Failure. Never raises."""
     manifest = transform.manifest
     visible, writes = manifest.visible, manifest.writes
-    kept: list[Header] = []
-    seen: list[Header] = []
-    before: list[Header] = []
+    result: list[Header] = []
+    visible_headers: list[Header] = []
+    writable_before: list[Header] = []
     for pair in head.headers:
         name = pair[0].lower()
         if name not in visible:
-            kept.append(pair)
+            result.append(pair)
             continue
-        seen.append(pair)
-        (before if name in writes else kept).append(pair)
+        visible_headers.append(pair)
+        (writable_before if name in writes else result).append(pair)
     try:
-        shown = Head(tuple(seen), head.klass, head.caller, head.path)
-        written = [(name, value) for name, value in transform.apply(shown)]
-        if written == before:
+        visible_head = Head(tuple(visible_headers), head.klass, head.caller, head.path)
+        written = [(name, value) for name, value in transform.apply(visible_head)]
+        if written == writable_before:
             return head
-        fault = output_fault(written, set(before), writes)
+        fault = output_fault(written, set(writable_before), writes)
     except OverBudgetError:
         return Failure("over budget", f"more than {manifest.steps} steps")
     except Exception as error:
         return Failure("raised", f"{type(error).__name__}: {error}"[:200])
-    kept += written
-    if fault is None and sum(map(len, chain.from_iterable(kept))) > HEAD_LIMIT:
+    result += written
+    if fault is None and sum(map(len, chain.from_iterable(result))) > HEAD_LIMIT:
         fault = "the head is too long"
     if fault is not None:
         return Failure("bad output", fault)
-    return Head(tuple(kept), head.klass, head.caller, head.path)
+    return Head(tuple(result), head.klass, head.caller, head.path)
 
 
-def output_fault(written: Sequence[Header], before: set[Header], writes: frozenset[bytes]) -> str | None:
-    """What is wrong with the headers that a transform wrote, or None. One that came so may stay so."""
+def output_fault(
+    written: Sequence[Header], writable_before: set[Header], writes: frozenset[bytes]
+) -> str | None:
+    """Returns what is invalid in the headers that a transform wrote, or None. A header that it left as it
+    came is not checked."""
     for pair in written:
-        if pair in before:
+        if pair in writable_before:
             continue
         name, value = pair
         if type(name) is not bytes or type(value) is not bytes:
-            return "a header is two bytes objects"
-        if name not in writes:  # else it is a name, in lower case
+            return "a header must be two bytes objects"
+        if name not in writes:  # names in `writes` are valid and in lower case
             if not HEADER_NAME.fullmatch(name):
-                return f"{name!r:.80} is no header's name"
+                return f"{name!r:.80} is not a valid header name"
             if name.lower() not in writes:
                 return f"{name.decode()} is not in writes"
         if not HEADER_VALUE.fullmatch(value):
-            return f"{name.decode()} would hold a control character"
+            return f"{name.decode()} has a control character in its value"
     return None
 
 
-def differs_only_in(writes: frozenset[bytes], came: Sequence[Header], leaves: Sequence[Header]) -> bool:
-    """Whether two heads are the same, in order, but for what is in `writes` and not forbidden."""
-    free = writes - FORBIDDEN_WRITES
-    return [h for h in came if h[0].lower() not in free] == [h for h in leaves if h[0].lower() not in free]
+def differs_only_in(writes: frozenset[bytes], before: Sequence[Header], after: Sequence[Header]) -> bool:
+    """Whether two heads have the same headers in the same order, apart from those in `writes` that a
+    transform may write."""
+    writable = writes - FORBIDDEN_WRITES
+    return [h for h in before if h[0].lower() not in writable] == [
+        h for h in after if h[0].lower() not in writable
+    ]
--- a/cloverkeel/transforms/loader.py
+++ b/cloverkeel/transforms/loader.py
@@ -1,4 +1,4 @@
-"""The transforms that a gateway's own configuration names, made ready before clients are let in."""
+"""Loads the transforms that the gateway's own configuration names, before the gateway accepts clients."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def load(settings: TransformSettings) -> ActiveSet:
-    """All of them, or ConfigError for the first that cannot be used."""
+    """Loads all configured transforms. Raises ConfigError for the first that cannot be used."""
     events.setup_logging()
     installed = [InstalledTransform(load_file(path)) for path in settings.files]
     installed += [InstalledTransform(load_plugin(name)) for name in settings.plugins]
@@ -20,17 +20,21 @@
         active = ActiveSet(*installed)
     except ValueError as error:
         raise ConfigError(f"transforms: {error}") from None
-    for each in installed:
-        manifest = each.manifest
+    for version in installed:
+        manifest = version.manifest
         events.event(
-            "transforms.active", transform=manifest.name, sha256=each.transform.sha256, phase=manifest.phase
+            "transforms.active",
+            transform=manifest.name,
+            sha256=version.transform.sha256,
+            phase=manifest.phase,
         )
     return active
 
 
 def load_file(path: str) -> Transform:
-    """Raises ConfigError, with the first fault's place; the golden cases must hold too."""
-    # Imported late: shipped code alone needs no parser.
+    """Compiles a source file and runs its golden cases. Raises ConfigError with the position of the first
+    fault or failed case."""
+    # Imported here because a configuration with plugins only needs no parser.
     from cloverkeel.transforms.compiler import compile, failed_cases
     from cloverkeel.transforms.source import SourceError, parse
 
@@ -47,16 +51,18 @@
 
 
 def load_plugin(name: str) -> Transform:
-    """The entry point of that name; raises ConfigError where there is none that can be used."""
+    """Loads the entry point of this name. Raises ConfigError if it is missing or is not a transform."""
     found = entry_points(group=ENTRY_POINT_GROUP, name=name)
     if not found:
         raise ConfigError(f"transforms: no entry point {name} in the group {ENTRY_POINT_GROUP}")
     try:
         transform: Transform = next(iter(found)).load()
         manifest = transform.manifest
-        is_sound = isinstance(manifest, Manifest) and isinstance(transform.sha256, str)
+        is_valid = isinstance(manifest, Manifest) and isinstance(transform.sha256, str)
     except Exception as error:
         raise ConfigError(f"transforms: {name} cannot be loaded: {type(error).__name__}: {error}") from None
-    if not is_sound or not callable(getattr(transform, "apply", None)):
-        raise ConfigError(f"transforms: {name} is no transform")
+    if not is_valid or not callable(getattr(transform, "apply", None)):
+        raise ConfigError(
+            f"transforms: {name} is not a transform: it needs a manifest, a sha256 string and apply()"
+        )
     return transform
--- a/cloverkeel/transforms/settings.py
+++ b/cloverkeel/transforms/settings.py
@@ -1,4 +1,5 @@
-"""`transforms` of the configuration: what one gateway runs of its own, and whether it takes the fleet's."""
+"""The configuration's `transforms` object: transforms that this gateway loads itself, and whether it also
+runs those published to its cluster."""
 
 from __future__ import annotations
 
@@ -13,8 +14,8 @@
 
 @dataclass(slots=True, frozen=True)
 class TransformSettings:
-    """Paths of source files, and names of entry points of code that ships with the program. `fleet`: this
-    gateway runs what is published to its cluster, too."""
+    """`files`: paths of source files. `plugins`: names of entry points of code that ships with the program.
+    `fleet`: settings for running what is published to the cluster; None: this gateway does not."""
 
     files: tuple[str, ...] = ()
     plugins: tuple[str, ...] = ()
@@ -22,19 +23,19 @@
 
 
 def parse_transforms(raw: object) -> TransformSettings:
-    """Raises ConfigError."""
+    """Parses and checks the `transforms` object. Raises ConfigError if it is invalid."""
     if not isinstance(raw, dict):
-        raise ConfigError("transforms is not an object")
-    lists: dict[str, Any] = {}
+        raise ConfigError("transforms must be an object")
+    fields: dict[str, Any] = {}
     for key, value in raw.items():
         if key == "fleet":
             from cloverkeel.transforms.activation.configuration import parse_fleet  # needs msgspec
 
-            lists[key] = parse_fleet(value)
+            fields[key] = parse_fleet(value)
             continue
         if key not in ("files", "plugins"):
-            raise ConfigError(f"transforms: {key!r:.40} is not known; it has files, plugins and fleet")
-        if not isinstance(value, list) or not all(isinstance(each, str) and each for each in value):
-            raise ConfigError(f"transforms: {key} is no list of names")
-        lists[key] = tuple(value)
-    return TransformSettings(**lists)
+            raise ConfigError(f"transforms: unknown key {key!r:.40}; known keys are files, plugins and fleet")
+        if not isinstance(value, list) or not all(isinstance(item, str) and item for item in value):
+            raise ConfigError(f"transforms: {key} must be a list of non-empty strings")
+        fields[key] = tuple(value)
+    return TransformSettings(**fields)
--- a/cloverkeel/transforms/source.py
+++ b/cloverkeel/transforms/source.py
@@ -1,4 +1,5 @@
-"""A transform's file: its manifest, its tree and its golden cases, with each fault's line and column."""
+"""Parses a transform's source file into manifest, syntax tree and golden cases; each fault has line and
+column."""
 
 from __future__ import annotations
 
@@ -25,13 +26,13 @@
 if TYPE_CHECKING:
     Tree = lark.Tree[lark.Token]
 
-MAX_SOURCE_BYTES = 32 * 1024  # bytes
-MAX_NESTING = 64
+MAX_SOURCE_BYTES = 32 * 1024
+MAX_NESTING = 64  # levels of the syntax tree, function calls included
 
 
 @dataclass(slots=True, frozen=True, order=True)
 class Fault:
-    """One thing that is wrong; line and column count from 1, the column in characters."""
+    """An error in a source file. Line and column count from 1, the column in characters."""
 
     line: int
     column: int
@@ -42,7 +43,7 @@
 
 
 class SourceError(ValueError):
-    """The file is no transform; `faults` has why, in the file's order."""
+    """The file is not a valid transform; `faults` lists the errors in the order of the file."""
 
     def __init__(self, faults: list[Fault]) -> None:
         self.faults = sorted(set(faults))
@@ -51,7 +52,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Case:
-    """A golden case: the head that comes, and what leaves it (None: the run must fail)."""
+    """A golden case: an input head and the headers expected after the run (None: the run must fail)."""
 
     title: str
     line: int
@@ -62,6 +63,8 @@
 
 @dataclass(slots=True, frozen=True, eq=False)
 class Source:
+    """A parsed source file. `functions` and `statements` are syntax trees, still unchecked."""
+
     manifest: Manifest
     sha256: str
     functions: tuple[Tree, ...]
@@ -70,15 +73,16 @@
 
 
 def parse(data: bytes) -> Source:
-    """Raises SourceError; what only the compiler sees (types, reads, writes) is `engine.compile`'s to say."""
+    """Parses a source file. Raises SourceError; types, and headers not in `reads` or `writes`, are checked
+    only by `compiler.compile`."""
     if len(data) > MAX_SOURCE_BYTES:
-        raise SourceError([Fault(1, 1, f"longer than {MAX_SOURCE_BYTES} bytes")])
+        raise SourceError([Fault(1, 1, f"the file is longer than {MAX_SOURCE_BYTES} bytes")])
     try:
         text = data.decode()
     except UnicodeDecodeError as error:
         before = data[: error.start].decode()
-        at = before.count("\n") + 1, len(before) - before.rfind("\n")
-        raise SourceError([Fault(*at, "not UTF-8")]) from None
+        position = before.count("\n") + 1, len(before) - before.rfind("\n")
+        raise SourceError([Fault(*position, "the file is not UTF-8")]) from None
     try:
         tree = parser().parse(text)
     except UnexpectedInput as error:
@@ -93,10 +97,12 @@
 
 @functools.cache
 def parser() -> lark.Lark:
+    """The parser of the grammar, built at the first use."""
     return lark.Lark(GRAMMAR, parser="lalr", propagate_positions=True, maybe_placeholders=False)
 
 
 def _syntax_fault(error: UnexpectedInput, text: str) -> Fault:
+    """Describes a syntax error: the unexpected word, and up to 12 tokens that were expected."""
     expected: set[str] = set(getattr(error, "accepts", None) or getattr(error, "expected", None) or ())
     expected |= set(getattr(error, "allowed", None) or ())
     wanted = ", ".join(sorted(name.strip("_").lower() for name in expected)[:12])
@@ -104,28 +110,31 @@
         isinstance(error, UnexpectedToken) and error.token.type == "$END"
     ):
         return Fault(
-            text.count("\n") + 1, len(text) - text.rfind("\n"), f"the file ends here; expected {wanted}"
+            text.count("\n") + 1, len(text) - text.rfind("\n"), f"unexpected end of file; expected {wanted}"
         )
     word = text[error.pos_in_stream or 0 :].split(maxsplit=1)[:1]
     return Fault(error.line, error.column, f"unexpected {(word or [''])[0]!r:.40}; expected {wanted}")
 
 
 def _check_nesting(tree: Tree) -> None:
-    """Guards against a tree too deep to walk; walks it itself without recursion."""
+    """Raises SourceError if the tree is too deep to be walked recursively. Iterates, for the same reason."""
     depths: dict[int, int] = {}
-    for part in tree.iter_subtrees():  # children first
-        below = [depths[id(child)] for child in part.children if isinstance(child, lark.Tree)]
-        depths[id(part)] = depth = 1 + max(below, default=0)
+    for node in tree.iter_subtrees():  # children first
+        below = [depths[id(child)] for child in node.children if isinstance(child, lark.Tree)]
+        depths[id(node)] = depth = 1 + max(below, default=0)
         if depth > MAX_NESTING:
-            raise SourceError([Fault(part.meta.line, part.meta.column, f"nested deeper than {MAX_NESTING}")])
+            raise SourceError(
+                [Fault(node.meta.line, node.meta.column, f"nested deeper than {MAX_NESTING} levels")]
+            )
 
 
 def token_text(token: lark.Token, faults: list[Fault]) -> str:
-    """A text between quotes, or a bare word as it is."""
+    """The text of a token: a quoted string without quotes and escapes, or a bare word. Appends to
+    `faults`."""
     if token.type != "STRING":
         return str(token)
     out, rest = [], iter(token[1:-1])
-    for place, c in enumerate(rest):
+    for index, c in enumerate(rest):
         if c == "\\":
             c = next(rest)
             if c not in '"\\':
@@ -137,18 +146,19 @@
                     )
                 )
         elif not (" " <= c <= "~" or c == "\t"):
-            reason = f"character {place + 1} of this text is not printable ASCII"
+            reason = f"character {index + 1} of this string is not printable ASCII"
             faults.append(Fault(token_position(token)[0], token_position(token)[1], reason))
         out.append(c)
     return "".join(out)
 
 
 def token_position(token: lark.Token) -> tuple[int, int]:
+    """Line and column of a token, as a Fault has them."""
     return token.line or 0, token.column or 0
 
 
 class _Builder:
-    """Manifest and cases from the tree; `faults` collects what is wrong."""
+    """Builds the manifest and the golden cases from the tree; `faults` collects errors."""
 
     def __init__(self) -> None:
         self.faults: list[Fault] = []
@@ -168,7 +178,7 @@
     def manifest(self, tree: Tree) -> Manifest:
         name_token = cast(lark.Token, tree.children[0])
         fields: dict[str, Any] = {"name": self.name(name_token)}
-        take: dict[str, Callable[[list[lark.Token]], Any]] = {
+        parse_field: dict[str, Callable[[list[lark.Token]], Any]] = {
             "owner": lambda tokens: self.name(tokens[0]),
             "phase": lambda tokens: self.one_of(tokens[0], "request", "response"),
             "classes": self.values, "callers": self.values,
@@ -179,8 +189,8 @@
         for entry in cast("list[Tree]", tree.children[1:]):
             tokens, key = cast("list[lark.Token]", entry.children), str(entry.data)
             if key in fields:
-                self.add_fault(tokens[0], f"{key} is said twice")
-            fields[key] = take[key](tokens)
+                self.add_fault(tokens[0], f"{key} is given twice")
+            fields[key] = parse_field[key](tokens)
         for key in ("owner", "phase"):
             if key not in fields:
                 self.add_fault(name_token, f"no {key} is given")
@@ -189,12 +199,12 @@
     def name(self, token: lark.Token) -> str:
         name = token_text(token, self.faults)
         if not 1 <= len(name) <= 128:
-            self.add_fault(token, "a name has 1 to 128 characters")
+            self.add_fault(token, "a name must have 1 to 128 characters")
         return name
 
     def one_of(self, token: lark.Token, *words: str) -> str:
         if token not in words:
-            self.add_fault(token, f"neither {' nor '.join(words)}")
+            self.add_fault(token, f"must be {' or '.join(words)}")
         return str(token)
 
     def values(self, tokens: list[lark.Token]) -> frozenset[bytes]:
@@ -207,7 +217,7 @@
         names = [header_name(token, self.faults) for token in tokens]
         for token, name in zip(tokens, names, strict=True):
             if name in FORBIDDEN_WRITES:
-                self.add_fault(token, f"{token} is not a transform's to write")
+                self.add_fault(token, f"{token} cannot be written by a transform")
         return frozenset(
             name for name in names if name not in FORBIDDEN_WRITES and HEADER_NAME.fullmatch(name)
         )
@@ -215,31 +225,34 @@
     def steps(self, tokens: list[lark.Token]) -> int:
         steps = int(tokens[0])
         if not 1 <= steps <= MAX_STEPS:
-            self.add_fault(tokens[0], f"steps is 1 to {MAX_STEPS}")
+            self.add_fault(tokens[0], f"steps must be 1 to {MAX_STEPS}")
         return steps or DEFAULT_STEPS
 
     def case(self, tree: Tree) -> Case:
         title = cast(lark.Token, tree.children[0])
         facts = {"klass": b"", "caller": b"", "path": b""}
-        came: list[Header] = []
-        leaves: list[Header] = []
+        input_headers: list[Header] = []
+        expected_headers: list[Header] = []
         fails = False
         for part in cast("list[Tree]", tree.children[1:]):
             key = str(part.data)
             fails = fails or key == "fails"
             if key in ("came", "leaves"):
-                (came if key == "came" else leaves).append(
+                (input_headers if key == "came" else expected_headers).append(
                     self.header_line(cast(lark.Token, part.children[0]))
                 )
             elif key in facts:
                 facts[key] = token_text(cast(lark.Token, part.children[0]), self.faults).encode(
                     "ascii", "replace"
                 )
-        if fails and leaves:
-            self.add_fault(title, "a case that fails has no out")
-        head = Head(tuple(came), facts["klass"], facts["caller"], facts["path"])
+        if fails and expected_headers:
+            self.add_fault(title, "a case with fails cannot have out")
+        head = Head(tuple(input_headers), facts["klass"], facts["caller"], facts["path"])
         return Case(
-            token_text(title, self.faults), *token_position(title), head, None if fails else tuple(leaves)
+            token_text(title, self.faults),
+            *token_position(title),
+            head,
+            None if fails else tuple(expected_headers),
         )
 
     def header_line(self, token: lark.Token) -> Header:
@@ -250,8 +263,8 @@
 
 
 def header_name(token: lark.Token, faults: list[Fault]) -> bytes:
-    """In lower case; a name that is none is a fault."""
+    """The header name of a token, in lower case; an invalid name is added to `faults`."""
     name = token_text(token, faults).lower().encode("ascii", "replace")
     if not HEADER_NAME.fullmatch(name):
-        faults.append(Fault(*token_position(token), f"{token} is no header's name"))
+        faults.append(Fault(*token_position(token), f"{token} is not a valid header name"))
     return name
--- a/tests/test_transforms_active.py
+++ b/tests/test_transforms_active.py
@@ -149,7 +149,7 @@
     file = tmp_path / "route-mark.transform"
     file.write_text(example)
     assert command(["transforms", "check", str(file)]) == 0
-    assert "sound: route-mark, phase request, 1 cases hold" in capsys.readouterr().out
+    assert "valid: route-mark, phase request, 1 cases pass" in capsys.readouterr().out
     file.write_text(example.replace("r-north", "r-south"))
     assert command(["transforms", "check", str(file)]) == 1
     assert f'{file}:16:6: case "a route is marked' in capsys.readouterr().out
