--- a/cloverkeel/transforms/activation/records.py
+++ b/cloverkeel/transforms/activation/records.py
@@ -23,9 +23,9 @@
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
 Id = Annotated[str, msgspec.Meta(min_length=1, max_length=32)]
 Number = Annotated[int, msgspec.Meta(ge=0, le=2**62)]
-Line = Annotated[str, msgspec.Meta(max_length=500)]
+ReasonText = Annotated[str, msgspec.Meta(max_length=500)]
 Members = Annotated[tuple[Name, ...], msgspec.Meta(max_length=4096)]
-Sequence = tuple[Number, str]  # an order's number and id: orders of a name are taken in this order
+OrderSequence = tuple[Number, str]  # an order's number and id: orders of a name are taken in this order
 Ballot = tuple[Number, Name, Number]  # round, member, process life: none is used twice
 
 
@@ -39,7 +39,7 @@
     source: Annotated[bytes, msgspec.Meta(max_length=MAX_PUBLISHED_BYTES)] = b""
 
     @property
-    def sequence(self) -> Sequence:
+    def sequence(self) -> OrderSequence:
         return self.number, self.id
 
     @property
@@ -58,8 +58,8 @@
     canaries: Members = ()
     before: str = ""
     behind: Members = ()
-    last: Sequence = (0, "")
-    why: Line = ""
+    last: OrderSequence = (0, "")
+    why: ReasonText = ""
 
     def runnable_versions(self) -> frozenset[str]:
         """What may run under this slot."""
@@ -112,7 +112,7 @@
 
     number: Number
     epoch: Number
-    stage_results: dict[Id, Line] = {}
+    stage_results: dict[Id, ReasonText] = {}
     open_breakers: tuple[Id, ...] = ()
     store_id: Number = 0
 
