--- a/tests/test_activation_parts.py
+++ b/tests/test_activation_parts.py
@@ -86,7 +86,7 @@
     assert told == [("1", True), ("1", False)]
     engine.activate({})
     assert gateway.transforms is None  # nothing to pay for in the request path
-    engine.forget(set())
+    engine.retain(set())
     assert not engine.staged
     gateway.close()
 
