--- a/cloverkeel/transforms/activation/command.py
+++ b/cloverkeel/transforms/activation/command.py
@@ -1,4 +1,4 @@
-"""`python -m cloverkeel transforms publish | status | rollback`: a gateway's operators' address is asked."""
+"""`python -m cloverkeel transforms publish | status | rollback`: calls a gateway at its operator address."""
 
 from __future__ import annotations
 
@@ -17,16 +17,22 @@
 )
 from cloverkeel.fleet.membership.command import CommandError
 
-CONFIG_KEY = "transforms.fleet"
+CONFIG_KEY = "transforms.fleet"  # the configuration that a gateway needs to answer these calls
 
 
 def register(verbs: Any) -> None:
-    """Add the fleet's verbs to `transforms`."""
-    publish = verbs.add_parser("publish", help="have FILE run by the whole fleet: staged, canaries, then all")
+    """Adds the subcommands that call a gateway to `transforms`."""
+    publish = verbs.add_parser(
+        "publish", help="roll FILE out to the whole cluster: staged, canaries, then all"
+    )
     publish.add_argument("file", metavar="FILE", help="a transform's source")
-    status = verbs.add_parser("status", help="what runs, what is on its way, and what is in its way")
+    status = verbs.add_parser(
+        "status", help="what is active, what is being rolled out, and what it waits for"
+    )
     status.add_argument("--json", action="store_true", help="the gateway's answer as one JSON object")
-    rollback = verbs.add_parser("rollback", help="take out the candidate of NAME, or else what is active")
+    rollback = verbs.add_parser(
+        "rollback", help="remove the candidate of NAME, or the active version if there is none"
+    )
     rollback.add_argument("name", metavar="NAME")
     for verb, run in ((publish, _publish), (status, _status), (rollback, _rollback)):
         add_operator_option(verb, run)
@@ -47,11 +53,15 @@
 
 
 def _print_outcome(done: str, answer: dict[str, Any], wait: str) -> int:
-    what = f"{answer['name']} {answer['id']}"
+    """Prints whether an order was confirmed, and returns the exit code."""
+    order = f"{answer['name']} {answer['id']}"
     if answer["confirmed"]:
-        print(f"{done}: {what}, held by {answer['held']}")
+        print(f"{done}: {order}, held by {answer['held']}")
         return 0
-    print(f"cloverkeel: {what} is kept, and not confirmed at {wait}: {answer['reason']}", file=sys.stderr)
+    print(
+        f"cloverkeel: {order} is stored, but not confirmed at level {wait}: {answer['reason']}",
+        file=sys.stderr,
+    )
     return 1
 
 
@@ -62,30 +72,30 @@
 
 
 def status_lines(answer: dict[str, Any]) -> list[str]:
-    """The status for people: one line on the fleet, then one for each name and what is in its way."""
+    """The status as text: one line on the cluster, then for each name its state and what it waits for."""
     if not {"epoch", "member", "transforms", "members", "first"} <= answer.keys():
-        raise CommandError("the answer is no status of transforms")
+        raise CommandError("the gateway's response is not a transforms status")
     live = [member for member in answer["members"] if member["live"]]
     current = sum(member["epoch"] == answer["epoch"] for member in live)
-    found = [
+    lines = [
         f"epoch {answer['epoch']} as {answer['member']} sees it; {current} of {len(live)} live members "
         f"run it; {answer['first']} proposes"
     ]
     if "" in answer["waits"]:
-        found.append(f"  blocked: {answer['waits']['']}")
-    for each in answer["transforms"]:
-        words = [f"{each['name']}: {each['state']}"]
+        lines.append(f"  blocked: {answer['waits']['']}")
+    for entry in answer["transforms"]:
+        parts = [f"{entry['name']}: {entry['state']}"]
         for key in ("active", "candidate", "before"):
-            if each[key]:
-                words.append(f"{key} {each[key]['id']} ({each[key]['sha256'][:12] or 'not held here'})")
-        if each["canaries"]:
-            words.append(f"canaries {', '.join(each['canaries'])}")
-        if each["behind"]:
-            words.append(f"left behind {', '.join(each['behind'])}")
-        words.append(f"staged at {each['staged_at']} of {each['of']}")
-        found.append("; ".join(words))
-        found += [f"  {said}" for said in (each["why"], each["waits"]) if said]
+            if entry[key]:
+                parts.append(f"{key} {entry[key]['id']} ({entry[key]['sha256'][:12] or 'not held here'})")
+        if entry["canaries"]:
+            parts.append(f"canaries {', '.join(entry['canaries'])}")
+        if entry["behind"]:
+            parts.append(f"left behind {', '.join(entry['behind'])}")
+        parts.append(f"staged at {entry['staged_at']} of {entry['of']}")
+        lines.append("; ".join(parts))
+        lines += [f"  {text}" for text in (entry["why"], entry["waits"]) if text]
     for member in live:
-        found += [f"{member['name']} cannot stage {id}: {reason}" for id, reason in member["failed"].items()]
-        found += [f"{member['name']}: breaker open on {id}" for id in member["open"]]
-    return found
+        lines += [f"{member['name']} cannot stage {id}: {reason}" for id, reason in member["failed"].items()]
+        lines += [f"{member['name']}: breaker open on {id}" for id in member["open"]]
+    return lines
--- a/cloverkeel/transforms/activation/configuration.py
+++ b/cloverkeel/transforms/activation/configuration.py
@@ -1,4 +1,5 @@
-"""The configuration's `transforms.fleet` object, checked strictly: an unknown key is refused by its name."""
+"""The configuration's `transforms.fleet` object. Checked strictly: an unknown key is an error that names
+it."""
 
 from __future__ import annotations
 
@@ -15,9 +16,10 @@
 
 
 class FleetSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Equal at all gateways of the cluster; docs/activation.md says what each does."""
+    """Settings of activation, which have to be equal at all gateways of the cluster; docs/activation.md
+    explains each."""
 
-    size: Annotated[int, msgspec.Meta(ge=1, le=4096)]  # gateways that the fleet is made of
+    size: Annotated[int, msgspec.Meta(ge=1, le=4096)]  # number of gateways in the cluster
     stage_timeout_s: Seconds = DEFAULTS.stage_timeout_s
     canary_share: Share = DEFAULTS.canary_share
     canary_s: Seconds = DEFAULTS.canary_s
@@ -25,6 +27,7 @@
 
     @property
     def settings(self) -> Settings:
+        """The core's settings, with defaults for those that the configuration does not have."""
         return Settings(
             size=self.size,
             stage_timeout_s=self.stage_timeout_s,
@@ -35,7 +38,7 @@
 
 
 def parse_fleet(raw: object) -> FleetSettings:
-    """Raises ConfigError: one line that names the key."""
+    """Parses the `transforms.fleet` object. Raises ConfigError with one line that names the key."""
     try:
         return msgspec.convert(raw, FleetSettings)
     except msgspec.ValidationError as error:
--- a/cloverkeel/transforms/activation/engine.py
+++ b/cloverkeel/transforms/activation/engine.py
@@ -1,4 +1,4 @@
-"""The gateway's engine as activation uses it: versions staged by id, and the set that the gateway runs."""
+"""Compiles published versions, keeps the staged ones by id, and sets the gateway's active set."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 if TYPE_CHECKING:
     from cloverkeel.gateway import Gateway
 
-CANDIDATE_SHARE = 0.75  # of a canary's calls: the rest goes without the candidate
-NO_CANDIDATES: Mapping[str, str] = {}
+CANDIDATE_SHARE = 0.75  # of the calls at a canary; the others do not get the candidate, for comparison
+NO_CANDIDATES: Mapping[str, str] = {}  # of `candidate_predecessors`
 
 
 def compile_checked(source: bytes) -> Compiled:
-    """Compiled, with its golden cases true. Raises ValueError with the faults, a line each."""
+    """Compiles a source file and runs its golden cases. Raises ValueError with the faults and failed
+    cases, one per line."""
     try:
         compiled = compile(parse(source))
     except SourceError as error:
@@ -31,30 +32,32 @@
 
 
 def candidate_predecessors(epoch: Epoch, active: Mapping[str, str]) -> dict[str, str]:
-    """By name, the version before each candidate among those that a member runs; "": none."""
+    """For each candidate among the versions that a member runs: its name, and the active version that it may
+    replace ("": none)."""
     slots = {name: epoch.slot(name) for name in active}
     return {name: slots[name].active for name, id in active.items() if slots[name].candidate == id}
 
 
 class Engine:
-    """What is staged here. `own`: what the gateway's configuration names, which runs come what may."""
+    """The versions staged at one gateway. `configured` are the transforms that the gateway's own
+    configuration names; they always run."""
 
-    def __init__(self, gateway: Gateway, tripped: Callable[[str, bool], None]) -> None:
-        self.gateway, self.report_breaker = gateway, tripped
+    def __init__(self, gateway: Gateway, report_breaker: Callable[[str, bool], None]) -> None:
+        self.gateway, self.report_breaker = gateway, report_breaker
         self.configured = gateway.transforms.installed if gateway.transforms is not None else ()
         self.staged: dict[str, InstalledTransform] = {}
 
     def name_conflict(self, name: str) -> str:
-        """Why nothing may be published under a name here, or ""."""
-        taken = any(each.manifest.name == name for each in self.configured)
-        return f"{name} is named by this gateway's own configuration" if taken else ""
+        """Why a name cannot be published at this gateway, or ""."""
+        taken = any(transform.manifest.name == name for transform in self.configured)
+        return f"{name} is already in use by this gateway's own configuration" if taken else ""
 
     def install(self, id: str, name: str, compiled: Compiled) -> str:
-        """Keep a version to be run; why not, or ""."""
+        """Keeps a compiled version as staged. Returns why that is not possible, or ""."""
         if compiled.manifest.name != name:
-            return f"its own name is {compiled.manifest.name}"
-        if why := self.name_conflict(name):
-            return why
+            return f"the name in its source is {compiled.manifest.name}"
+        if reason := self.name_conflict(name):
+            return reason
         installed = self.staged[id] = InstalledTransform(compiled)
         installed.on_breaker_change(
             lambda _name, _sha256, state: self.report_breaker(id, state is not State.CLOSED)
@@ -62,9 +65,12 @@
         return ""
 
     def activate(self, versions: Mapping[str, str], before: Mapping[str, str] = NO_CANDIDATES) -> None:
-        """From now on the gateway runs these; a call under way keeps the set that it came under. `before`: of
-        each name whose version is a candidate, the one that it may replace ("": none). Of the request phase
-        such a one gets COMPARED of the calls, to be compared with the rest."""
+        """Makes the gateway run these versions from now on; a call in progress keeps the set with which it
+        began.
+
+        `before`: for each name whose version is a candidate, the version that it may replace ("": none). A
+        candidate of the request phase gets CANDIDATE_SHARE of the calls and is compared with the rest.
+        """
         chosen = []
         for name, id in versions.items():
             installed = self.staged[id]
@@ -73,9 +79,10 @@
             if installed.share != share:
                 installed.set_share(share)
             chosen.append(installed)
-            if is_compared and (other := self.staged.get(before[name])) is not None:
-                chosen.append(other)
+            if is_compared and (predecessor := self.staged.get(before[name])) is not None:
+                chosen.append(predecessor)
         self.gateway.transforms = ActiveSet(*self.configured, *chosen) if self.configured or chosen else None
 
     def retain(self, wanted: set[str]) -> None:
-        self.staged = {id: each for id, each in self.staged.items() if id in wanted}
+        """Drops all staged versions except these."""
+        self.staged = {id: staged for id, staged in self.staged.items() if id in wanted}
--- a/cloverkeel/transforms/activation/interface.py
+++ b/cloverkeel/transforms/activation/interface.py
@@ -1,4 +1,5 @@
-"""What goes into the core and what comes out of it. Times are seconds of a monotonic clock."""
+"""The core's settings, its events (input) and its actions (output). Times are seconds of a monotonic
+clock."""
 
 from __future__ import annotations
 
@@ -9,20 +10,24 @@
 
 @dataclasses.dataclass(frozen=True)
 class Settings:
-    size: int  # members that the fleet is made of: the first epoch's quorum is more than half of it
-    stage_timeout_s: float = 10.0  # for a version to be staged at all, before most are enough
-    canary_share: float = 0.2  # of the live members, one at least
-    canary_s: float = 5.0  # that the canaries run a version before all do
-    quarantine_share: float = 0.25  # of those that run a version: more open breakers stop it
-    ballot_timeout_s: float = 5.0  # for a ballot to come to its end, at least
-    outbid_delay_s: float = 0.5  # the same once a higher one is seen, at most
-    resend_interval_s: float = 2.0  # until a record that the ledger did not take is written again
-    voter_change_delay_s: float = 30.0  # that others than the voters are live, before they are made voters
+    """Settings of the core."""
+
+    size: int  # members of the cluster; the first epoch needs them all
+    stage_timeout_s: float = 10.0  # after this, a version staged by more than half of the members is enough
+    canary_share: float = 0.2  # fraction of the live members, at least one
+    canary_s: float = 5.0  # how long canaries run a version before all members do
+    quarantine_share: float = 0.25  # of members running a version: more open breakers quarantine it
+    ballot_timeout_s: float = 5.0  # until a ballot is given up; up to twice as long, at random
+    outbid_delay_s: float = 0.5  # until a ballot is given up after a higher one was seen: at most this long
+    resend_interval_s: float = 2.0  # until a record that the ledger does not show is written again
+    voter_change_delay_s: float = (
+        30.0  # how long a new set of voters must be stable before it replaces the old
+    )
 
 
 @dataclasses.dataclass(frozen=True)
 class RecordsChanged:
-    """The ledger shows these siblings under a key; none: deleted."""
+    """The siblings (concurrent payloads) that the ledger now shows under a key; none: the key was deleted."""
 
     kind: str
     key: str
@@ -31,7 +36,8 @@
 
 @dataclasses.dataclass(frozen=True)
 class ViewChanged:
-    """`live`: members alive or suspected, this one included; `known`: those and the dead not yet reaped."""
+    """The membership view. `live`: members that are alive or suspect, this one included; `known`: those,
+    and dead ones not yet reaped."""
 
     live: tuple[str, ...]
     known: tuple[str, ...]
@@ -39,14 +45,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class Settled:
-    """Whether the ledger holds all that the fleet held when this member came."""
+    """Whether the ledger has received everything that the cluster had when this member joined."""
 
     settled: bool
 
 
 @dataclasses.dataclass(frozen=True)
 class Staged:
-    """A version asked for by `Stage` is compiled and vetted, or `reason` says why it is not."""
+    """The result of a `Stage`: the version is compiled and its golden cases pass, or `reason` says why
+    not."""
 
     id: str
     reason: str = ""
@@ -54,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class BreakerChanged:
-    """This member's breaker of a version has opened, or closed again."""
+    """This member's breaker for a version has opened or closed."""
 
     id: str
     is_open: bool
@@ -62,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Tick:
-    """Due about each 0.1 s."""
+    """Sent about every 0.1 s."""
 
 
 Event = RecordsChanged | ViewChanged | Settled | Staged | BreakerChanged | Tick
@@ -70,8 +77,8 @@
 
 @dataclasses.dataclass(frozen=True)
 class WriteRecord:
-    """Write this over all that the ledger shows under its key. `to`: the member that waits for it, told at
-    once, the others by rumour; "": all are told at once."""
+    """Write a record, replacing all siblings that the ledger shows under its key. `notify`: the member to
+    send it to at once, while the others get it by gossip; "": send it to all at once."""
 
     kind: str
     key: str
@@ -81,13 +88,15 @@
 
 @dataclasses.dataclass(frozen=True)
 class DeleteRecord:
+    """Delete a key."""
+
     kind: str
     key: str
 
 
 @dataclasses.dataclass(frozen=True)
 class Stage:
-    """Compile and vet this file, then say `Staged`."""
+    """Compile this file and run its golden cases, then send `Staged`."""
 
     id: str
     name: str
@@ -96,7 +105,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Activate:
-    """From now on run these: transform's name to the id of a staged version."""
+    """Run these versions from now on: name of the transform to id of a staged version."""
 
     epoch: int
     versions: dict[str, str]
@@ -104,7 +113,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LogEvent:
-    """Something for the log."""
+    """Write a log event with these fields."""
 
     name: str
     fields: tuple[tuple[str, object], ...]
--- a/cloverkeel/transforms/activation/ledger_state.py
+++ b/cloverkeel/transforms/activation/ledger_state.py
@@ -1,4 +1,4 @@
-"""What this member's ledger shows of activation, decoded. Equal ledgers give equal books."""
+"""The activation records in this member's ledger, decoded and indexed. Equal ledgers give equal states."""
 
 from __future__ import annotations
 
@@ -21,22 +21,25 @@
 )
 
 
-VoterId = tuple[str, int]  # a member, and the disk that keeps its votes
+VoterId = tuple[str, int]  # a member, and the id of the store that keeps its votes
 
 
 class LedgerState:
+    """The orders, proposals, votes, reports and the highest epoch in the ledger, updated key by key."""
+
     def __init__(self) -> None:
         self.orders: dict[str, Order] = {}  # by id
         self.proposals: dict[str, tuple[Proposal, ...]] = {}  # by member
-        self.votes: dict[str, dict[int, Vote]] = {}  # by member: by disk
+        self.votes: dict[str, dict[int, Vote]] = {}  # by member, then by store id
         self.reports: dict[str, Report] = {}
         self.epoch = Epoch()
         self.by_owner: dict[
             tuple[str, str], dict[str, list[ActivationRecord]]
-        ] = {}  # by kind and owner: by key
+        ] = {}  # by kind and owner, then by key
 
     def update_key(self, kind: str, key: str, payloads: tuple[bytes, ...]) -> list[str]:
-        """Take over what stands under a key now; the faults found in it, a line each."""
+        """Replaces a key's records by these payloads; none: the key was deleted. Returns the reasons why
+        payloads are invalid, one line each."""
         bodies: list[ActivationRecord] = []
         faults = []
         for payload in payloads:
@@ -57,7 +60,7 @@
         keys[key] = bodies
         if not bodies:
             del keys[key]
-        every = [body for stands in keys.values() for body in stands]
+        every = [body for siblings in keys.values() for body in siblings]
         if kind == PROPOSAL:
             self.proposals[owner] = tuple(body for body in every if isinstance(body, Proposal))
         elif kind == VOTE and (by_disk := _votes_by_store(keys)):
@@ -69,7 +72,7 @@
             self.epoch = max([self.epoch, *epochs], key=lambda epoch: epoch.number)
 
     def votes_on(self, number: int) -> dict[VoterId, Vote]:
-        """The votes on an epoch's number."""
+        """The votes on an epoch number, by voter."""
         return {
             (member, disk): vote
             for member, votes in self.votes.items()
@@ -78,27 +81,29 @@
         }
 
     def obsolete_keys(self, kind: str, owner: str, current: str) -> list[str]:
-        """Keys of an owner that the one written now has left behind, if it is shown."""
+        """The owner's other keys of this kind, which `current` supersedes; none while the ledger does not
+        show `current`."""
         keys = self.by_owner.get((kind, owner), {})
         return [key for key in keys if key != current] if current in keys else []
 
     def open_orders(self, name: str) -> list[Order]:
-        """Orders of a name not carried out yet, in sequence."""
+        """The orders of a name that are not carried out or refused yet, in sequence."""
         last = self.epoch.slot(name).last
-        mine = (order for order in self.orders.values() if order.name == name and order.sequence > last)
-        return sorted(mine, key=lambda order: order.sequence)
+        found = (order for order in self.orders.values() if order.name == name and order.sequence > last)
+        return sorted(found, key=lambda order: order.sequence)
 
     def names(self) -> list[str]:
+        """The names of all transforms that have a slot or an order."""
         return sorted({*self.epoch.slots, *(order.name for order in self.orders.values())})
 
     def next_number(self, name: str) -> int:
-        """The number of an order written now: above all that this member has seen of the name."""
+        """The number for a new order: higher than all that this member has seen for the name."""
         numbers = [order.number for order in self.orders.values() if order.name == name]
         return max([self.epoch.slot(name).last[0], *numbers]) + 1
 
     def versions_to_stage(self) -> dict[str, Order]:
-        """By id, the versions that this member is to have staged: those that slots name, and the last open
-        order of each name where it publishes one."""
+        """The publishing orders, by id, of the versions that this member has to stage: those that slots
+        name, and for each name the last open order if it publishes a version."""
         ids: set[str] = set()
         for slot in self.epoch.slots.values():
             ids |= slot.referenced_versions()
@@ -111,6 +116,7 @@
 
 
 def _votes_by_store(keys: dict[str, list[ActivationRecord]]) -> dict[int, Vote]:
+    """One member's votes, merged for each store id."""
     found: dict[int, list[Vote]] = {}
     for key, bodies in keys.items():
         found.setdefault(key_store_id(key), []).extend(body for body in bodies if isinstance(body, Vote))
@@ -118,16 +124,16 @@
 
 
 def active_versions(epoch: Epoch, member: str, staged: frozenset[str]) -> dict[str, str]:
-    """The active set of a member that has these versions staged: name to version. A pure function."""
+    """Which versions a member runs in an epoch, as name to version, given the versions that it has staged."""
     found = {}
     for name, slot in sorted(epoch.slots.items()):
         if member in slot.behind:
-            choice = ["" if slot.candidate else slot.before]
+            choices = ["" if slot.candidate else slot.before]
         elif member in slot.canaries:
-            choice = [slot.candidate, slot.active]
+            choices = [slot.candidate, slot.active]
         else:
-            choice = [slot.active]
-        version = next((version for version in choice if version in staged), "")
+            choices = [slot.active]
+        version = next((version for version in choices if version in staged), "")
         if version:
             found[name] = version
     return found
--- a/cloverkeel/transforms/activation/planning.py
+++ b/cloverkeel/transforms/activation/planning.py
@@ -1,7 +1,7 @@
-"""What the next epoch should be: a function of the book, the view and how long things have been so.
+"""Plans the next epoch: a function of the ledger's records, the live members and the ages of conditions.
 
-`step` moves one slot by one change. An epoch that brings a version in waits until each live member runs
-the current one; one that only takes a version out never waits (docs/activation.md, "From an order to all
+`SlotStep` changes one slot by one step. An epoch that introduces a version waits until every live member runs
+the current epoch; one that only removes a version never waits (docs/activation.md, "From an order to all
 members").
 """
 
@@ -18,37 +18,42 @@
 from cloverkeel.transforms.activation.interface import Settings
 from cloverkeel.transforms.activation.records import MAX_SLOTS, Epoch, Order, Slot
 
-MAX_REASON_CHARS = 400  # characters of a slot's reason
+MAX_REASON_CHARS = 400  # of a slot's reason; the record's field allows 500
 
-ConditionAge = Callable[[str], float]  # for how long the condition of this name has been asked after, seconds
+ConditionAge = Callable[[str], float]  # for how long the condition of this name has held, in seconds
 
 
 @dataclasses.dataclass
 class Plan:
-    """The slots of the next epoch, and for each name that is waited for, the reason."""
+    """The slots of the next epoch, and by name the reasons why a change has to wait."""
 
     slots: dict[str, Slot]
     wait_reasons: dict[str, str]
 
 
-def share_count(count: int, part: float) -> int:
-    return max(1, round(count * part))
+def share_count(count: int, fraction: float) -> int:
+    """A fraction of a count, rounded, at least one."""
+    return max(1, round(count * fraction))
 
 
-def choose_canaries(version: str, members: Iterable[str], part: float) -> tuple[str, ...]:
-    """The members that run a version first: rendezvous hashing (Thaler, Ravishankar, 1998) on both names."""
+def choose_canaries(version: str, members: Iterable[str], fraction: float) -> tuple[str, ...]:
+    """The members that run a version first, chosen by rendezvous hashing (Thaler, Ravishankar, 1998) of
+    version and member."""
     ranked = sorted(members, key=lambda m: hashlib.sha256(f"{version}\0{m}".encode()).digest())
-    return tuple(sorted(ranked[: share_count(len(ranked), part)]))
-
-
-def plan_slots(book: LedgerState, live: tuple[str, ...], settings: Settings, lasting: ConditionAge) -> Plan:
-    found = Plan(dict(book.epoch.slots), {})
-    for name in book.names():
-        slot, orders = book.epoch.slot(name), book.open_orders(name)
-        if name not in book.epoch.slots and len(found.slots) >= MAX_SLOTS:
-            found.wait_reasons[name] = f"over {MAX_SLOTS} names"
+    return tuple(sorted(ranked[: share_count(len(ranked), fraction)]))
+
+
+def plan_slots(
+    ledger_state: LedgerState, live: tuple[str, ...], settings: Settings, condition_age_s: ConditionAge
+) -> Plan:
+    """Changes each slot by at most one step."""
+    found = Plan(dict(ledger_state.epoch.slots), {})
+    for name in ledger_state.names():
+        slot, orders = ledger_state.epoch.slot(name), ledger_state.open_orders(name)
+        if name not in ledger_state.epoch.slots and len(found.slots) >= MAX_SLOTS:
+            found.wait_reasons[name] = f"the limit of {MAX_SLOTS} names is reached"
             continue
-        outcome = SlotStep(book, live, settings, lasting, slot, orders).next_slot()
+        outcome = SlotStep(ledger_state, live, settings, condition_age_s, slot, orders).next_slot()
         if isinstance(outcome, Slot):
             found.slots[name] = outcome
         elif outcome:
@@ -57,14 +62,14 @@
 
 
 def choose_voters(epoch: Epoch, live: tuple[str, ...], size: int) -> tuple[str, ...]:
-    """The live, and of the former ones that are absent as many as make up `size`."""
+    """The live members, filled up to `size` with absent members that are voters now."""
     absent = sorted(set(epoch.voters) - set(live))
     return tuple(sorted({*live, *absent[: max(0, size - len(live))]}))
 
 
 @dataclasses.dataclass
 class SlotStep:
-    """One name's next change."""
+    """Computes the next change of one name's slot."""
 
     ledger_state: LedgerState
     live: tuple[str, ...]
@@ -74,14 +79,14 @@
     orders: list[Order]  # open, in sequence
 
     def next_slot(self) -> Slot | str:
-        """The slot after the next change; or why there is none ("" where nothing is to be done)."""
-        slot, top = self.slot, self.orders[-1] if self.orders else None
-        if top is not None and top.verb == "rollback":
-            return self._roll_back(top)
-        if (tripped := self._open_breakers_reason(slot.active)) is not None:
-            return self._remove_active(f"quarantined: {slot.active} {tripped}", slot.last)
+        """Returns the slot after the next change, or why the change has to wait ("": nothing to change)."""
+        slot, latest = self.slot, self.orders[-1] if self.orders else None
+        if latest is not None and latest.verb == "rollback":
+            return self._roll_back(latest)
+        if (open_reason := self._open_breakers_reason(slot.active)) is not None:
+            return self._remove_active(f"quarantined: {slot.active} {open_reason}", slot.last)
         if slot.candidate:
-            return self._advance_canary(top)
+            return self._advance_canary(latest)
         if not slot.active and slot.before:
             return self._restore_before()
         if still := tuple(m for m in slot.behind if not self._has_staged(m, slot.active)):
@@ -89,9 +94,9 @@
                 return msgspec.structs.replace(slot, behind=still)
         elif slot.behind:
             return msgspec.structs.replace(slot, behind=())
-        return self._start_canary(top) if top is not None else ""
+        return self._start_canary(latest) if latest is not None else ""
 
-    # Taking out.
+    # Removing versions.
 
     def _roll_back(self, order: Order) -> Slot | str:
         if self.slot.candidate:
@@ -101,29 +106,37 @@
         return self._remove_active(why, order.sequence)
 
     def _remove_active(self, why: str, last: tuple[int, str]) -> Slot:
-        gone = msgspec.structs.replace(self.slot, active="", behind=(), last=last, why=why[:MAX_REASON_CHARS])
-        if gone.before and not gone.candidate and not self._not_on_epoch():  # both in one step
-            gone = msgspec.structs.replace(gone, active=gone.before, before="")
-        return gone
+        """Removes the active version, and makes the previous one active if that need not wait."""
+        removed = msgspec.structs.replace(
+            self.slot, active="", behind=(), last=last, why=why[:MAX_REASON_CHARS]
+        )
+        if (
+            removed.before and not removed.candidate and not self._not_on_epoch()
+        ):  # remove and restore in one epoch
+            removed = msgspec.structs.replace(removed, active=removed.before, before="")
+        return removed
 
     def _restore_before(self) -> Slot | str:
+        """Makes the previous version active, once all live members run the current epoch."""
         if missing := self._not_on_epoch():
             return f"{missing[0]} does not run epoch {self.ledger_state.epoch.number} yet"
         return msgspec.structs.replace(self.slot, active=self.slot.before, before="")
 
-    def _advance_canary(self, top: Order | None) -> Slot | str:
+    def _advance_canary(self, latest: Order | None) -> Slot | str:
+        """Removes a candidate that is quarantined or superseded by a later order; otherwise chooses
+        canaries, waits for them, or makes the candidate active."""
         slot, settings = self.slot, self.settings
         without = msgspec.structs.replace(slot, candidate="", canaries=())
-        if (tripped := self._open_breakers_reason(slot.candidate)) is not None:
-            why = f"quarantined: {slot.candidate} {tripped}"
+        if (open_reason := self._open_breakers_reason(slot.candidate)) is not None:
+            why = f"quarantined: {slot.candidate} {open_reason}"
             return msgspec.structs.replace(without, why=why[:MAX_REASON_CHARS])
-        if top is not None:
-            return msgspec.structs.replace(without, why=f"overtaken: {slot.candidate} by {top.id}")
+        if latest is not None:
+            return msgspec.structs.replace(without, why=f"overtaken: {slot.candidate} by {latest.id}")
         running = [m for m in slot.canaries if m in self.live and self._has_staged(m, slot.candidate)]
         if not running:
             able = [m for m in self.live if self._has_staged(m, slot.candidate)]
             if not able:
-                return "no live member has the candidate"
+                return "no live member has the candidate staged"
             chosen = choose_canaries(slot.candidate, able, settings.canary_share)
             return msgspec.structs.replace(slot, canaries=chosen)
         if any(slot.candidate in self.ledger_state.reports[m].open_breakers for m in running):
@@ -141,19 +154,21 @@
             why="active",
         )
 
-    # Bringing in.
+    # Introducing versions.
 
     def _start_canary(self, order: Order) -> Slot | str:
+        """Makes a published version the candidate, once enough live members have staged it; refuses it if too
+        many cannot."""
         slot, settings, live = self.slot, self.settings, self.live
-        answers = {
+        results = {
             m: r.stage_results[order.id]
             for m in live
             if (r := self.ledger_state.reports.get(m)) and order.id in r.stage_results
         }
-        able = [m for m, reason in answers.items() if not reason]
+        able = [m for m, reason in results.items() if not reason]
         waited_s = self.condition_age_s(f"staging {order.id}")
         if len(able) < len(live):
-            unable = {m: reason for m, reason in answers.items() if reason}
+            unable = {m: reason for m, reason in results.items() if reason}
             first = next((f"{m}: {reason}" for m, reason in unable.items()), "")
             if len(unable) == len(live) or (
                 2 * len(unable) >= len(live) and waited_s >= settings.stage_timeout_s
@@ -161,10 +176,10 @@
                 why = f"refused: {order.id} by {len(unable)} of {len(live)}: {first}"
                 return msgspec.structs.replace(slot, last=order.sequence, why=why[:MAX_REASON_CHARS])
             if waited_s < settings.stage_timeout_s or 2 * len(able) <= len(live):
-                silent = next((m for m in live if m not in answers), live[0])
-                return f"staged at {len(able)} of {len(live)}: {first or silent + ' has not answered'}"
+                silent = next((m for m in live if m not in results), live[0])
+                return f"staged at {len(able)} of {len(live)}: {first or silent + ' has not reported'}"
         if slot.behind:
-            return msgspec.structs.replace(slot, behind=())  # they run none of it from now on
+            return msgspec.structs.replace(slot, behind=())  # they run no version of it from now on
         if missing := self._not_on_epoch():
             return f"{missing[0]} does not run epoch {self.ledger_state.epoch.number} yet"
         chosen = choose_canaries(order.id, able, settings.canary_share)
@@ -172,14 +187,14 @@
             slot, candidate=order.id, canaries=chosen, last=order.sequence, why="canary"
         )
 
-    # What the reports say.
+    # Members' reports.
 
     def _has_staged(self, member: str, version: str) -> bool:
         report = self.ledger_state.reports.get(member)
         return report is not None and report.stage_results.get(version) == ""
 
     def _not_on_epoch(self, members: Iterable[str] | None = None) -> list[str]:
-        """Live members that do not run the current epoch, as far as they have said."""
+        """The live members, or those given, that have not reported to run the current epoch."""
         reports = self.ledger_state.reports
         return [
             m for m in (self.live if members is None else members)
@@ -187,7 +202,8 @@
         ]  # fmt: skip
 
     def _open_breakers_reason(self, version: str) -> str | None:
-        """Where too many of those that run it have its breaker open, how many."""
+        """If a version's breaker is open at too many of the members that run it, a text that says at how
+        many; otherwise None."""
         if not version:
             return None
         slot, reports = self.slot, self.ledger_state.reports
@@ -203,35 +219,43 @@
 
 
 def next_epoch(
-    book: LedgerState, live: tuple[str, ...], known: int, settings: Settings, lasting: ConditionAge
+    ledger_state: LedgerState,
+    live: tuple[str, ...],
+    known: int,
+    settings: Settings,
+    condition_age_s: ConditionAge,
 ) -> tuple[Epoch | None, dict[str, str]]:
-    """The epoch to propose, and what is waited for, by name ("" for what concerns all)."""
-    current = book.epoch
-    found = plan_slots(book, live, settings, lasting)
+    """Returns the epoch to propose, or None, and by name the reasons why changes wait ("": for all names)."""
+    current = ledger_state.epoch
+    found = plan_slots(ledger_state, live, settings, condition_age_s)
     waits = found.wait_reasons
-    wanted = choose_voters(current, live, settings.size)
-    named, reports = current.voter_store_ids(), book.reports
-    disks = tuple(reports[m].store_id if m in live and m in reports else named.get(m, 0) for m in wanted)
-    stale = bool(current.voters) and (wanted, disks) != (current.voters, current.store_ids)
+    voters = choose_voters(current, live, settings.size)
+    known_ids, reports = current.voter_store_ids(), ledger_state.reports
+    store_ids = tuple(
+        reports[m].store_id if m in live and m in reports else known_ids.get(m, 0) for m in voters
+    )
+    voters_differ = bool(current.voters) and (voters, store_ids) != (current.voters, current.store_ids)
     if not current.voters and known > settings.size:
         return None, {**waits, "": f"{known} members are known, and size is {settings.size}"}
-    renew = stale and lasting(f"voters {wanted} {disks}") >= settings.voter_change_delay_s
-    if found.slots == current.slots and not renew:
+    change_voters = (
+        voters_differ and condition_age_s(f"voters {voters} {store_ids}") >= settings.voter_change_delay_s
+    )
+    if found.slots == current.slots and not change_voters:
         return None, waits
-    if not current.voters and len(live) < settings.size:  # else few of them would decide the next one
+    if not current.voters and len(live) < settings.size:  # otherwise a few voters would decide the next epoch
         return None, {**waits, "": no_quorum_reason(current, live, settings.size)}
-    here = [m for m in live if not current.voters or m in named]
-    if not is_quorum(current, settings.size, [(m, reports[m].store_id) for m in here if m in reports]):
+    live_voters = [m for m in live if not current.voters or m in known_ids]
+    if not is_quorum(current, settings.size, [(m, reports[m].store_id) for m in live_voters if m in reports]):
         waits = {**waits, "": no_quorum_reason(current, live, settings.size)}
-    return Epoch(current.number + 1, wanted, found.slots, disks), waits
+    return Epoch(current.number + 1, voters, found.slots, store_ids), waits
 
 
 def no_quorum_reason(current: Epoch, live: tuple[str, ...], size: int) -> str:
-    """Why those who are here are no quorum, for people."""
+    """Why the live members are not a quorum, for people."""
     if not current.voters:
-        return f"the first epoch takes all {size} members, and {len(live)} are here and have reported"
+        return f"the first epoch needs all {size} members, and {len(live)} are live and have reported"
     absent = sorted(set(current.voters) - set(live))
     return (
-        f"half of the {len(current.voters)} voters or more are away or lost their disks: all are needed; "
-        f"away: {', '.join(absent[:5]) or 'none, a report is waited for'}"
+        f"half or more of the {len(current.voters)} voters are absent or lost their stores, all are needed; "
+        f"absent: {', '.join(absent[:5]) or 'none, but a report is missing'}"
     )
--- a/cloverkeel/transforms/activation/records.py
+++ b/cloverkeel/transforms/activation/records.py
@@ -1,7 +1,7 @@
-"""What activation keeps in the ledger: orders, proposals, votes, reports and epochs, as msgpack.
+"""The records that activation keeps in the ledger: orders, proposals, votes, reports and epochs, as msgpack.
 
-Everything read is checked on its way in; `decode` raises ValueError, with one line, for what is no such
-record.
+All records are validated when read: `decode` raises ValueError, with a one-line reason, for an invalid
+payload. The structs are stored as arrays, so the order of their fields is the stored format.
 """
 
 from __future__ import annotations
@@ -15,22 +15,23 @@
     "transforms.order", "transforms.proposal", "transforms.vote", "transforms.report", "transforms.epoch",
 )  # fmt: skip
 KINDS = (ORDER, PROPOSAL, VOTE, REPORT, EPOCH)
-EPOCH_OWNER = "epoch"  # the owner of the epochs' records
-NUMBERS_PER_KEY = 64  # numbers to a key
-MAX_PUBLISHED_BYTES = 255 * 1024  # bytes of a file; the record around it has to fit the ledger's 256 KiB
-MAX_SLOTS = 64  # names with a slot
+EPOCH_OWNER = "epoch"  # stands for the owner in the keys of epoch records, which belong to no member
+NUMBERS_PER_KEY = 64  # consecutive record numbers stored under one key
+MAX_PUBLISHED_BYTES = 255 * 1024  # of a source file; the record around it has to fit the ledger's 256 KiB
+MAX_SLOTS = 64  # transform names in an epoch
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
 Id = Annotated[str, msgspec.Meta(min_length=1, max_length=32)]
 Number = Annotated[int, msgspec.Meta(ge=0, le=2**62)]
 ReasonText = Annotated[str, msgspec.Meta(max_length=500)]
 Members = Annotated[tuple[Name, ...], msgspec.Meta(max_length=4096)]
-OrderSequence = tuple[Number, str]  # an order's number and id: orders of a name are taken in this order
-Ballot = tuple[Number, Name, Number]  # round, member, process life: none is used twice
+OrderSequence = tuple[Number, str]  # an order's number and id; orders of a name are processed in this order
+Ballot = tuple[Number, Name, Number]  # round, member, process id; a member never uses one twice
 
 
 class Order(msgspec.Struct, frozen=True, array_like=True):
-    """What a developer asks of one transform. `source`: the file as published, empty to roll back."""
+    """A developer's request to publish or roll back one transform. `source`: the file as published; empty
+    for a rollback."""
 
     name: Name
     id: Id
@@ -48,10 +49,12 @@
 
 
 class Slot(msgspec.Struct, frozen=True, array_like=True):
-    """One name in an epoch. Versions are the ids of the orders that published them, "" for none.
+    """State of one transform name in an epoch. A version is the id of the order that published it, "" for
+    none.
 
-    `canaries` run `candidate`, the others `active`; those `behind` could not stage it and run `before`, or
-    nothing while there is a candidate. `last`: the last order carried out, or barred. `why`: for people."""
+    The `canaries` run `candidate`, the other members `active`. Members in `behind` could not stage
+    `active`; they run `before`, or nothing while there is a candidate. `last` is the last order that was
+    carried out or refused. `why` is the reason for the last change, for people."""
 
     active: str = ""
     candidate: str = ""
@@ -62,18 +65,21 @@
     why: ReasonText = ""
 
     def runnable_versions(self) -> frozenset[str]:
-        """What may run under this slot."""
+        """The versions that some member may run under this slot."""
         behind = self.before if self.behind and not self.candidate else ""
         return frozenset({self.active, self.candidate, behind} - {""})
 
     def referenced_versions(self) -> frozenset[str]:
+        """The versions that this slot names, and that members therefore keep staged."""
         return frozenset({self.active, self.candidate, self.before} - {""})
 
 
 class Epoch(msgspec.Struct, frozen=True, array_like=True):
-    """All that is active, and the `voters` who decide the next one, each on the disk of the same place in
-    `disks` (none: an epoch from before disks were named). `by`: the member and process life that proposed it,
-    which own round 0 of the next number. Number 0: nothing has been decided."""
+    """A numbered decision of the cluster: the slots of all transforms, and the `voters` on the next epoch.
+
+    `store_ids` has each voter's store id at the voter's index (empty: decided by a release that did not
+    record them). `proposed_by` is the member and process id that proposed this epoch; only it may use
+    round 0 for the next number. Number 0 means that nothing has been decided."""
 
     number: Number = 0
     voters: Members = ()
@@ -82,15 +88,17 @@
     proposed_by: tuple[Name, Number] | None = None
 
     def voter_store_ids(self) -> dict[str, int]:
-        """Each voter's disk; 0: not known."""
+        """Each voter's store id; 0: not known."""
         return dict(zip(self.voters, self.store_ids or (0,) * len(self.voters), strict=True))
 
     def slot(self, name: str) -> Slot:
+        """The slot of a name; an empty one if the epoch has none."""
         return self.slots.get(name) or Slot()
 
 
 class Proposal(msgspec.Struct, frozen=True, array_like=True):
-    """A ballot for an epoch's number; without a value it asks for promises."""
+    """A proposer's message on an epoch number. Without a value it asks for promises (Paxos phase 1); with
+    one it asks for acceptance (phase 2)."""
 
     epoch: Number
     ballot: Ballot
@@ -98,8 +106,9 @@
 
 
 class Vote(msgspec.Struct, frozen=True, array_like=True):
-    """A member's word on an epoch: no lower ballot than `promised`; `value` accepted at `accepted`. The disk
-    that keeps it is in its key: so are all votes on one ballot one payload, and told as one."""
+    """A member's vote on an epoch number: it accepts no ballot lower than `promised`, and has accepted
+    `value` at ballot `accepted`. The voter's store id is in the key, not here, so that equal votes on one
+    ballot are one payload, which the ledger sends once."""
 
     epoch: Number
     promised: Ballot
@@ -108,7 +117,8 @@
 
 
 class Report(msgspec.Struct, frozen=True, array_like=True):
-    """What one member runs and holds: its epoch, versions staged ("" or why not), open breakers, its disk."""
+    """One member's state: the epoch it runs, the result of staging each version ("" or the reason it
+    failed), the versions whose breaker is open, and its store id (0: not recorded)."""
 
     number: Number
     epoch: Number
@@ -128,56 +138,61 @@
 
 
 def record_key(owner: str, number: int) -> str:
-    """Where an owner's record of this number stands. A key is left after BLOCK numbers: a record's context
-    grows with each write of its key."""
+    """The key of an owner's record of this number. The key changes every NUMBERS_PER_KEY numbers, because a
+    record's causal context grows with each write of its key."""
     return f"{owner}/{number // NUMBERS_PER_KEY}"
 
 
-def vote_key(member: str, disk: int, number: int) -> str:
-    return f"{member}/{disk}-{number // NUMBERS_PER_KEY}"
+def vote_key(member: str, store_id: int, number: int) -> str:
+    """The key of a member's vote on an epoch number, cast from this store."""
+    return f"{member}/{store_id}-{number // NUMBERS_PER_KEY}"
 
 
 def key_store_id(key: str) -> int:
-    """The disk in a vote's key; 0: from before disks were named. Raises ValueError."""
-    disk, named, _ = key.rpartition("/")[2].partition("-")
-    return int(disk) if named else 0
+    """The store id in a vote's key; 0: written by a release that did not record it. Raises ValueError."""
+    store_id, separator, _ = key.rpartition("/")[2].partition("-")
+    return int(store_id) if separator else 0
 
 
 def key_owner(key: str) -> str:
+    """The owner part of a key: a member, or EPOCH_OWNER."""
     return key.rpartition("/")[0]
 
 
 def encode(body: ActivationRecord) -> bytes:
+    """Encodes a record as the payload to store."""
     return _encoder.encode(body)
 
 
 @functools.lru_cache(maxsize=512)
 def _decode_cached(kind: str, payload: bytes) -> ActivationRecord:
-    """All votes on one ballot are one payload, and with many voters long to read."""
+    """Decodes with a cache: equal votes on one ballot are one payload, which is costly to decode if an
+    epoch has many voters."""
     return _decoders[kind].decode(payload)
 
 
 def decode(kind: str, key: str, payload: bytes) -> ActivationRecord:
-    """Raises ValueError for a payload that is none of its kind, or stands under another's key."""
+    """Decodes and validates a payload. Raises ValueError if it is not a record of this kind or does not
+    belong under this key."""
     try:
         body = _decoders[kind].decode(payload) if kind == ORDER else _decode_cached(kind, payload)
     except (msgspec.DecodeError, RecursionError) as error:
         raise ValueError(str(error)) from None
     if isinstance(body, Order) and body.key != key:
-        raise ValueError("the order's name and id are not its key's")
+        raise ValueError("the order's name and id do not match its key")
     if isinstance(body, Proposal) and (
         body.ballot[1] != key_owner(key) or _epochs_differ(body.epoch, body.value)
     ):
-        raise ValueError("the proposal is another member's, or its value another epoch's")
+        raise ValueError("the proposal's ballot is of another member, or its value of another epoch")
     if (
         isinstance(body, Vote)
         and key_store_id(key) >= 0
         and ((body.accepted is None) != (body.value is None) or _epochs_differ(body.epoch, body.value))
     ):
-        raise ValueError("the vote accepts no value, or another epoch's")
+        raise ValueError("the vote has only one of accepted ballot and value, or a value of another epoch")
     epoch = body if isinstance(body, Epoch) else getattr(body, "value", None)
     if epoch is not None and epoch.store_ids and len(epoch.store_ids) != len(epoch.voters):
-        raise ValueError("the epoch names not one disk for each voter")
+        raise ValueError("the epoch does not have one store id for each voter")
     return body
 
 
@@ -186,8 +201,9 @@
 
 
 def merge_votes(votes: list[Vote]) -> Vote:
-    """One voter's votes that the ledger kept side by side: the highest ballots of the highest epoch."""
+    """Merges concurrent votes of one voter that the ledger kept as siblings: the highest promise and the
+    highest accepted ballot on the highest epoch number."""
     number = max(vote.epoch for vote in votes)
     votes = [vote for vote in votes if vote.epoch == number]
-    best = max(votes, key=lambda vote: vote.accepted or (-1, "", 0))
-    return Vote(number, max(vote.promised for vote in votes), best.accepted, best.value)
+    highest = max(votes, key=lambda vote: vote.accepted or (-1, "", 0))
+    return Vote(number, max(vote.promised for vote in votes), highest.accepted, highest.value)
--- a/cloverkeel/transforms/activation/status.py
+++ b/cloverkeel/transforms/activation/status.py
@@ -1,4 +1,4 @@
-"""What `transforms status` says of each name, as one member's ledger shows it. Pure."""
+"""Builds the JSON of `transforms status` from one member's core. No I/O."""
 
 from __future__ import annotations
 
@@ -10,15 +10,16 @@
 
 
 def status(core: Activation) -> dict[str, Any]:
-    """`members`: epoch and failed versions of each that has reported; `waits`: known at the first member."""
-    book = core.ledger_state
+    """The status of all transforms and members as this member's ledger shows them. `members` has those
+    that have reported; `waits` is filled only at the first live member, which plans."""
+    ledger_state = core.ledger_state
     return {
         "member": core.member,
         "epoch": core.epoch.number,
         "may_decide": core.may_decide(),
         "first": core.live[0],
         "waits": dict(core.wait_reasons),
-        "transforms": [_transform_status(core, name) for name in book.names()],
+        "transforms": [_transform_status(core, name) for name in ledger_state.names()],
         "members": [
             {
                 "name": member,
@@ -27,15 +28,15 @@
                 "failed": {id: reason for id, reason in report.stage_results.items() if reason},
                 "open": list(report.open_breakers),
             }
-            for member, report in sorted(book.reports.items())
+            for member, report in sorted(ledger_state.reports.items())
             if member in core.known
         ],
     }
 
 
 def _transform_status(core: Activation, name: str) -> dict[str, Any]:
-    book = core.ledger_state
-    slot, orders = book.epoch.slot(name), book.open_orders(name)
+    ledger_state = core.ledger_state
+    slot, orders = ledger_state.epoch.slot(name), ledger_state.open_orders(name)
     runs = slot.candidate or slot.active
     state = "canary" if slot.candidate else "active" if slot.active else "none"
     if orders:
@@ -43,16 +44,16 @@
     return {
         "name": name,
         "state": state,
-        "active": _version_status(book.orders.get(slot.active), slot.active),
-        "candidate": _version_status(book.orders.get(slot.candidate), slot.candidate),
+        "active": _version_status(ledger_state.orders.get(slot.active), slot.active),
+        "candidate": _version_status(ledger_state.orders.get(slot.candidate), slot.candidate),
         "canaries": list(slot.canaries),
-        "before": _version_status(book.orders.get(slot.before), slot.before),
+        "before": _version_status(ledger_state.orders.get(slot.before), slot.before),
         "behind": list(slot.behind),
         "last": list(slot.last),
         "open_orders": [_version_status(order, order.id) for order in orders],
         "staged_at": sum(
             report.stage_results.get(orders[-1].id if orders else runs) == ""
-            for member, report in book.reports.items()
+            for member, report in ledger_state.reports.items()
             if member in core.live
         ),
         "of": len(core.live),
--- a/tests/test_activation_core.py
+++ b/tests/test_activation_core.py
@@ -223,7 +223,7 @@
         cluster.run(10.0)
         core = cluster.instances["m0"].core
         assert core.epoch.number == 0
-        assert core.wait_reasons[""].startswith("the first epoch takes all 5 members, and 4")
+        assert core.wait_reasons[""].startswith("the first epoch needs all 5 members, and 4")
         cluster.start(cluster.members["m4"])
         assert rest(cluster)[-1].slots["t"].active == version
 
--- a/tests/test_activation_parts.py
+++ b/tests/test_activation_parts.py
@@ -76,7 +76,7 @@
     told: list[tuple[str, bool]] = []
     engine = Engine(gateway, lambda id, is_open: told.append((id, is_open)))
     assert engine.install("1", "mark", compile_checked(SOURCE)) == ""
-    assert engine.install("2", "other", compile_checked(SOURCE)) == "its own name is mark"
+    assert engine.install("2", "other", compile_checked(SOURCE)) == "the name in its source is mark"
     engine.activate({"mark": "1"})
     assert gateway.transforms is not None
     (installed,) = gateway.transforms.installed
