--- a/cloverkeel/transforms/activation/command.py
+++ b/cloverkeel/transforms/activation/command.py
@@ -8,14 +8,14 @@
 from typing import Any
 from urllib.parse import urlencode
 
+from cloverkeel.fleet.membership.command import CommandError
 from cloverkeel.fleet.operator_commands import (
     Address,
     add_operator_option,
     add_wait_option,
-    request_json,
     read_file,
+    request_json,
 )
-from cloverkeel.fleet.membership.command import CommandError
 
 CONFIG_KEY = "transforms.fleet"  # the configuration that a gateway needs to answer these calls
 
--- a/cloverkeel/transforms/activation/core.py
+++ b/cloverkeel/transforms/activation/core.py
@@ -8,24 +8,24 @@
 
 import msgspec
 
-from cloverkeel.transforms.activation.ledger_state import LedgerState, active_versions
-from cloverkeel.transforms.activation.paxos import Proposer, Voter
 from cloverkeel.transforms.activation.interface import (
     Action,
     Activate,
+    BreakerChanged,
     DeleteRecord,
     Event,
     LogEvent,
-    WriteRecord,
     RecordsChanged,
     Settings,
     Settled,
     Stage,
     Staged,
     Tick,
-    BreakerChanged,
     ViewChanged,
+    WriteRecord,
 )
+from cloverkeel.transforms.activation.ledger_state import LedgerState, active_versions
+from cloverkeel.transforms.activation.paxos import Proposer, Voter
 from cloverkeel.transforms.activation.planning import next_epoch
 from cloverkeel.transforms.activation.records import (
     EPOCH,
--- a/cloverkeel/transforms/activation/interface.py
+++ b/cloverkeel/transforms/activation/interface.py
@@ -20,9 +20,7 @@
     ballot_timeout_s: float = 5.0  # until a ballot is given up; up to twice as long, at random
     outbid_delay_s: float = 0.5  # until a ballot is given up after a higher one was seen: at most this long
     resend_interval_s: float = 2.0  # until a record that the ledger does not show is written again
-    voter_change_delay_s: float = (
-        30.0  # how long a new set of voters must be stable before it replaces the old
-    )
+    voter_change_delay_s: float = 30.0  # how long a new set of voters must last before it replaces the old
 
 
 @dataclasses.dataclass(frozen=True)
--- a/cloverkeel/transforms/activation/ledger_state.py
+++ b/cloverkeel/transforms/activation/ledger_state.py
@@ -15,12 +15,11 @@
     Report,
     Vote,
     decode,
+    key_owner,
     key_store_id,
     merge_votes,
-    key_owner,
 )
 
-
 VoterId = tuple[str, int]  # a member, and the id of the store that keeps its votes
 
 
@@ -33,9 +32,8 @@
         self.votes: dict[str, dict[int, Vote]] = {}  # by member, then by store id
         self.reports: dict[str, Report] = {}
         self.epoch = Epoch()
-        self.by_owner: dict[
-            tuple[str, str], dict[str, list[ActivationRecord]]
-        ] = {}  # by kind and owner, then by key
+        # By kind and owner, then by key.
+        self.by_owner: dict[tuple[str, str], dict[str, list[ActivationRecord]]] = {}
 
     def update_key(self, kind: str, key: str, payloads: tuple[bytes, ...]) -> list[str]:
         """Replaces a key's records by these payloads; none: the key was deleted. Returns the reasons why
@@ -63,8 +61,8 @@
         every = [body for siblings in keys.values() for body in siblings]
         if kind == PROPOSAL:
             self.proposals[owner] = tuple(body for body in every if isinstance(body, Proposal))
-        elif kind == VOTE and (by_disk := _votes_by_store(keys)):
-            self.votes[owner] = by_disk
+        elif kind == VOTE and (by_store := _votes_by_store(keys)):
+            self.votes[owner] = by_store
         elif kind == REPORT and (reports := [body for body in every if isinstance(body, Report)]):
             self.reports[owner] = max(reports, key=lambda report: report.number)
         elif kind == EPOCH:
@@ -74,9 +72,9 @@
     def votes_on(self, number: int) -> dict[VoterId, Vote]:
         """The votes on an epoch number, by voter."""
         return {
-            (member, disk): vote
+            (member, store_id): vote
             for member, votes in self.votes.items()
-            for disk, vote in votes.items()
+            for store_id, vote in votes.items()
             if vote.epoch == number
         }
 
@@ -120,7 +118,7 @@
     found: dict[int, list[Vote]] = {}
     for key, bodies in keys.items():
         found.setdefault(key_store_id(key), []).extend(body for body in bodies if isinstance(body, Vote))
-    return {disk: merge_votes(votes) for disk, votes in found.items() if votes}
+    return {store_id: merge_votes(votes) for store_id, votes in found.items() if votes}
 
 
 def active_versions(epoch: Epoch, member: str, staged: frozenset[str]) -> dict[str, str]:
--- a/cloverkeel/transforms/activation/part.py
+++ b/cloverkeel/transforms/activation/part.py
@@ -7,23 +7,23 @@
 import json
 from typing import TYPE_CHECKING, Any
 
+from cloverkeel.fleet.ledger.interface import Acknowledged
+from cloverkeel.fleet.ledger.part import LedgerPart
+from cloverkeel.fleet.ledger.shell import WriteRefused, WriteResult
 from cloverkeel.fleet.operator_queries import (
     JSON_CONTENT_TYPE,
     LEDGER_NOT_STARTED,
     LEVEL_TIMEOUT_S,
+    error_answer,
     query_level,
     query_value,
-    error_answer,
 )
-from cloverkeel.fleet.ledger.interface import Acknowledged
-from cloverkeel.fleet.ledger.part import LedgerPart
-from cloverkeel.fleet.ledger.shell import WriteRefused, WriteResult
 from cloverkeel.operator import Answer
 from cloverkeel.transforms.activation.configuration import FleetSettings
 from cloverkeel.transforms.activation.engine import Engine
-from cloverkeel.transforms.activation.store_follower import StoreFollower
 from cloverkeel.transforms.activation.records import Order
 from cloverkeel.transforms.activation.shell import Activator
+from cloverkeel.transforms.activation.store_follower import StoreFollower
 
 if TYPE_CHECKING:
     from cloverkeel.gateway import Gateway
--- a/cloverkeel/transforms/activation/paxos.py
+++ b/cloverkeel/transforms/activation/paxos.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from cloverkeel.transforms.activation.ledger_state import LedgerState, VoterId
 from cloverkeel.transforms.activation.interface import Settings
+from cloverkeel.transforms.activation.ledger_state import LedgerState, VoterId
 from cloverkeel.transforms.activation.records import Ballot, Epoch, Proposal, Vote, merge_votes
 
 
--- a/cloverkeel/transforms/activation/planning.py
+++ b/cloverkeel/transforms/activation/planning.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
+from cloverkeel.transforms.activation.interface import Settings
 from cloverkeel.transforms.activation.ledger_state import LedgerState
 from cloverkeel.transforms.activation.paxos import is_quorum
-from cloverkeel.transforms.activation.interface import Settings
 from cloverkeel.transforms.activation.records import MAX_SLOTS, Epoch, Order, Slot
 
 MAX_REASON_CHARS = 400  # of a slot's reason; the record's field allows 500
--- a/cloverkeel/transforms/activation/shell.py
+++ b/cloverkeel/transforms/activation/shell.py
@@ -12,7 +12,7 @@
 
 from cloverkeel.fleet.events import event
 from cloverkeel.fleet.ledger.interface import Acknowledged, KeyChanged, Level
-from cloverkeel.fleet.ledger.shell import WriteResult, LedgerService, Siblings, WriteRefused
+from cloverkeel.fleet.ledger.shell import LedgerService, Siblings, WriteRefused, WriteResult
 from cloverkeel.fleet.membership.roster import LIVE_STATUSES
 from cloverkeel.fleet.membership.updates import Status
 from cloverkeel.tasks import BackgroundTasks
@@ -21,24 +21,24 @@
 from cloverkeel.transforms.activation.interface import (
     Action,
     Activate,
+    BreakerChanged,
     DeleteRecord,
     Event,
     LogEvent,
-    WriteRecord,
     RecordsChanged,
     Settings,
     Settled,
     Stage,
     Staged,
     Tick,
-    BreakerChanged,
     ViewChanged,
+    WriteRecord,
 )
 from cloverkeel.transforms.activation.records import (
     KINDS,
+    MAX_PUBLISHED_BYTES,
     MAX_SLOTS,
     ORDER,
-    MAX_PUBLISHED_BYTES,
     Order,
     encode,
 )
--- a/cloverkeel/transforms/activation/store_follower.py
+++ b/cloverkeel/transforms/activation/store_follower.py
@@ -10,8 +10,8 @@
 from cloverkeel.fleet.events import event
 from cloverkeel.fleet.ledger.reader import Reader
 from cloverkeel.fleet.ledger.store import StoreError
-from cloverkeel.transforms.activation.ledger_state import LedgerState, active_versions
 from cloverkeel.transforms.activation.engine import Engine, candidate_predecessors, compile_checked
+from cloverkeel.transforms.activation.ledger_state import LedgerState, active_versions
 from cloverkeel.transforms.activation.records import KINDS
 
 POLL_INTERVAL_S = 0.2  # between two checks whether the file has changed
--- a/tests/test_activation_core.py
+++ b/tests/test_activation_core.py
@@ -8,25 +8,25 @@
 
 from cloverkeel.fleet.ledger.interface import Level
 from cloverkeel.transforms.activation import records
-from cloverkeel.transforms.activation.ledger_state import LedgerState, active_versions
 from cloverkeel.transforms.activation.core import Activation
-from cloverkeel.transforms.activation.paxos import Proposer, Voter, is_quorum
 from cloverkeel.transforms.activation.interface import (
     LogEvent,
-    WriteRecord,
     RecordsChanged,
     Settings,
     Stage,
     Staged,
     Tick,
+    WriteRecord,
 )
+from cloverkeel.transforms.activation.ledger_state import LedgerState, active_versions
+from cloverkeel.transforms.activation.paxos import Proposer, Voter, is_quorum
 from cloverkeel.transforms.activation.planning import choose_canaries
 from cloverkeel.transforms.activation.records import (
     EPOCH,
     EPOCH_OWNER,
+    MAX_PUBLISHED_BYTES,
     ORDER,
     PROPOSAL,
-    MAX_PUBLISHED_BYTES,
     VOTE,
     ActivationRecord,
     Epoch,
--- a/tests/test_transforms_active.py
+++ b/tests/test_transforms_active.py
@@ -14,8 +14,8 @@
 from cloverkeel.commands import run as command
 from cloverkeel.config import parse
 from cloverkeel.errors import ConfigError
-from cloverkeel.http1 import Header
 from cloverkeel.fleet import events, invariants
+from cloverkeel.http1 import Header
 from cloverkeel.transforms import guard, loader
 from cloverkeel.transforms.active_set import ActiveSet, InstalledTransform, Refused
 from cloverkeel.transforms.compiler import compile
