--- a/tests/test_activation_core.py
+++ b/tests/test_activation_core.py
@@ -1,4 +1,5 @@
-"""Activation's core: deciding an epoch, what runs from it, and whole clusters through random histories."""
+"""Activation's core: deciding an epoch by Paxos, the versions that it activates, and simulated clusters,
+also with random histories."""
 
 from __future__ import annotations
 
@@ -41,9 +42,11 @@
 from faultlab.storm.cluster.activation_history import play
 
 
-def take(book: LedgerState, kind: str, key: str, *bodies: ActivationRecord, disk: int = 0) -> None:
-    stands = f"{disk}-0" if disk else "0"
-    assert book.update_key(kind, f"{key}/{stands}", tuple(map(encode, bodies))) == []
+def add_records(
+    ledger_state: LedgerState, kind: str, key: str, *bodies: ActivationRecord, store_id: int = 0
+) -> None:
+    suffix = f"{store_id}-0" if store_id else "0"
+    assert ledger_state.update_key(kind, f"{key}/{suffix}", tuple(map(encode, bodies))) == []
 
 
 def settled(members: int = 5) -> ActivationCluster:
@@ -52,8 +55,9 @@
     return cluster
 
 
-def rest(cluster: ActivationCluster) -> list[Epoch]:
-    """Let all come to rest; the epochs decided so far, from 1 on."""
+def stable_epochs(cluster: ActivationCluster) -> list[Epoch]:
+    """Waits until the cluster is stable, checks invariants, and returns the epochs decided so far, from 1
+    on."""
     assert cluster.run(60.0, cluster.is_quiescent)
     cluster.finish()
     assert cluster.reference.violations + cluster.activation_reference.violations == []
@@ -61,26 +65,26 @@
 
 
 def test_a_value_that_a_quorum_may_have_accepted_binds_every_later_ballot() -> None:
-    book, rng = LedgerState(), random.Random(1)
-    take(book, EPOCH, EPOCH_OWNER, Epoch(1, ("a", "b", "c"), store_ids=(1, 2, 3)))
+    ledger_state, rng = LedgerState(), random.Random(1)
+    add_records(ledger_state, EPOCH, EPOCH_OWNER, Epoch(1, ("a", "b", "c"), store_ids=(1, 2, 3)))
     first, second = Epoch(2, ("a",)), Epoch(2, ("b",))
     accepted = Vote(2, (1, "a", 9), (1, "a", 9), first)
-    take(book, VOTE, "b", accepted, disk=2)
+    add_records(ledger_state, VOTE, "b", accepted, store_id=2)
     proposer = Proposer("c", 5, Settings(3), rng)
-    ask = proposer.step(0.0, book, second)
-    assert isinstance(ask, Proposal) and ask == Proposal(2, (2, "c", 5))  # above all that it has heard of
-    take(book, VOTE, "b", Vote(2, ask.ballot, accepted.accepted, first), disk=2)
-    assert proposer.step(0.1, book, second) is None  # one of three
-    take(book, VOTE, "c", Vote(2, ask.ballot), disk=4)
-    assert proposer.step(0.1, book, second) is None  # of another disk
-    take(book, VOTE, "c", Vote(2, ask.ballot), disk=3)
-    assert proposer.step(0.2, book, second) == Proposal(2, ask.ballot, first)
-    for member, disk in (("b", 2), ("c", 3)):
-        take(book, VOTE, member, Vote(2, ask.ballot, ask.ballot, first), disk=disk)
-    assert proposer.step(0.3, book, second) == first
-
-
-def test_a_quorum_is_most_voters_on_the_disks_named_or_all_by_name() -> None:
+    ask = proposer.step(0.0, ledger_state, second)
+    assert isinstance(ask, Proposal) and ask == Proposal(2, (2, "c", 5))  # above all ballots it has seen
+    add_records(ledger_state, VOTE, "b", Vote(2, ask.ballot, accepted.accepted, first), store_id=2)
+    assert proposer.step(0.1, ledger_state, second) is None  # one of three
+    add_records(ledger_state, VOTE, "c", Vote(2, ask.ballot), store_id=4)
+    assert proposer.step(0.1, ledger_state, second) is None  # from another store
+    add_records(ledger_state, VOTE, "c", Vote(2, ask.ballot), store_id=3)
+    assert proposer.step(0.2, ledger_state, second) == Proposal(2, ask.ballot, first)
+    for member, store_id in (("b", 2), ("c", 3)):
+        add_records(ledger_state, VOTE, member, Vote(2, ask.ballot, ask.ballot, first), store_id=store_id)
+    assert proposer.step(0.3, ledger_state, second) == first
+
+
+def test_a_quorum_is_most_voters_with_their_stores_or_all_by_name() -> None:
     epoch = Epoch(4, ("a", "b", "c", "d"), store_ids=(1, 2, 3, 4))
     for voted, expected in (
         ({("a", 1), ("b", 2), ("c", 3)}, True),
@@ -90,51 +94,54 @@
     ):
         assert is_quorum(epoch, 2, voted) is expected
     assert not is_quorum(Epoch(), 3, {("a", 1), ("b", 2)}) and is_quorum(Epoch(), 2, {("a", 1), ("b", 2)})
-    assert is_quorum(Epoch(1, ("a", "b", "c")), 3, {("a", 1), ("b", 2)})  # from before disks were named
+    # An epoch of an older release, without store ids:
+    assert is_quorum(Epoch(1, ("a", "b", "c")), 3, {("a", 1), ("b", 2)})
 
 
-def test_who_decided_an_epoch_proposes_the_next_in_one_phase_and_once() -> None:
-    book, rng = LedgerState(), random.Random(1)
-    take(book, EPOCH, EPOCH_OWNER, Epoch(1, ("a", "b", "c"), store_ids=(1, 2, 3), proposed_by=("a", 5)))
+def test_the_proposer_of_an_epoch_proposes_the_next_in_one_phase_and_only_once() -> None:
+    ledger_state, rng = LedgerState(), random.Random(1)
+    add_records(
+        ledger_state, EPOCH, EPOCH_OWNER, Epoch(1, ("a", "b", "c"), store_ids=(1, 2, 3), proposed_by=("a", 5))
+    )
     proposer = Proposer("a", 5, Settings(3), rng)
     wanted = Epoch(2, ("a", "b"), proposed_by=("a", 5))
-    asked = proposer.step(0.0, book, Epoch(2, ("a", "b")))
+    asked = proposer.step(0.0, ledger_state, Epoch(2, ("a", "b")))
     assert asked == Proposal(2, (0, "a", 5), wanted)
-    take(book, PROPOSAL, "a", asked)
-    assert Voter("b", 2).next_vote(book) == Vote(2, (0, "a", 5), (0, "a", 5), wanted)
-    assert proposer.step(0.1, book, None) is None and proposer.step(20.0, book, None) is None
-    assert proposer.step(20.1, book, Epoch(2, ("b",))) == Proposal(2, (1, "a", 5))
-    take(book, PROPOSAL, "a", Proposal(2, (0, "a", 6), wanted))  # another life's
-    take(book, PROPOSAL, "b", Proposal(2, (0, "b", 5), wanted))  # another member's
-    assert Voter("b", 2).next_vote(book) is None
-    assert Proposer("a", 6, Settings(3), rng).step(0.0, book, wanted) == Proposal(2, (1, "a", 6))
-
-
-def test_a_member_on_a_new_disk_begins_with_what_others_heard_of_its_word() -> None:
-    book, voter = LedgerState(), Voter("m", 9)
+    add_records(ledger_state, PROPOSAL, "a", asked)
+    assert Voter("b", 2).next_vote(ledger_state) == Vote(2, (0, "a", 5), (0, "a", 5), wanted)
+    assert proposer.step(0.1, ledger_state, None) is None and proposer.step(20.0, ledger_state, None) is None
+    assert proposer.step(20.1, ledger_state, Epoch(2, ("b",))) == Proposal(2, (1, "a", 5))
+    add_records(ledger_state, PROPOSAL, "a", Proposal(2, (0, "a", 6), wanted))  # of another process
+    add_records(ledger_state, PROPOSAL, "b", Proposal(2, (0, "b", 5), wanted))  # of another member
+    assert Voter("b", 2).next_vote(ledger_state) is None
+    assert Proposer("a", 6, Settings(3), rng).step(0.0, ledger_state, wanted) == Proposal(2, (1, "a", 6))
+
+
+def test_a_member_with_a_new_store_starts_from_its_votes_that_others_have() -> None:
+    ledger_state, voter = LedgerState(), Voter("m", 9)
     word = Vote(1, (2, "b", 1), (2, "b", 1), Epoch(1, ("b",)))
-    take(book, VOTE, "m", word, disk=8)
-    take(book, PROPOSAL, "c", Proposal(1, (1, "c", 1)))
-    assert voter.next_vote(book) == Vote(1, (2, "b", 1), (2, "b", 1), Epoch(1, ("b",)))
+    add_records(ledger_state, VOTE, "m", word, store_id=8)
+    add_records(ledger_state, PROPOSAL, "c", Proposal(1, (1, "c", 1)))
+    assert voter.next_vote(ledger_state) == Vote(1, (2, "b", 1), (2, "b", 1), Epoch(1, ("b",)))
 
 
 def test_a_voter_keeps_its_promise_before_the_ledger_shows_it_and_after_a_restart() -> None:
-    book, voter = LedgerState(), Voter("m", 9)
-    take(book, PROPOSAL, "b", Proposal(1, (2, "b", 1)))
-    promise = voter.next_vote(book)
+    ledger_state, voter = LedgerState(), Voter("m", 9)
+    add_records(ledger_state, PROPOSAL, "b", Proposal(1, (2, "b", 1)))
+    promise = voter.next_vote(ledger_state)
     assert promise == Vote(1, (2, "b", 1))
-    take(book, PROPOSAL, "a", Proposal(1, (1, "a", 1), Epoch(1)))
-    assert voter.next_vote(book) is None  # a lower ballot
-    take(book, VOTE, "m", promise, disk=9)
-    assert Voter("m", 9).next_vote(book) is None  # read back from the disk
-    take(book, PROPOSAL, "b", Proposal(1, (2, "b", 1), Epoch(1, ("b",))))
-    assert voter.next_vote(book) == Vote(1, (2, "b", 1), (2, "b", 1), Epoch(1, ("b",)))
-    take(book, EPOCH, EPOCH_OWNER, Epoch(1, ("x", "y")))
-    take(book, PROPOSAL, "x", Proposal(2, (1, "x", 1)))
-    assert voter.next_vote(book) is None  # no voter any more
-
-
-def test_what_runs_is_a_function_of_epoch_and_member() -> None:
+    add_records(ledger_state, PROPOSAL, "a", Proposal(1, (1, "a", 1), Epoch(1)))
+    assert voter.next_vote(ledger_state) is None  # a lower ballot
+    add_records(ledger_state, VOTE, "m", promise, store_id=9)
+    assert Voter("m", 9).next_vote(ledger_state) is None  # read back from the store
+    add_records(ledger_state, PROPOSAL, "b", Proposal(1, (2, "b", 1), Epoch(1, ("b",))))
+    assert voter.next_vote(ledger_state) == Vote(1, (2, "b", 1), (2, "b", 1), Epoch(1, ("b",)))
+    add_records(ledger_state, EPOCH, EPOCH_OWNER, Epoch(1, ("x", "y")))
+    add_records(ledger_state, PROPOSAL, "x", Proposal(2, (1, "x", 1)))
+    assert voter.next_vote(ledger_state) is None  # not a voter any more
+
+
+def test_active_versions_are_a_function_of_epoch_and_member() -> None:
     slot = Slot("a", "c", ("m1",), "z", ("m2",))
     canary, quiet = Epoch(3, (), {"t": slot}), Epoch(4, (), {"t": Slot("a", before="z", behind=("m2",))})
     able = frozenset("acz")
@@ -145,9 +152,8 @@
         {"t": "z"},
     ]
     assert active_versions(canary, "m1", frozenset("a")) == {"t": "a"}  # a canary that has not staged it yet
-    assert (
-        active_versions(quiet, "m0", frozenset("cz")) == {}
-    )  # not before all others: nothing, never another version
+    # The active version is not staged: the member runs none, never another one.
+    assert active_versions(quiet, "m0", frozenset("cz")) == {}
     assert slot.runnable_versions() == {"a", "c"}
 
 
@@ -165,7 +171,7 @@
         encode(Order("t", "1", 1, "publish", bytes(MAX_PUBLISHED_BYTES + 1))),
     ],
 )  # fmt: skip
-def test_what_is_no_record_is_told_and_changes_nothing(payload: bytes) -> None:
+def test_an_invalid_record_is_logged_and_changes_nothing(payload: bytes) -> None:
     with pytest.raises(ValueError):
         decode(ORDER, "t/1", payload)
     core = Activation("m", 1, 9, Settings(1), random.Random(1))
@@ -173,7 +179,7 @@
     assert [note.name for note in notes] == ["transforms.malformed"] and not core.ledger_state.orders
 
 
-def test_one_gateway_alone_decides_for_itself_and_only_where_it_is_the_whole_fleet() -> None:
+def test_one_gateway_alone_decides_only_if_it_is_the_whole_cluster() -> None:
     for size, expected in ((1, True), (2, False)):
         core = Activation("m", 1, 9, Settings(size, canary_s=0.0), random.Random(1))
         ledger: dict[tuple[str, str], ActivationRecord] = {(ORDER, "t/1"): Order("t", "1", 1, "publish")}
@@ -191,13 +197,13 @@
 def test_published_to_canaries_then_all_then_rolled_back() -> None:
     cluster = settled()
     one = cluster.submit_order(cluster.members["m3"], "t", "publish", Level.QUORUM)
-    canary, active = rest(cluster)
+    canary, active = stable_epochs(cluster)
     assert canary.slots["t"].candidate == one and 1 <= len(canary.slots["t"].canaries) < 5
     assert active.slots["t"].active == one and active.voters == tuple(cluster.members)
     two = cluster.submit_order(cluster.members["m1"], "t", "publish", Level.QUORUM)
-    assert rest(cluster)[-1].slots["t"].active == two
+    assert stable_epochs(cluster)[-1].slots["t"].active == two
     cluster.submit_order(cluster.members["m4"], "t", "rollback", Level.QUORUM)
-    last = rest(cluster)[-1]
+    last = stable_epochs(cluster)[-1]
     assert last.slots["t"].active == one and last.slots["t"].why == f"rolled back: {two}"
     assert all(brain.core.active == {"t": one} for brain in cluster.instances.values())
     orders = [sorted(brain.core.ledger_state.orders) for brain in cluster.instances.values()]
@@ -206,7 +212,7 @@
     ), orders
 
 
-def test_the_first_epoch_takes_all_members_as_does_one_after_a_fleet_lost_its_disks() -> None:
+def test_the_first_epoch_needs_all_members_also_after_all_stores_were_lost() -> None:
     cluster = settled()
     for lost in (False, True):
         if lost:
@@ -225,13 +231,13 @@
         assert core.epoch.number == 0
         assert core.wait_reasons[""].startswith("the first epoch needs all 5 members, and 4")
         cluster.start(cluster.members["m4"])
-        assert rest(cluster)[-1].slots["t"].active == version
+        assert stable_epochs(cluster)[-1].slots["t"].active == version
 
 
-def test_a_fleet_restarted_whole_goes_on_and_one_replaced_of_five_votes_in_the_epoch_that_names_it() -> None:
+def test_a_restarted_cluster_goes_on_and_a_replaced_store_votes_once_an_epoch_names_it() -> None:
     cluster = settled()
     cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
-    number = rest(cluster)[-1].number
+    number = stable_epochs(cluster)[-1].number
     for member in cluster.members.values():
         cluster.stop(member)
         cluster.start(member)
@@ -245,33 +251,33 @@
     for name in ("m3", "m4"):
         cluster.stop(cluster.members[name])
     three = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.LOCAL)
-    cluster.run(15.0)  # with m2's vote, or not at all
+    cluster.run(15.0)  # only possible with m2's vote
     epoch = cluster.instances["m0"].core.epoch
     assert epoch.number > number and epoch.slots["t"].active == three
 
 
-def test_two_publish_one_name_at_once_the_last_in_sequence_is_taken_on_all() -> None:
+def test_of_two_concurrent_publications_the_last_in_sequence_becomes_active_everywhere() -> None:
     cluster = settled()
     ids = [cluster.submit_order(cluster.members[m], "t", "publish", Level.LOCAL) for m in ("m1", "m4")]
-    epochs = rest(cluster)
+    epochs = stable_epochs(cluster)
     assert epochs[-1].slots["t"].active == max(ids)
     assert min(ids) not in {slot.active for epoch in epochs for slot in epoch.slots.values()}
 
 
-def test_a_version_that_trips_is_quarantined_and_the_one_before_runs_on() -> None:
+def test_a_version_whose_breakers_open_is_quarantined_and_the_previous_one_runs() -> None:
     cluster = settled()
     good = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
-    rest(cluster)
+    stable_epochs(cluster)
     bad = cluster.submit_order(cluster.members["m2"], "t", "publish", Level.ALL)
     cluster.bad_versions.add(bad)
-    last = rest(cluster)[-1].slots["t"]
+    last = stable_epochs(cluster)[-1].slots["t"]
     assert last.active == good and last.why.startswith(f"quarantined: {bad} breakers open at")
     late = cluster.submit_order(cluster.members["m2"], "t", "publish", Level.ALL)
-    rest(cluster)
-    cluster.bad_versions.add(late)  # fails only once it runs everywhere
+    stable_epochs(cluster)
+    cluster.bad_versions.add(late)  # fails only once it runs at all members
     for brain in list(cluster.instances.values()):
         cluster._tripper(brain, late)()
-    last = rest(cluster)[-1].slots["t"]
+    last = stable_epochs(cluster)[-1].slots["t"]
     assert last.active == good and not last.before
     assert all(brain.core.active == {"t": good} for brain in cluster.instances.values())
 
@@ -279,39 +285,38 @@
 def test_a_member_that_cannot_stage_blocks_with_its_reason_and_is_left_behind() -> None:
     cluster = settled()
     old = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
-    rest(cluster)
+    stable_epochs(cluster)
     id = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
     cluster.cannot_stage[id] = {"m4"}
     cluster.run(2.0)
     assert cluster.instances["m0"].core.wait_reasons == {"t": "staged at 4 of 5: m4: no memory"}
-    slot = rest(cluster)[-1].slots["t"]
+    slot = stable_epochs(cluster)[-1].slots["t"]
     assert (slot.active, slot.behind) == (id, ("m4",)) and cluster.instances["m4"].core.active == {"t": old}
     refused = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
     cluster.cannot_stage[refused] = {"m1", "m2", "m3"}
-    slot = rest(cluster)[-1].slots["t"]
+    slot = stable_epochs(cluster)[-1].slots["t"]
     assert slot.active == id and slot.why == f"refused: {refused} by 3 of 5: m1: no memory"
 
 
-def test_a_minority_takes_no_new_epoch_and_ends_on_the_same_after_the_heal() -> None:
+def test_a_minority_decides_no_epoch_and_agrees_after_the_partition_heals() -> None:
     cluster = settled()
     cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
-    number = rest(cluster)[-1].number
+    number = stable_epochs(cluster)[-1].number
     for name in ("m0", "m1"):
         cluster.members[name].side = 1
     mine = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.QUORUM)
     cluster.submit_order(cluster.members["m3"], "t", "publish", Level.QUORUM)
     cluster.run(1.0)
-    theirs = cluster.submit_order(
-        cluster.members["m3"], "t", "publish", Level.QUORUM
-    )  # of a higher number than `mine`
-    cluster.run(15.0)  # simulated
+    # Of a higher number than `mine`.
+    theirs = cluster.submit_order(cluster.members["m3"], "t", "publish", Level.QUORUM)
+    cluster.run(15.0)  # simulated seconds
     assert [cluster.instances[m].core.epoch.number == number for m in cluster.members] == [True] * 2 + [
         False
     ] * 3
     assert cluster.instances["m3"].core.active == {"t": theirs}
     for member in cluster.members.values():
         member.side = 0
-    last = rest(cluster)[-1].slots["t"]
+    last = stable_epochs(cluster)[-1].slots["t"]
     assert last.active == theirs and mine not in {
         e.slots["t"].candidate for e in cluster.activation_reference.epochs.values() if e.slots
     }
@@ -320,6 +325,6 @@
 
 @pytest.mark.parametrize(("first", "block"), [(0, records.NUMBERS_PER_KEY), (5, 2)])
 def test_random_histories(first: int, block: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(records, "NUMBERS_PER_KEY", block)  # with 2, keys are left behind all the time
+    monkeypatch.setattr(records, "NUMBERS_PER_KEY", block)  # with 2, keys are superseded all the time
     for seed in range(first, first + 5):
         assert play(seed).violations == [], f"seed {seed}"
--- a/tests/test_activation_parts.py
+++ b/tests/test_activation_parts.py
@@ -1,4 +1,5 @@
-"""Activation beside a gateway: its configuration, the commands, an engine that is told what to run."""
+"""Activation at one gateway: its configuration, the status command, and the engine that sets the active
+set."""
 
 from __future__ import annotations
 
@@ -35,7 +36,7 @@
         ({"size": 3, "stage_timeout_s": float("nan")}, "`stage_timeout_s`"),
     ],
 )
-def test_a_fleet_that_cannot_be_used_is_one_line_that_names_the_key(fleet: object, says: str) -> None:
+def test_an_invalid_fleet_setting_is_one_line_that_names_the_key(fleet: object, says: str) -> None:
     with pytest.raises(ConfigError) as error:
         parse(configuration() | {"transforms": {"fleet": fleet}})
     line = str(error.value)
@@ -43,7 +44,7 @@
 
 
 @pytest.mark.parametrize(("more", "says"), [({}, "a cluster"), ({"cluster": CLUSTER}, "a state_dir")])
-def test_a_fleet_needs_a_cluster_and_a_place_for_the_ledger(
+def test_a_fleet_needs_a_cluster_and_a_state_directory(
     tmp_path: Path, more: dict[str, Any], says: str
 ) -> None:
     file = tmp_path / "config.json"
@@ -62,7 +63,7 @@
         load({"LB_CONFIG": str(file)})
 
 
-def test_a_version_is_vetted_before_it_is_kept() -> None:
+def test_a_version_is_compiled_and_checked_before_it_is_staged() -> None:
     case = b' case "c" { out "x-mark: %d" }'
     assert compile_checked(SOURCE + case % 1).manifest.name == "mark"
     for source, says in ((SOURCE + case % 2, 'case "c"'), (b"transform", "1:"), (b"\xff", "not UTF-8")):
@@ -71,10 +72,10 @@
 
 
 @on_loop
-async def test_the_engine_runs_what_it_is_told_and_tells_of_breakers() -> None:
+async def test_the_engine_activates_versions_and_reports_breakers() -> None:
     gateway = Gateway(parse(configuration()))
-    told: list[tuple[str, bool]] = []
-    engine = Engine(gateway, lambda id, is_open: told.append((id, is_open)))
+    reported: list[tuple[str, bool]] = []
+    engine = Engine(gateway, lambda id, is_open: reported.append((id, is_open)))
     assert engine.install("1", "mark", compile_checked(SOURCE)) == ""
     assert engine.install("2", "other", compile_checked(SOURCE)) == "the name in its source is mark"
     engine.activate({"mark": "1"})
@@ -83,15 +84,15 @@
     trip(installed.breaker, 0)
     installed._notify_listeners(State.OPEN)
     installed._notify_listeners(State.CLOSED)
-    assert told == [("1", True), ("1", False)]
+    assert reported == [("1", True), ("1", False)]
     engine.activate({})
-    assert gateway.transforms is None  # nothing to pay for in the request path
+    assert gateway.transforms is None  # so that the request path has no overhead
     engine.retain(set())
     assert not engine.staged
     gateway.close()
 
 
-def test_the_status_for_people_says_what_runs_and_what_is_in_its_way() -> None:
+def test_the_status_text_has_versions_and_wait_reasons() -> None:
     version = {"id": "v1", "sha256": "ab" * 32, "verb": "publish"}
     entry = {
         "name": "mark", "state": "canary", "active": None, "candidate": version, "before": None,
--- a/tests/test_transforms.py
+++ b/tests/test_transforms.py
@@ -1,4 +1,5 @@
-"""Header transforms: the language, its faults, and the bounds that no source and no shipped code leaves."""
+"""The transform language: statements and functions, faults with their positions, golden cases, and the limits
+that neither a source file nor shipped code can exceed."""
 
 from __future__ import annotations
 
@@ -18,19 +19,19 @@
 from cloverkeel.transforms.source import SourceError, parse
 
 MANIFEST = "transform t owner o phase request reads a, cookie writes a, b, cookie, c "
-CAME = Head(((b"A", b"One"), (b"Host", b"h"), (b"Cookie", b"x=1"), (b"cookie", b"y=2"), (b"D", b"d")))
+HEAD = Head(((b"A", b"One"), (b"Host", b"h"), (b"Cookie", b"x=1"), (b"cookie", b"y=2"), (b"D", b"d")))
 DOUBLING = "def f0(s) = s + s\n" + "".join(f"def f{n}(s) = f{n - 1}(s + s)\n" for n in range(1, 18))
-NOTHING = "".join(f"def f{n}(s) = f{n - 1}(s) + f{n - 1}(s)\n" for n in range(1, 20))
+DOUBLING_CALLS = "".join(f"def f{n}(s) = f{n - 1}(s) + f{n - 1}(s)\n" for n in range(1, 20))
 LONG = '"' + "x" * 8000 + '"'
 
 
-def made(body: str, manifest: str = MANIFEST) -> Compiled:
+def compiled_from(body: str, manifest: str = MANIFEST) -> Compiled:
     return compile(parse((manifest + body).encode()))
 
 
-def left(body: str, came: Head = CAME) -> dict[str, list[str]]:
-    """The headers in `writes` after a run, by name, as text."""
-    result = made(body).run(came)
+def written_after(body: str, came: Head = HEAD) -> dict[str, list[str]]:
+    """Returns the headers in `writes` after a run, by name, as text."""
+    result = compiled_from(body).run(came)
     assert isinstance(result, Head), result
     by_name: dict[str, list[str]] = {}
     for name, value in result.headers:
@@ -66,12 +67,12 @@
 def test_what_each_statement_and_function_does(
     body: str, changes: dict[str, list[str] | None] | None
 ) -> None:
-    if changes is None:  # a function that is not defined is found even where it would not be reached
+    if changes is None:  # an undefined function is a fault even if the call would never be evaluated
         with pytest.raises(SourceError, match="no function fail_not_reached"):
-            made(body)
+            compiled_from(body)
         return
     wanted = {name: value for name, value in (UNCHANGED | changes).items() if value is not None}
-    assert left(body) == wanted
+    assert written_after(body) == wanted
 
 
 @pytest.mark.parametrize(
@@ -120,47 +121,52 @@
             parse(source.encode())
     chain = "def f0(s) = s + s " + "".join(f"def f{n}(s) = f{n - 1}(s) + s " for n in range(1, 60))
     with pytest.raises(SourceError, match="calls included"):
-        made(chain)
+        compiled_from(chain)
 
 
-def test_golden_cases_hold_or_say_what_differs() -> None:
+def test_golden_cases_pass_or_report_the_difference() -> None:
     case = 'case "%s" { class %s in "A: 1" out "b: %s" out "a: 1" }'
     body = 'when class == "k" { set b = "x" } ' + case % ("sound", "k", "x") + case % ("wrong", "k", "y")
-    (fault,) = failed_cases(made(body))
+    (fault,) = failed_cases(compiled_from(body))
     assert fault.reason == 'case "wrong": - b: y; + b: x'
     failing = 'fail "why" case "fails" { fails } case "does not" { in "A: 1" out "A: 1" }'
-    (fault,) = failed_cases(made(failing))
+    (fault,) = failed_cases(compiled_from(failing))
     assert fault.reason == 'case "does not": the run failed, raised: FailedError: why'
 
 
 @pytest.mark.parametrize(
     ("body", "kind"),
     [
-        (DOUBLING + 'set b = f17("x")', "raised"),  # a text over its limit, long before 2^18 bytes
-        ('def f0(s) = "" ' + NOTHING + 'set b = f19("x")', "over budget"),  # 2^20 calls, no text at all
+        (DOUBLING + 'set b = f17("x")', "raised"),  # fails at the limit of a text, long before 2^18 bytes
+        # 2^20 calls without any text:
+        ('def f0(s) = "" ' + DOUBLING_CALLS + 'set b = f19("x")', "over budget"),
         (f"set b = {LONG} + {LONG}", "raised"),
         (f'set b = replace({LONG}, "x", {LONG})', "raised"),
         (f"rewrite a = {LONG}\n" + f"add b = {LONG}\n" * 3, "over budget"),
         ('fail "no"', "raised"),
     ],
-    ids=["doubled text", "doubled calls", "joined", "replaced", "added", "says so"],
+    ids=["doubled text", "doubled calls", "joined", "replaced", "added", "fail statement"],
 )
-def test_a_malicious_source_fails_and_leaves_the_head_as_it_came(body: str, kind: str) -> None:
-    came = Head((*CAME.headers, *[(b"A", b"y" * 10)] * 3000))
-    result = made(body).run(came)
+def test_a_source_that_exceeds_a_limit_or_executes_fail_is_a_failure(body: str, kind: str) -> None:
+    came = Head((*HEAD.headers, *[(b"A", b"y" * 10)] * 3000))
+    result = compiled_from(body).run(came)
     assert isinstance(result, Failure) and result.kind == kind
 
 
 def test_the_same_run_costs_the_same_steps_and_one_fewer_is_over_budget() -> None:
     body = 'set b = replace(header("a"), "O", "xx") rewrite cookie = upper(value)'
-    need = next(n for n in range(1, 200) if isinstance(made(body, f"{MANIFEST} steps {n} ").run(CAME), Head))
+    need = next(
+        n for n in range(1, 200) if isinstance(compiled_from(body, f"{MANIFEST} steps {n} ").run(HEAD), Head)
+    )
     assert 5 < need < 50
-    one_fewer = made(body, f"{MANIFEST} steps {need - 1} ")
-    assert {one_fewer.run(CAME) for _ in range(3)} == {Failure("over budget", f"more than {need - 1} steps")}
+    one_fewer = compiled_from(body, f"{MANIFEST} steps {need - 1} ")
+    assert {one_fewer.run(HEAD) for _ in range(3)} == {Failure("over budget", f"more than {need - 1} steps")}
 
 
-def test_what_eats_memory_stays_under_a_bound_in_a_process_of_its_own() -> None:
-    """In a process of its own: Starlark's doubled string took a gigabyte there, unseen by its step hook."""
+def test_sources_that_produce_much_text_stay_within_a_memory_limit() -> None:
+    """Guards against sources that allocate much memory within the step budget, as a string doubled
+    repeatedly did in Starlark: it took a gigabyte that the step hook did not see. A separate process, to
+    measure its peak."""
     bodies = [
         DOUBLING + 'set b = f17("x")',
         f'set b = replace({LONG}, "x", {LONG})',
@@ -187,7 +193,7 @@
 
 
 class Shipped:
-    """Code that ships with the program, which may do anything."""
+    """A transform of shipped code with an arbitrary `apply`."""
 
     sha256 = "0" * 64
 
@@ -215,12 +221,12 @@
         (None, "raised"),
     ],
 )
-def test_shipped_code_is_held_to_its_manifest_too(written: object, kind: str) -> None:
-    result = guard.run(Shipped(lambda head: written), CAME)
+def test_shipped_code_is_limited_to_its_manifest(written: object, kind: str) -> None:
+    result = guard.run(Shipped(lambda head: written), HEAD)
     assert isinstance(result, Failure) and result.kind == kind
 
 
-def test_shipped_code_sees_what_it_reads_and_writes_alone() -> None:
+def test_shipped_code_sees_only_headers_in_reads_and_writes() -> None:
     seen: list[Header] = []
 
     def apply(head: Head) -> list[Header]:
@@ -229,7 +235,7 @@
 
     with pytest.raises(ValueError, match="host"):
         Manifest("s", "o", "request", writes=frozenset({b"host"}))
-    result = guard.run(Shipped(apply), CAME)
+    result = guard.run(Shipped(apply), HEAD)
     assert seen == [(b"A", b"One")]
     assert isinstance(result, Head) and (b"D", b"d") in result.headers
 
@@ -260,11 +266,11 @@
 
 
 @given(st.lists(STATEMENTS, max_size=6), HEADS, st.integers(1, 300))
-def test_a_random_source_changes_only_what_it_may_and_the_same_each_time(
+def test_a_random_source_changes_only_headers_in_writes_and_is_deterministic(
     statements: list[str], headers: list[Header], steps: int
 ) -> None:
     try:
-        compiled = made("\n".join(statements), f"{MANIFEST} steps {steps} ")
+        compiled = compiled_from("\n".join(statements), f"{MANIFEST} steps {steps} ")
     except SourceError as error:
         assert error.faults
         return
@@ -278,7 +284,7 @@
 
 
 @given(st.one_of(st.binary(max_size=200), st.text(max_size=200).map(lambda t: (MANIFEST + t).encode())))
-def test_any_bytes_are_a_transform_or_have_faults_with_a_place(data: bytes) -> None:
+def test_any_bytes_are_a_transform_or_have_faults_with_a_position(data: bytes) -> None:
     try:
         compile(parse(data))
     except SourceError as error:
--- a/tests/test_transforms_active.py
+++ b/tests/test_transforms_active.py
@@ -1,4 +1,5 @@
-"""The active set: breakers, canaries, refusals, and calls in flight through a real gateway."""
+"""The active set: breakers, canaries, refusals, loading from the configuration, and calls through a real
+gateway."""
 
 from __future__ import annotations
 
@@ -24,7 +25,7 @@
 from faultlab.lab import configuration as lab_configuration
 from tests.sockets import answers, configuration, on_loop, peer, reply, request, running
 
-CAME = [(b"a", b"1"), (b"d", b"2")]
+HEADERS = [(b"a", b"1"), (b"d", b"2")]
 
 
 class Clock:
@@ -42,41 +43,41 @@
     return InstalledTransform(compile(parse_source(source.encode())), share, clock or Clock())
 
 
-def ask(
+def transform_request(
     active: ActiveSet, call_id: str = "i", klass: bytes = b"k", caller: bytes = b"c"
 ) -> list[Header] | Refused:
-    return active.request(klass, caller, b"/k/1", list(CAME), call_id)
+    return active.request(klass, caller, b"/k/1", list(HEADERS), call_id)
 
 
-def test_it_applies_to_its_calls_alone_and_in_the_order_of_names() -> None:
+def test_transforms_apply_only_to_matching_calls_and_in_the_order_of_names() -> None:
     first = installed('set b = "1"', 'applies class k applies caller c applies path "/k/"', name="a")
     second = installed('add b = header("a") + "2"', name="b")
     active = ActiveSet(second, first)
-    assert ask(active) == [(b"d", b"2"), (b"a", b"1"), (b"b", b"1"), (b"b", b"12")]
+    assert transform_request(active) == [(b"d", b"2"), (b"a", b"1"), (b"b", b"1"), (b"b", b"12")]
     assert (
-        ask(active, klass=b"other")
-        == ask(active, caller=b"other")
+        transform_request(active, klass=b"other")
+        == transform_request(active, caller=b"other")
         == [(b"d", b"2"), (b"a", b"1"), (b"b", b"12")]
     )
 
 
-def test_a_canary_has_its_share_and_the_same_call_the_same_version() -> None:
+def test_a_canary_gets_its_share_and_a_call_always_gets_the_same_version() -> None:
     active = ActiveSet(installed('set b = "old"'), installed('set b = "new"', share=0.3))
-    took = [ask(active, f"call-{n}") for n in range(2000)]
-    assert took == [ask(active, f"call-{n}") for n in range(2000)]
+    took = [transform_request(active, f"call-{n}") for n in range(2000)]
+    assert took == [transform_request(active, f"call-{n}") for n in range(2000)]
     assert 500 < sum((b"b", b"new") in headers for headers in took if isinstance(headers, list)) < 700
     with pytest.raises(ValueError, match="one version"):
         ActiveSet(installed(""), installed(""))
 
 
-def test_the_breaker_stops_a_failing_version_tries_it_again_and_tells() -> None:
+def test_the_breaker_stops_a_failing_version_tries_it_again_and_notifies() -> None:
     clock = Clock()
     version = installed('when header("a") == "1" { fail "no" } set b = "x"', clock=clock)
     told: list[tuple[str, State]] = []
     version.on_breaker_change(lambda name, sha256, state: told.append((name, state)))
     active = ActiveSet(version)
     for _ in range(MINIMUM + 4):
-        assert ask(active) == CAME
+        assert transform_request(active) == HEADERS
     assert told == [("t", State.OPEN)] and version.counts == {"raised": MINIMUM, "skipped": 4}
     clock.now_us += COOLDOWN_US
     assert active.request(b"", b"", b"", [(b"a", b"2")], "i") == [(b"a", b"2"), (b"b", b"x")]
@@ -86,21 +87,21 @@
     assert version.status()["breaker"] == "closed" and version.status()["last_failure"].endswith("no")
 
 
-def test_a_canary_whose_breaker_is_open_leaves_its_calls_to_the_version_before() -> None:
+def test_a_canary_whose_breaker_is_open_leaves_its_calls_to_the_other_version() -> None:
     active = ActiveSet(installed('set b = "old"'), installed('fail "no"', share=0.999999))
     for _ in range(MINIMUM):
-        assert ask(active) == CAME
-    assert (b"b", b"old") in ask(active)  # type: ignore[operator]
+        assert transform_request(active) == HEADERS
+    assert (b"b", b"old") in transform_request(active)  # type: ignore[operator]
 
 
-def test_refuse_refuses_until_the_breaker_opens() -> None:
+def test_on_error_refuse_refuses_until_the_breaker_opens() -> None:
     active = ActiveSet(installed('fail "no"', "on_error refuse"))
-    answers = [ask(active) for _ in range(MINIMUM + 1)]
-    assert answers == [Refused("t", "FailedError: no")] * MINIMUM + [CAME]
+    answers = [transform_request(active) for _ in range(MINIMUM + 1)]
+    assert answers == [Refused("t", "FailedError: no")] * MINIMUM + [HEADERS]
 
 
 @on_loop
-async def test_both_heads_pass_changed_and_a_call_keeps_the_set_it_came_under() -> None:
+async def test_request_and_response_heads_are_changed_and_a_call_keeps_its_set() -> None:
     go = asyncio.Event()
 
     async def late(exchange: Any) -> None:
@@ -126,7 +127,7 @@
 
 
 @on_loop
-async def test_a_failed_transform_is_skipped_or_refuses_short_and_long_answers() -> None:
+async def test_a_failed_transform_is_skipped_or_refuses_short_and_long_responses() -> None:
     for size in (4, 200_000):
         async with peer(answers(reply(200, b"x" * size))) as host, running(configuration(host)) as run:
             run.gateway.transforms = ActiveSet(
@@ -145,7 +146,8 @@
 
 def test_check_names_each_fault_and_its_exit_code(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     page = (Path(__file__).parent.parent / "docs" / "transforms.md").read_text()
-    example = page.split("   ```\n")[1].replace("\n   ", "\n").removeprefix("   ")  # the page's own first one
+    # The first example of the page.
+    example = page.split("   ```\n")[1].replace("\n   ", "\n").removeprefix("   ")
     file = tmp_path / "route-mark.transform"
     file.write_text(example)
     assert command(["transforms", "check", str(file)]) == 0
@@ -159,7 +161,7 @@
     assert command(["transforms", "check", str(tmp_path / "none")]) == 2
 
 
-def test_the_configuration_names_files_and_plugins_or_one_clear_reason(
+def test_configured_files_and_plugins_are_loaded_or_fail_with_one_reason(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     good, bad = tmp_path / "good", tmp_path / "bad"
@@ -205,7 +207,7 @@
         loader.load_plugin("none")
 
 
-def test_a_gateway_without_transforms_imports_nothing_of_them() -> None:
+def test_a_gateway_without_transforms_does_not_import_them() -> None:
     program = (
         "import sys, cloverkeel.gateway, cloverkeel.front.server\n"
         "from cloverkeel.config import parse\n"
@@ -218,15 +220,15 @@
     assert done.stdout == "[]\n", done.stderr
 
 
-def test_a_head_that_differs_elsewhere_is_logged_where_invariants_are_checked(
+def test_a_change_outside_writes_is_logged_if_invariants_are_checked(
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     monkeypatch.setattr(invariants, "ON", True)
     monkeypatch.setattr(events.LOGGER, "propagate", True)
     sound = ActiveSet(installed('set b = "x"'))
     with caplog.at_level("INFO", logger=events.LOGGER.name):
-        ask(sound)
+        transform_request(sound)
         assert not caplog.records
         monkeypatch.setattr(guard, "run", lambda transform, head: Head(head.headers[:1]))
-        assert ask(sound) == CAME[:1]  # the check is a witness, not a judge
+        assert transform_request(sound) == HEADERS[:1]  # the check only logs; the call goes on
     assert [record.getMessage() for record in caplog.records] == ["invariant.broken"]
