--- a/faultlab/storm/command.py
+++ b/faultlab/storm/command.py
@@ -61,11 +61,14 @@
     )
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument(
-        "--events", type=positive, default=1_000_000, help="events of the decision module (default a million)"
+        "--events",
+        type=positive_int,
+        default=1_000_000,
+        help="events of the decision module (default a million)",
     )
     parser.add_argument(
         "--histories",
-        type=positive,
+        type=positive_int,
         help=f"histories of each kind of cluster (default one for every {EVENTS_PER_HISTORY} events)",
     )
     parser.add_argument("--part", choices=PARTS, help="run this part only")
