--- a/tests/test_list_answers.py
+++ b/tests/test_list_answers.py
@@ -23,7 +23,7 @@
     silent,
     until,
 )
-from tests.test_list_told import BODY, FRESH, WHOLE, reset
+from tests.test_list_update_delay import BODY, FRESH, WHOLE, reset
 
 CHUNKS = b"".join(b"%x;note=1\r\n%b\r\n" % (len(part), part) for part in (BODY[:7], BODY[7:])) + b"0\r\n\r\n"
 FORMS = {
