--- a/tests/fleet_sim.py
+++ b/tests/fleet_sim.py
@@ -50,7 +50,7 @@
         self.fallbacks = 0
         self.blocked: set[tuple[str, str]] = set()  # (a, b): a cannot open a feed to b
 
-    def after(self, wait_s: float, callback: Callable[[], None]) -> None:
+    def call_later(self, wait_s: float, callback: Callable[[], None]) -> None:
         """Schedule `callback`."""
         heapq.heappush(self.queue, (self.now_s + wait_s, next(self.serial), callback))
 
@@ -77,7 +77,7 @@
         for node in self.nodes.values():
             if not node.view_due:
                 node.view_due = True
-                self.after(self.rng.uniform(0.02, 0.3), partial(self.update_view, node))
+                self.call_later(self.rng.uniform(0.02, 0.3), partial(self.update_view, node))
 
     def update_view(self, node: Node) -> None:
         node.view_due = False
@@ -89,7 +89,7 @@
             return
         if node.state == "up":
             self.carry_out(node, node.core.tick(self.now_s, node.version))
-        self.after(TICK_S, lambda: self.tick(node))
+        self.call_later(TICK_S, lambda: self.tick(node))
 
     def kill(self, name: str) -> None:
         """End a member; its connections are reset at once."""
@@ -97,44 +97,44 @@
         node.state, node.core.watching = "dead", False
         for other in self.nodes.values():
             if name in other.core.upstreams:
-                self.after(HOP_S, partial(self.end, other, name))
+                self.call_later(HOP_S, partial(self.end_feed, other, name))
             if name in other.followers:
                 other.followers.remove(name)
-        self.after(1.5, self.schedule_view_updates)
+        self.call_later(1.5, self.schedule_view_updates)
 
     def stop(self, name: str) -> None:
         """Freeze a member; its followers notice after SILENCE_S."""
         self.nodes[name].state = "stopped"
         for other in self.nodes.values():
             if name in other.core.upstreams:
-                self.after(SILENCE_S, partial(self.end, other, name))
+                self.call_later(SILENCE_S, partial(self.end_feed, other, name))
 
-    def end(self, node: Node, name: str) -> None:
+    def end_feed(self, node: Node, name: str) -> None:
         if node.state == "up":
             self.carry_out(node, node.core.upstream_ended(self.now_s, name))
             if node.core.local_peer.name in self.nodes[name].followers:
                 self.nodes[name].followers.remove(node.core.local_peer.name)
 
-    def change(self) -> None:
+    def change_list(self) -> None:
         """Change the list; open watches are answered."""
         self.index += 1
         for node in self.nodes.values():
             if node.core.watching and node.state == "up" and self.up:
-                self.after(HOP_S, partial(self.answer, node))
+                self.call_later(HOP_S, partial(self.answer_watch, node))
 
-    def service(self, up: bool) -> None:
+    def set_service_up(self, up: bool) -> None:
         """Start or stop the list service."""
         self.up = up
         for node in self.nodes.values():
             if not up and node.core.watching:
-                self.after(HOP_S, partial(self.fail, node))
+                self.call_later(HOP_S, partial(self.fail_watch, node))
 
-    def answer(self, node: Node) -> None:
+    def answer_watch(self, node: Node) -> None:
         if node.state == "up" and node.core.watching:
             self.receive_index(node, self.index)
             self.carry_out(node, node.core.service_answered(self.now_s))
 
-    def fail(self, node: Node) -> None:
+    def fail_watch(self, node: Node) -> None:
         if node.state == "up" and node.core.watching:
             self.carry_out(node, node.core.service_failed(self.now_s))
 
@@ -142,7 +142,7 @@
         if index > node.index and node.state == "up":
             node.index = index
             for name in node.followers:
-                self.after(HOP_S, partial(self.receive_list, name, node, index))
+                self.call_later(HOP_S, partial(self.receive_list, name, node, index))
 
     def receive_list(self, name: str, source: Node, index: int) -> None:
         node = self.nodes[name]
@@ -150,26 +150,28 @@
             node.core.version_received(source.core.local_peer.name, ListVersion(0, index))
             self.receive_index(node, index)
 
-    def carry_out(self, node: Node, to_do: list[actions.Action]) -> None:
+    def carry_out(self, node: Node, pending_actions: list[actions.Action]) -> None:
         """Carry out the actions of a member's selector."""
         own_name = node.core.local_peer.name
-        for action in to_do:
+        for action in pending_actions:
             match action:
                 case actions.Subscribe(peer):
-                    self.after(HOP_S, partial(self.open, node, self.nodes[peer.name]))
+                    self.call_later(HOP_S, partial(self.open_feed, node, self.nodes[peer.name]))
                 case actions.Unsubscribe(name):
                     if own_name in self.nodes[name].followers:
                         self.nodes[name].followers.remove(own_name)
                 case actions.FetchList(peer):
-                    self.after(HOP_S, partial(self.end_fetch, node, self.nodes[peer.name]))
+                    self.call_later(HOP_S, partial(self.end_fetch, node, self.nodes[peer.name]))
                 case actions.AnnounceList(peer):
-                    self.after(HOP_S, partial(self.receive_index, self.nodes[peer.name], node.index))
+                    self.call_later(HOP_S, partial(self.receive_index, self.nodes[peer.name], node.index))
                 case actions.Watch(True, _):
                     self.calls.append(self.now_s)
-                    self.after(2 * HOP_S, lambda: self.answer(node) if self.up else self.fail(node))
+                    self.call_later(
+                        2 * HOP_S, lambda: self.answer_watch(node) if self.up else self.fail_watch(node)
+                    )
                 case actions.AnnounceDepth(depth):
                     for name in node.followers:
-                        self.after(HOP_S, partial(self.receive_depth, name, own_name, depth))
+                        self.call_later(HOP_S, partial(self.receive_depth, name, own_name, depth))
                 case actions.RelayRoleChanged(True):
                     self.relays_acting.append((self.now_s, own_name))
                 case actions.FallbackStarted():
@@ -186,12 +188,12 @@
         if node.state == "up":
             self.carry_out(node, node.core.fetch_ended(self.now_s, other.core.local_peer.name))
 
-    def open(self, node: Node, other: Node) -> None:
+    def open_feed(self, node: Node, other: Node) -> None:
         own_name, name = node.core.local_peer.name, other.core.local_peer.name
         if node.state != "up" or name not in node.core.upstreams:
             return
         if other.state != "up" or (own_name, name) in self.blocked:
-            self.after(SILENCE_S if other.state != "dead" else HOP_S, lambda: self.end(node, name))
+            self.call_later(SILENCE_S if other.state != "dead" else HOP_S, lambda: self.end_feed(node, name))
         elif not admits_follower(len(other.followers), self.limit, other.core.depth, other.core.is_relay):
             names = self.rng.sample(other.followers, min(4, len(other.followers)))
             self.carry_out(node, node.core.upstream_full(self.now_s, name, names))
--- a/tests/list_site.py
+++ b/tests/list_site.py
@@ -53,16 +53,16 @@
         if not self.up:
             exchange.reset()
             return
-        asked = parse_qs(urlsplit(exchange.message.first.split(" ")[1]).query)
-        from_ = int(asked["from"][0]) if "from" in asked else None
-        if from_ == self.index:
+        query = parse_qs(urlsplit(exchange.message.first.split(" ")[1]).query)
+        from_index = int(query["from"][0]) if "from" in query else None
+        if from_index == self.index:
             await asyncio.wait(
-                [asyncio.ensure_future(self.changed.wait())], timeout=int(asked["hold_ms"][0]) / 1000
+                [asyncio.ensure_future(self.changed.wait())], timeout=int(query["hold_ms"][0]) / 1000
             )
-        if from_ is None or not self.first <= from_ <= self.index:
+        if from_index is None or not self.first <= from_index <= self.index:
             listed = hosts_list(self.index, *self.entries.values())
         else:
-            listed = hosts_list(self.index, *self.log[from_ - self.first :], snapshot=False)
+            listed = hosts_list(self.index, *self.log[from_index - self.first :], snapshot=False)
         exchange.answer(reply(200, json.dumps(listed).encode()))
 
 
@@ -98,9 +98,9 @@
     @property
     def rows(self) -> list[dict[str, Any]]:
         """The member table as operators see it."""
-        found = json.loads(self.fleet.members_answer().body)["members"]
-        assert isinstance(found, list)
-        return found
+        rows = json.loads(self.fleet.members_answer().body)["members"]
+        assert isinstance(rows, list)
+        return rows
 
     def count(self, name: str) -> int:
         return self.fleet.counters()[name]
@@ -124,7 +124,7 @@
         await node.start()
         return node
 
-    async def all_have(self, *hosts: str) -> None:
+    async def wait_for_hosts(self, *hosts: str) -> None:
         """Wait until every node's gateway lists exactly these hosts."""
         await until(lambda: all(node.hosts == set(hosts) for node in self.nodes.values()))
 
@@ -134,9 +134,9 @@
     """A cluster without nodes, with a list service that lists these hosts."""
     registry = Registry(*hosts)
     async with peer(registry.script) as service:
-        made = Site(registry, service)
+        cluster = Site(registry, service)
         try:
-            yield made
+            yield cluster
         finally:
-            for node in made.nodes.values():
+            for node in cluster.nodes.values():
                 node.close()
--- a/tests/routes_histories.py
+++ b/tests/routes_histories.py
@@ -61,7 +61,7 @@
         known[dot] = change
         return dot
 
-    def hear(self, gateway: int, other: int) -> None:
+    def receive_from(self, gateway: int, other: int) -> None:
         self.known[gateway].update(self.known[other])
 
 
@@ -71,7 +71,7 @@
     for _ in range(draw(st.integers(1, max_commits))):
         gateway = draw(st.integers(0, GATEWAYS - 1))
         if draw(st.booleans()):
-            history.hear(gateway, draw(st.integers(0, GATEWAYS - 1)))
+            history.receive_from(gateway, draw(st.integers(0, GATEWAYS - 1)))
         team = draw(st.sampled_from(TEAMS))
         known = list(history.known[gateway])
         if known and draw(st.integers(0, 5)) == 0:
@@ -88,12 +88,12 @@
     return history
 
 
-def play(merge: Merge) -> View:
+def run_merge(merge: Merge) -> View:
     for _ in merge.settle():
         pass
     return merge.view
 
 
-def plain(view: View) -> View:
+def without_changed_routes(view: View) -> View:
     """The view without the field that may differ between gateways."""
     return replace(view, changed_routes=None)
--- a/tests/test_activation_core.py
+++ b/tests/test_activation_core.py
@@ -49,9 +49,9 @@
     assert ledger_state.update_key(kind, f"{key}/{suffix}", tuple(map(encode, bodies))) == []
 
 
-def settled(members: int = 5) -> ActivationCluster:
+def settled_cluster(members: int = 5) -> ActivationCluster:
     cluster = ActivationCluster(7, members)
-    assert cluster.run(20.0, lambda: all(brain.settled for brain in cluster.instances.values()))
+    assert cluster.run(20.0, lambda: all(instance.settled for instance in cluster.instances.values()))
     return cluster
 
 
@@ -71,16 +71,20 @@
     accepted = Vote(2, (1, "a", 9), (1, "a", 9), first)
     add_records(ledger_state, VOTE, "b", accepted, store_id=2)
     proposer = Proposer("c", 5, Settings(3), rng)
-    ask = proposer.step(0.0, ledger_state, second)
-    assert isinstance(ask, Proposal) and ask == Proposal(2, (2, "c", 5))  # above all ballots it has seen
-    add_records(ledger_state, VOTE, "b", Vote(2, ask.ballot, accepted.accepted, first), store_id=2)
+    proposal = proposer.step(0.0, ledger_state, second)
+    assert isinstance(proposal, Proposal) and proposal == Proposal(
+        2, (2, "c", 5)
+    )  # above all ballots it has seen
+    add_records(ledger_state, VOTE, "b", Vote(2, proposal.ballot, accepted.accepted, first), store_id=2)
     assert proposer.step(0.1, ledger_state, second) is None  # one of three
-    add_records(ledger_state, VOTE, "c", Vote(2, ask.ballot), store_id=4)
+    add_records(ledger_state, VOTE, "c", Vote(2, proposal.ballot), store_id=4)
     assert proposer.step(0.1, ledger_state, second) is None  # from another store
-    add_records(ledger_state, VOTE, "c", Vote(2, ask.ballot), store_id=3)
-    assert proposer.step(0.2, ledger_state, second) == Proposal(2, ask.ballot, first)
+    add_records(ledger_state, VOTE, "c", Vote(2, proposal.ballot), store_id=3)
+    assert proposer.step(0.2, ledger_state, second) == Proposal(2, proposal.ballot, first)
     for member, store_id in (("b", 2), ("c", 3)):
-        add_records(ledger_state, VOTE, member, Vote(2, ask.ballot, ask.ballot, first), store_id=store_id)
+        add_records(
+            ledger_state, VOTE, member, Vote(2, proposal.ballot, proposal.ballot, first), store_id=store_id
+        )
     assert proposer.step(0.3, ledger_state, second) == first
 
 
@@ -119,8 +123,8 @@
 
 def test_a_member_with_a_new_store_starts_from_its_votes_that_others_have() -> None:
     ledger_state, voter = LedgerState(), Voter("m", 9)
-    word = Vote(1, (2, "b", 1), (2, "b", 1), Epoch(1, ("b",)))
-    add_records(ledger_state, VOTE, "m", word, store_id=8)
+    stored_vote = Vote(1, (2, "b", 1), (2, "b", 1), Epoch(1, ("b",)))
+    add_records(ledger_state, VOTE, "m", stored_vote, store_id=8)
     add_records(ledger_state, PROPOSAL, "c", Proposal(1, (1, "c", 1)))
     assert voter.next_vote(ledger_state) == Vote(1, (2, "b", 1), (2, "b", 1), Epoch(1, ("b",)))
 
@@ -143,17 +147,24 @@
 
 def test_active_versions_are_a_function_of_epoch_and_member() -> None:
     slot = Slot("a", "c", ("m1",), "z", ("m2",))
-    canary, quiet = Epoch(3, (), {"t": slot}), Epoch(4, (), {"t": Slot("a", before="z", behind=("m2",))})
-    able = frozenset("acz")
-    assert [active_versions(canary, m, able) for m in ("m0", "m1", "m2")] == [{"t": "a"}, {"t": "c"}, {}]
-    assert [active_versions(quiet, m, able) for m in ("m0", "m1", "m2")] == [
+    canary, without_candidate = (
+        Epoch(3, (), {"t": slot}),
+        Epoch(4, (), {"t": Slot("a", before="z", behind=("m2",))}),
+    )
+    staged_ids = frozenset("acz")
+    assert [active_versions(canary, m, staged_ids) for m in ("m0", "m1", "m2")] == [
+        {"t": "a"},
+        {"t": "c"},
+        {},
+    ]
+    assert [active_versions(without_candidate, m, staged_ids) for m in ("m0", "m1", "m2")] == [
         {"t": "a"},
         {"t": "a"},
         {"t": "z"},
     ]
     assert active_versions(canary, "m1", frozenset("a")) == {"t": "a"}  # a canary that has not staged it yet
     # The active version is not staged: the member runs none, never another one.
-    assert active_versions(quiet, "m0", frozenset("cz")) == {}
+    assert active_versions(without_candidate, "m0", frozenset("cz")) == {}
     assert slot.runnable_versions() == {"a", "c"}
 
 
@@ -175,8 +186,12 @@
     with pytest.raises(ValueError):
         decode(ORDER, "t/1", payload)
     core = Activation("m", 1, 9, Settings(1), random.Random(1))
-    notes = [a for a in core.handle(0.0, RecordsChanged(ORDER, "t/1", (payload,))) if isinstance(a, LogEvent)]
-    assert [note.name for note in notes] == ["transforms.malformed"] and not core.ledger_state.orders
+    log_events = [
+        a for a in core.handle(0.0, RecordsChanged(ORDER, "t/1", (payload,))) if isinstance(a, LogEvent)
+    ]
+    assert [log_event.name for log_event in log_events] == [
+        "transforms.malformed"
+    ] and not core.ledger_state.orders
 
 
 def test_one_gateway_alone_decides_only_if_it_is_the_whole_cluster() -> None:
@@ -195,25 +210,26 @@
 
 
 def test_published_to_canaries_then_all_then_rolled_back() -> None:
-    cluster = settled()
-    one = cluster.submit_order(cluster.members["m3"], "t", "publish", Level.QUORUM)
+    cluster = settled_cluster()
+    first_version = cluster.submit_order(cluster.members["m3"], "t", "publish", Level.QUORUM)
     canary, active = stable_epochs(cluster)
-    assert canary.slots["t"].candidate == one and 1 <= len(canary.slots["t"].canaries) < 5
-    assert active.slots["t"].active == one and active.voters == tuple(cluster.members)
-    two = cluster.submit_order(cluster.members["m1"], "t", "publish", Level.QUORUM)
-    assert stable_epochs(cluster)[-1].slots["t"].active == two
+    assert canary.slots["t"].candidate == first_version and 1 <= len(canary.slots["t"].canaries) < 5
+    assert active.slots["t"].active == first_version and active.voters == tuple(cluster.members)
+    second_version = cluster.submit_order(cluster.members["m1"], "t", "publish", Level.QUORUM)
+    assert stable_epochs(cluster)[-1].slots["t"].active == second_version
     cluster.submit_order(cluster.members["m4"], "t", "rollback", Level.QUORUM)
     last = stable_epochs(cluster)[-1]
-    assert last.slots["t"].active == one and last.slots["t"].why == f"rolled back: {two}"
-    assert all(brain.core.active == {"t": one} for brain in cluster.instances.values())
-    orders = [sorted(brain.core.ledger_state.orders) for brain in cluster.instances.values()]
+    assert last.slots["t"].active == first_version and last.slots["t"].why == f"rolled back: {second_version}"
+    assert all(instance.core.active == {"t": first_version} for instance in cluster.instances.values())
+    orders = [sorted(instance.core.ledger_state.orders) for instance in cluster.instances.values()]
     assert cluster.run(
-        20.0, lambda: all(list(b.core.ledger_state.orders) == [one] for b in cluster.instances.values())
+        20.0,
+        lambda: all(list(b.core.ledger_state.orders) == [first_version] for b in cluster.instances.values()),
     ), orders
 
 
 def test_the_first_epoch_needs_all_members_also_after_all_stores_were_lost() -> None:
-    cluster = settled()
+    cluster = settled_cluster()
     for lost in (False, True):
         if lost:
             cluster.activation_reference.epochs = {0: Epoch()}  # a new fleet
@@ -234,30 +250,32 @@
         assert stable_epochs(cluster)[-1].slots["t"].active == version
 
 
-def test_a_restarted_cluster_goes_on_and_a_replaced_store_votes_once_an_epoch_names_it() -> None:
-    cluster = settled()
+def test_a_restarted_cluster_continues_and_a_replaced_store_votes_once_an_epoch_names_it() -> None:
+    cluster = settled_cluster()
     cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
     number = stable_epochs(cluster)[-1].number
     for member in cluster.members.values():
         cluster.stop(member)
         cluster.start(member)
-    two = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.LOCAL)
+    second_version = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.LOCAL)
     cluster.run(10.0)
-    assert cluster.instances["m3"].core.epoch.slots["t"].active == two
-    old = cluster.members["m2"].disk.disk_id
+    assert cluster.instances["m3"].core.epoch.slots["t"].active == second_version
+    previous = cluster.members["m2"].disk.disk_id
     cluster.lose_disk(cluster.members["m2"])
     cluster.start(cluster.members["m2"])
-    assert cluster.run(20.0, lambda: dict(cluster.instances["m0"].core.epoch.voter_store_ids())["m2"] != old)
+    assert cluster.run(
+        20.0, lambda: dict(cluster.instances["m0"].core.epoch.voter_store_ids())["m2"] != previous
+    )
     for name in ("m3", "m4"):
         cluster.stop(cluster.members[name])
-    three = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.LOCAL)
+    third_version = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.LOCAL)
     cluster.run(15.0)  # only possible with m2's vote
     epoch = cluster.instances["m0"].core.epoch
-    assert epoch.number > number and epoch.slots["t"].active == three
+    assert epoch.number > number and epoch.slots["t"].active == third_version
 
 
 def test_of_two_concurrent_publications_the_last_in_sequence_becomes_active_everywhere() -> None:
-    cluster = settled()
+    cluster = settled_cluster()
     ids = [cluster.submit_order(cluster.members[m], "t", "publish", Level.LOCAL) for m in ("m1", "m4")]
     epochs = stable_epochs(cluster)
     assert epochs[-1].slots["t"].active == max(ids)
@@ -265,7 +283,7 @@
 
 
 def test_a_version_whose_breakers_open_is_quarantined_and_the_previous_one_runs() -> None:
-    cluster = settled()
+    cluster = settled_cluster()
     good = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
     stable_epochs(cluster)
     bad = cluster.submit_order(cluster.members["m2"], "t", "publish", Level.ALL)
@@ -275,23 +293,25 @@
     late = cluster.submit_order(cluster.members["m2"], "t", "publish", Level.ALL)
     stable_epochs(cluster)
     cluster.bad_versions.add(late)  # fails only once it runs at all members
-    for brain in list(cluster.instances.values()):
-        cluster._tripper(brain, late)()
+    for instance in list(cluster.instances.values()):
+        cluster._tripper(instance, late)()
     last = stable_epochs(cluster)[-1].slots["t"]
     assert last.active == good and not last.before
-    assert all(brain.core.active == {"t": good} for brain in cluster.instances.values())
+    assert all(instance.core.active == {"t": good} for instance in cluster.instances.values())
 
 
-def test_a_member_that_cannot_stage_blocks_with_its_reason_and_is_left_behind() -> None:
-    cluster = settled()
-    old = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
+def test_a_member_that_cannot_stage_delays_the_version_with_a_reason_and_is_left_behind() -> None:
+    cluster = settled_cluster()
+    previous = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
     stable_epochs(cluster)
     id = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
     cluster.cannot_stage[id] = {"m4"}
     cluster.run(2.0)
     assert cluster.instances["m0"].core.wait_reasons == {"t": "staged at 4 of 5: m4: no memory"}
     slot = stable_epochs(cluster)[-1].slots["t"]
-    assert (slot.active, slot.behind) == (id, ("m4",)) and cluster.instances["m4"].core.active == {"t": old}
+    assert (slot.active, slot.behind) == (id, ("m4",)) and cluster.instances["m4"].core.active == {
+        "t": previous
+    }
     refused = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
     cluster.cannot_stage[refused] = {"m1", "m2", "m3"}
     slot = stable_epochs(cluster)[-1].slots["t"]
@@ -299,32 +319,34 @@
 
 
 def test_a_minority_decides_no_epoch_and_agrees_after_the_partition_heals() -> None:
-    cluster = settled()
+    cluster = settled_cluster()
     cluster.submit_order(cluster.members["m0"], "t", "publish", Level.ALL)
     number = stable_epochs(cluster)[-1].number
     for name in ("m0", "m1"):
         cluster.members[name].side = 1
-    mine = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.QUORUM)
+    minority_version = cluster.submit_order(cluster.members["m0"], "t", "publish", Level.QUORUM)
     cluster.submit_order(cluster.members["m3"], "t", "publish", Level.QUORUM)
     cluster.run(1.0)
-    # Of a higher number than `mine`.
-    theirs = cluster.submit_order(cluster.members["m3"], "t", "publish", Level.QUORUM)
+    # Of a higher number than `minority_version`.
+    majority_version = cluster.submit_order(cluster.members["m3"], "t", "publish", Level.QUORUM)
     cluster.run(15.0)  # simulated seconds
     assert [cluster.instances[m].core.epoch.number == number for m in cluster.members] == [True] * 2 + [
         False
     ] * 3
-    assert cluster.instances["m3"].core.active == {"t": theirs}
+    assert cluster.instances["m3"].core.active == {"t": majority_version}
     for member in cluster.members.values():
         member.side = 0
     last = stable_epochs(cluster)[-1].slots["t"]
-    assert last.active == theirs and mine not in {
+    assert last.active == majority_version and minority_version not in {
         e.slots["t"].candidate for e in cluster.activation_reference.epochs.values() if e.slots
     }
-    assert all(brain.core.active == {"t": theirs} for brain in cluster.instances.values())
+    assert all(instance.core.active == {"t": majority_version} for instance in cluster.instances.values())
 
 
 @pytest.mark.parametrize(("first", "block"), [(0, records.NUMBERS_PER_KEY), (5, 2)])
-def test_random_histories(first: int, block: int, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_random_histories_keep_the_invariants(
+    first: int, block: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(records, "NUMBERS_PER_KEY", block)  # with 2, keys are superseded all the time
     for seed in range(first, first + 5):
         assert play(seed).violations == [], f"seed {seed}"
--- a/tests/test_activation_parts.py
+++ b/tests/test_activation_parts.py
@@ -24,7 +24,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fleet", "says"),
+    ("fleet", "expected"),
     [
         (None, "fleet"),
         ({}, "`size`"),
@@ -36,22 +36,22 @@
         ({"size": 3, "stage_timeout_s": float("nan")}, "`stage_timeout_s`"),
     ],
 )
-def test_an_invalid_fleet_setting_is_one_line_that_names_the_key(fleet: object, says: str) -> None:
+def test_an_invalid_fleet_setting_is_one_line_that_names_the_key(fleet: object, expected: str) -> None:
     with pytest.raises(ConfigError) as error:
         parse(configuration() | {"transforms": {"fleet": fleet}})
     line = str(error.value)
-    assert line.startswith("transforms.fleet: ") and says in line and "\n" not in line
+    assert line.startswith("transforms.fleet: ") and expected in line and "\n" not in line
 
 
-@pytest.mark.parametrize(("more", "says"), [({}, "a cluster"), ({"cluster": CLUSTER}, "a state_dir")])
+@pytest.mark.parametrize(("extra", "expected"), [({}, "a cluster"), ({"cluster": CLUSTER}, "a state_dir")])
 def test_a_fleet_needs_a_cluster_and_a_state_directory(
-    tmp_path: Path, more: dict[str, Any], says: str
+    tmp_path: Path, extra: dict[str, Any], expected: str
 ) -> None:
     file = tmp_path / "config.json"
-    file.write_text(json.dumps(configuration() | {"transforms": {"fleet": {"size": 3}}} | more))
-    with pytest.raises(ConfigError, match=f"transforms.fleet: it needs {says}"):
+    file.write_text(json.dumps(configuration() | {"transforms": {"fleet": {"size": 3}}} | extra))
+    with pytest.raises(ConfigError, match=f"transforms.fleet: it needs {expected}"):
         load({"LB_CONFIG": str(file)})
-    found = load({"LB_CONFIG": str(file), "LB_STATE_DIR": "/x"}) if more else None
+    found = load({"LB_CONFIG": str(file), "LB_STATE_DIR": "/x"}) if extra else None
     assert found is None or (found.transforms is not None and found.transforms.fleet is not None)
 
 
@@ -66,8 +66,8 @@
 def test_a_version_is_compiled_and_checked_before_it_is_staged() -> None:
     case = b' case "c" { out "x-mark: %d" }'
     assert compile_checked(SOURCE + case % 1).manifest.name == "mark"
-    for source, says in ((SOURCE + case % 2, 'case "c"'), (b"transform", "1:"), (b"\xff", "not UTF-8")):
-        with pytest.raises(ValueError, match=says):
+    for source, expected in ((SOURCE + case % 2, 'case "c"'), (b"transform", "1:"), (b"\xff", "not UTF-8")):
+        with pytest.raises(ValueError, match=expected):
             compile_checked(source)
 
 
--- a/tests/test_duties_local.py
+++ b/tests/test_duties_local.py
@@ -46,7 +46,7 @@
     return answer.token
 
 
-def pair(directory: Path, clock: Clock) -> tuple[LocalBackend, LocalBackend]:
+def backend_pair(directory: Path, clock: Clock) -> tuple[LocalBackend, LocalBackend]:
     """The backends of two processes, after the TTL in which a new file grants nothing."""
     one, other = LocalBackend(str(directory), "one", clock), LocalBackend(str(directory), "other", clock)
     assert call(one, "acquire") == Held("", 0, 2.0)
@@ -57,7 +57,7 @@
 def test_a_lease_is_held_until_release_or_expiry_and_tokens_grow(tmp_path: Path) -> None:
     create_state_file(tmp_path)
     clock = Clock()
-    one, other = pair(tmp_path, clock)
+    one, other = backend_pair(tmp_path, clock)
     first = granted(call(one, "acquire"))
     assert call(other, "acquire") == Held("one", first, 2.0)
     clock.now_s += 1.9
@@ -80,11 +80,11 @@
         one.force_release("never-held")
 
 
-@pytest.mark.parametrize("how", ["new", "copy"])
-def test_a_replaced_file_grants_nothing_for_one_ttl(tmp_path: Path, how: str) -> None:
+@pytest.mark.parametrize("replacement", ["new", "copy"])
+def test_a_replaced_file_grants_nothing_for_one_ttl(tmp_path: Path, replacement: str) -> None:
     create_state_file(tmp_path)
     clock = Clock()
-    one, other = pair(tmp_path, clock)
+    one, other = backend_pair(tmp_path, clock)
     path = tmp_path / STATE_FILE
     with sqlite3.connect(path) as connection:
         connection.execute("PRAGMA wal_checkpoint(TRUNCATE)")
@@ -93,7 +93,7 @@
     token = granted(call(one, "acquire"))
     for suffix in ("-wal", "-shm", ""):
         os.unlink(f"{path}{suffix}")
-    if how == "copy":
+    if replacement == "copy":
         path.write_bytes(old)
     else:
         create_state_file(tmp_path)
@@ -110,7 +110,7 @@
     with pytest.raises(FileNotFoundError):
         list_leases(str(tmp_path))
     create_state_file(tmp_path)
-    one, other = pair(tmp_path, clock)
+    one, other = backend_pair(tmp_path, clock)
     token = granted(call(one, "acquire"))
     writer = sqlite3.connect(tmp_path / STATE_FILE, isolation_level=None)
     writer.execute("BEGIN IMMEDIATE")
@@ -127,26 +127,26 @@
 async def test_a_service_hands_over_on_close_and_runs_actions_only_while_it_holds(tmp_path: Path) -> None:
     create_state_file(tmp_path)
     duty = Duty("chore", ttl_s=0.4)
-    heard: asyncio.Queue[tuple[str, int | None]] = asyncio.Queue()
+    changes: asyncio.Queue[tuple[str, int | None]] = asyncio.Queue()
 
-    def tell(name: str, token: int | None) -> None:
-        heard.put_nowait((name, token))
+    def record_change(name: str, token: int | None) -> None:
+        changes.put_nowait((name, token))
 
     services = [DutyService(name, LocalBackend(str(tmp_path), name)) for name in ("one", "other")]
     for service in services:
-        service.add_listener("chore", partial(tell, service.core.holder))
+        service.add_listener("chore", partial(record_change, service.core.holder))
         service.set_duties((duty,))
-    first, token = await heard.get()
+    first, token = await changes.get()
     assert token is not None
     holder, waiting = services if first == "one" else reversed(services)
-    assert holder.run_if_held("chore", lambda given: given) == token
+    assert holder.run_if_held("chore", lambda held_token: held_token) == token
     with pytest.raises(NotHeldError, match="chore is not held here"):
-        waiting.run_if_held("chore", lambda given: given)
+        waiting.run_if_held("chore", lambda held_token: held_token)
     await holder.close()
-    assert await heard.get() == (first, None)
-    second, higher = await heard.get()
+    assert await changes.get() == (first, None)
+    second, higher = await changes.get()
     assert second != first and higher is not None and higher > token
     waiting.set_duties(())
-    assert await heard.get() == (second, None)
+    assert await changes.get() == (second, None)
     assert waiting.token("chore") is None
     await waiting.close()
--- a/tests/test_duties_model.py
+++ b/tests/test_duties_model.py
@@ -31,9 +31,9 @@
 
 DUTY = Duty("d", ttl_s=1.0)
 STEP_S = 0.25
-LOW = random.Random()
-LOW.random = lambda: 0.0  # type: ignore[method-assign]
-LOW.uniform = lambda a, b: a  # type: ignore[method-assign]
+LOWEST_RANDOM = random.Random()
+LOWEST_RANDOM.random = lambda: 0.0  # type: ignore[method-assign]
+LOWEST_RANDOM.uniform = lambda a, b: a  # type: ignore[method-assign]
 
 
 @dataclass
@@ -56,7 +56,7 @@
     until_s: float = 0.0
     granted: set[int] = field(default_factory=set)
 
-    def give(self, process: Process, event: Event) -> None:
+    def handle_event(self, process: Process, event: Event) -> None:
         for action in process.core.handle(self.now_s * process.rate, event):
             match action:
                 case BackendCall():
@@ -78,40 +78,42 @@
 
     def backend(self, holder: str, call: BackendCall) -> BackendAnswer:
         free = not self.holder or self.now_s >= self.until_s
-        mine = not free and (self.holder, self.token) == (holder, call.token)
+        held_by_caller = not free and (self.holder, self.token) == (holder, call.token)
         if call.verb == "acquire" and free:
             self.holder, self.token, self.until_s = holder, self.token + 1, self.now_s + DUTY.ttl_s
             return Granted(self.token)
         if call.verb == "acquire":
             return Held(self.holder, self.token, self.until_s - self.now_s)
-        if call.verb == "renew" and mine:
+        if call.verb == "renew" and held_by_caller:
             self.until_s = self.now_s + DUTY.ttl_s
             return Granted(self.token)
-        if call.verb == "release" and mine:
+        if call.verb == "release" and held_by_caller:
             self.holder = ""
         return NotHeld()
 
-    def key(self) -> object:
+    def equivalence_key(self) -> object:
         """Equal for states that behave alike: times relative to now, tokens relative to the newest."""
-        seen: list[object] = [self.holder, max(0.0, self.until_s - self.now_s)]
+        parts: list[object] = [self.holder, max(0.0, self.until_s - self.now_s)]
         for p in self.processes:
             now_s = self.now_s * p.rate
             for lease in p.core.leases.values():
-                seen.append((
+                parts.append((
                     self.token - lease.token if lease.token else None,
                     round(max(0.0, lease.valid_until_s - now_s), 6),
                     lease.pending_call and lease.pending_call.verb,
                     round(now_s - lease.sent_at_s, 6) if lease.pending_call else 0,
                     round(max(0.0, lease.next_call_s - now_s), 6), lease.wanted,
                 ))  # fmt: skip
-            asked = next(iter(p.core.leases.values())).pending_call if p.core.leases else None
-            number = asked.call_id if asked else 0
-            seen.append(tuple((a.verb, self.token - a.token, a.call_id == number) for a in p.calls))
-            seen.append(tuple((repr(_aged(a.answer, self.token)), a.call_id == number) for a in p.answers))
-        return tuple(seen)
+            pending = next(iter(p.core.leases.values())).pending_call if p.core.leases else None
+            number = pending.call_id if pending else 0
+            parts.append(tuple((a.verb, self.token - a.token, a.call_id == number) for a in p.calls))
+            parts.append(
+                tuple((repr(_relative_answer(a.answer, self.token)), a.call_id == number) for a in p.answers)
+            )
+        return tuple(parts)
 
 
-def _aged(answer: BackendAnswer, token: int) -> object:
+def _relative_answer(answer: BackendAnswer, token: int) -> object:
     match answer:
         case Granted(its):
             return "granted", token - its
@@ -120,17 +122,17 @@
     return answer
 
 
-def moves(state: State) -> list[tuple[str, int]]:
-    found = [("time", 0)]
+def possible_steps(state: State) -> list[tuple[str, int]]:
+    found = [("advance_time", 0)]
     for number, process in enumerate(state.processes):
         if process.calls:
-            found += [("take", number), ("lose", number)]
+            found += [("execute_call", number), ("lose_call", number)]
         if process.answers:
-            found += [("tell", number), ("drop", number)]
+            found += [("deliver_answer", number), ("lose_answer", number)]
     return found
 
 
-def copied(state: State) -> State:
+def copy_state(state: State) -> State:
     """A copy that can be changed on its own; shares what is never changed in place."""
     processes = []
     for process in state.processes:
@@ -140,44 +142,44 @@
     return replace(state, processes=processes, granted={*state.granted})
 
 
-def moved(before: State, what: str, number: int) -> State:
-    state = copied(before)
+def state_after(before: State, step: str, number: int) -> State:
+    state = copy_state(before)
     process = state.processes[number]
-    match what:
-        case "time":
+    match step:
+        case "advance_time":
             state.now_s += STEP_S
             state.check()  # before any process has handled the tick
             for each in state.processes:
-                state.give(each, Tick())
-        case "take":
+                state.handle_event(each, Tick())
+        case "execute_call":
             call = process.calls.pop(0)
             process.answers.append(CallAnswered("d", call.call_id, state.backend(process.core.holder, call)))
-        case "lose":
+        case "lose_call":
             call = process.calls.pop(0)
             process.answers.append(CallAnswered("d", call.call_id, Unreachable("lost")))
-        case "tell":
-            state.give(process, process.answers.pop(0))
-        case "drop":
+        case "deliver_answer":
+            state.handle_event(process, process.answers.pop(0))
+        case "lose_answer":
             process.answers.pop(0)
     return state
 
 
 def search(rates: tuple[float, float], depth: int) -> int:
     """Tries every sequence of up to `depth` moves; returns the number of states. Raises AssertionError."""
-    first = State([Process(LeaseManager(f"p{n}", LOW), rate) for n, rate in enumerate(rates)])
+    first = State([Process(LeaseManager(f"p{n}", LOWEST_RANDOM), rate) for n, rate in enumerate(rates)])
     for process in first.processes:
-        first.give(process, DutiesConfigured((DUTY,)))
-    seen, waiting = {first.key()}, deque([(first, 0)])
-    while waiting:
-        state, steps = waiting.popleft()
+        first.handle_event(process, DutiesConfigured((DUTY,)))
+    visited, queue = {first.equivalence_key()}, deque([(first, 0)])
+    while queue:
+        state, steps = queue.popleft()
         if steps == depth:
             continue
-        for what, number in moves(state):
-            after = moved(state, what, number)
-            if (key := after.key()) not in seen:
-                seen.add(key)
-                waiting.append((after, steps + 1))
-    return len(seen)
+        for step, number in possible_steps(state):
+            next_state = state_after(state, step, number)
+            if (key := next_state.equivalence_key()) not in visited:
+                visited.add(key)
+                queue.append((next_state, steps + 1))
+    return len(visited)
 
 
 @pytest.mark.parametrize("rates", [(1.0, 1.0), (0.9, 1.0), (1.0, 0.86)])
@@ -192,7 +194,7 @@
         search((0.7, 1.0), 12)
 
 
-def begun(core: LeaseManager, now_s: float, token: int) -> None:
+def start_duty(core: LeaseManager, now_s: float, token: int) -> None:
     call = next(a for a in core.handle(now_s, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
     assert core.handle(now_s, CallAnswered("d", call.call_id, Granted(token)))[0] == DutyStarted("d", token)
 
@@ -201,23 +203,23 @@
     return [(a.verb, a.token) for a in actions if isinstance(a, BackendCall)]
 
 
-def test_a_process_that_wakes_up_after_expiry_does_not_act() -> None:
-    core = LeaseManager("p", LOW)
-    begun(core, 10.0, 7)
+def test_a_process_that_resumes_after_expiry_does_not_act() -> None:
+    core = LeaseManager("p", LOWEST_RANDOM)
+    start_duty(core, 10.0, 7)
     assert core.current_token(10.84, "d") == 7
     assert core.current_token(10.86, "d") is None  # expired, though no Tick has come
     assert DutyEnded("d", 7, "not renewed in time") in core.handle(12.0, Tick())
 
 
 def test_a_grant_that_arrives_too_late_is_released() -> None:
-    core = LeaseManager("p", LOW)
+    core = LeaseManager("p", LOWEST_RANDOM)
     call = next(a for a in core.handle(10.0, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
     actions = core.handle(10.9, CallAnswered("d", call.call_id, Granted(3)))
     assert calls_in(actions) == [("release", 3)] and core.current_token(10.9, "d") is None
 
 
 def test_a_grant_whose_answer_was_lost_is_released_and_acquired_again() -> None:
-    core = LeaseManager("p", LOW)
+    core = LeaseManager("p", LOWEST_RANDOM)
     call = next(a for a in core.handle(10.0, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
     core.handle(10.01, CallAnswered("d", call.call_id, Unreachable("reset")))
     again = next(a for a in core.handle(10.2, Tick()) if isinstance(a, BackendCall))
@@ -229,8 +231,8 @@
 
 def test_duties_removed_from_the_configuration_or_held_at_shutdown_are_released() -> None:
     for event in (DutiesConfigured(()), Shutdown()):
-        core = LeaseManager("p", LOW)
-        begun(core, 10.0, 7)
+        core = LeaseManager("p", LOWEST_RANDOM)
+        start_duty(core, 10.0, 7)
         actions = core.handle(10.1, event)
         assert isinstance(actions[0], DutyEnded) and calls_in(actions) == [("release", 7)]
         number = next(a.call_id for a in actions if isinstance(a, BackendCall))
@@ -239,7 +241,7 @@
 
 
 def test_a_contender_acquires_at_once_when_the_duty_is_freed() -> None:
-    core = LeaseManager("p", LOW)
+    core = LeaseManager("p", LOWEST_RANDOM)
     call = next(a for a in core.handle(10.0, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
     assert core.handle(10.0, CallAnswered("d", call.call_id, Held("other", 4, 0.9))) == []
     assert calls_in(core.handle(10.01, DutyFreed("d"))) == [("acquire", 0)]
--- a/tests/test_duties_parts.py
+++ b/tests/test_duties_parts.py
@@ -27,41 +27,41 @@
 VOTERS = {"a": "127.0.0.1:7101", "b": "127.0.0.1:7102", "c": "127.0.0.1:7103"}
 
 
-def founders(*with_journal: str) -> dict[str, Bootstrap]:
+def bootstraps(*with_journal: str) -> dict[str, Bootstrap]:
     return {
         name: Bootstrap(name, run_id, frozenset(VOTERS) - {name}, name in with_journal)
         for run_id, name in enumerate(VOTERS, 1)
     }
 
 
-def ask_all(asker: Bootstrap, others: dict[str, Bootstrap]) -> None:
-    for name in asker.others & others.keys():
-        asker.handle_answer(name, *others[name].answer(asker.name, asker.run_id))
+def query_all(querier: Bootstrap, others: dict[str, Bootstrap]) -> None:
+    for name in querier.others & others.keys():
+        querier.handle_answer(name, *others[name].answer(querier.name, querier.run_id))
 
 
-def test_voters_without_journals_found_a_log_once_all_have_said_so() -> None:
-    voters = founders()
-    ask_all(voters["a"], {"b": voters["b"]})
+def test_voters_without_journals_bootstrap_once_all_have_reported_none() -> None:
+    voters = bootstraps()
+    query_all(voters["a"], {"b": voters["b"]})
     assert not voters["a"].may_start  # c may have a log
-    ask_all(voters["a"], voters)
+    query_all(voters["a"], voters)
     assert voters["a"].may_start
-    ask_all(voters["c"], voters)  # later than the others, in the same bootstrap
+    query_all(voters["c"], voters)  # later than the others, in the same bootstrap
     assert voters["c"].may_start and not voters["c"].refusal
 
 
 def test_a_voter_whose_disk_was_lost_may_not_join() -> None:
-    voters = founders("a", "b")
-    ask_all(voters["c"], voters)
+    voters = bootstraps("a", "b")
+    query_all(voters["c"], voters)
     assert not voters["c"].may_start and "its votes may be lost" in voters["c"].refusal
     assert voters["a"].may_start  # it has a journal of its own
-    founded = founders()
+    founded = bootstraps()
     for each in founded.values():
-        ask_all(each, founded)
-    blank = Bootstrap(
+        query_all(each, founded)
+    restarted = Bootstrap(
         "c", 99, frozenset({"a", "b"}), False
     )  # c restarts with an empty disk while the others run on
-    ask_all(blank, founded)
-    assert not blank.may_start and blank.refusal
+    query_all(restarted, founded)
+    assert not restarted.may_start and restarted.refusal
     with pytest.raises(ValueError, match="x is no voter here"):
         founded["a"].answer("x", 1)
 
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "trusted", "says"),
+    ("raw", "trusted", "expected"),
     [
         (None, None, "no object"),
         ({}, None, "`named`"),
@@ -92,29 +92,29 @@
     ],
 )
 def test_an_invalid_duties_object_is_a_one_line_error_that_names_the_key(
-    raw: object, trusted: bool | None, says: str
+    raw: object, trusted: bool | None, expected: str
 ) -> None:
     with pytest.raises(ConfigError) as error:
         parse_duties(raw, "a", trusted)
     line = str(error.value)
-    assert line.startswith("duties") and says in line and "\n" not in line
+    assert line.startswith("duties") and expected in line and "\n" not in line
 
 
-def test_all_but_the_newest_files_moved_aside_are_removed(tmp_path: Path) -> None:
+def test_all_but_the_newest_corrupt_files_are_removed(tmp_path: Path) -> None:
     for moment in (100, 200, 300, 1000):
         for suffix in ("", "-wal"):
             (tmp_path / f"cloverkeel.db.corrupt-{moment}{suffix}").touch()
     (tmp_path / "cloverkeel.db").touch()
     assert remove_old_corrupt_files(str(tmp_path)) == 2 and remove_old_corrupt_files(str(tmp_path)) == 0
-    left = sorted(path.name for path in tmp_path.iterdir())
-    assert len(left) == 7 and not any("corrupt-100" in name and "1000" not in name for name in left)
+    remaining = sorted(path.name for path in tmp_path.iterdir())
+    assert len(remaining) == 7 and not any("corrupt-100" in name and "1000" not in name for name in remaining)
 
 
 def test_the_command_shows_and_releases_the_leases_of_a_state_directory(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    where = ["--state-dir", str(tmp_path)]
-    assert run(["duties", *where]) == 1
+    state_dir_arguments = ["--state-dir", str(tmp_path)]
+    assert run(["duties", *state_dir_arguments]) == 1
     assert capsys.readouterr().err.count("\n") == 1
     create_state_file(tmp_path)
     duty = Duty("chore", ttl_s=0.0)  # a new file grants nothing for one TTL
@@ -122,15 +122,15 @@
     backend = LocalBackend(str(tmp_path), "g1/1f")
     first = backend.call(BackendCall(duty, "acquire", 1))
     assert isinstance(first, Granted)
-    assert run(["duties", *where, "--json"]) == 0
+    assert run(["duties", *state_dir_arguments, "--json"]) == 0
     assert json.loads(capsys.readouterr().out) == {
         "duties": [{"duty": "chore", "holder": "", "token": first.token, "left_s": 0.0}]
     }
     backend.call(BackendCall(held, "renew", 2, first.token))
-    assert run(["duties", "release", "chore", *where]) == 0
+    assert run(["duties", "release", "chore", *state_dir_arguments]) == 0
     released = int(capsys.readouterr().out.split()[-1])
     assert released > first.token
-    assert run(["duties", "release", "other", *where]) == 1
+    assert run(["duties", "release", "other", *state_dir_arguments]) == 1
     assert "nobody has ever held a duty 'other'" in capsys.readouterr().err
     with pytest.raises(SystemExit):
         run(["duties", "release"])
--- a/tests/test_duties_process.py
+++ b/tests/test_duties_process.py
@@ -15,13 +15,18 @@
 from tests.test_membership_process import CLUSTER, read
 
 
-async def holder(operator: int, duty: str, *but: str) -> tuple[str, int]:
+async def holder(operator: int, duty: str, *excluded: str) -> tuple[str, int]:
     """Waits until a process other than `but` holds the duty; returns its name and the token."""
     while True:
         with contextlib.suppress(AssertionError):  # not started yet
             for row in json.loads(await read(operator, b"duties"))["duties"]:
                 name = row["holder"].partition("/")[0]
-                if row["duty"] == duty and row["holder"] and row["holder"] not in but and name not in but:
+                if (
+                    row["duty"] == duty
+                    and row["holder"]
+                    and row["holder"] not in excluded
+                    and name not in excluded
+                ):
                     return row["holder"], row["token"]
         await asyncio.sleep(0.02)
 
@@ -42,8 +47,8 @@
         with listening() as held:
             async with program(tmp_path / "g1", config, ports[0], held) as (old, _):
                 first, token = await holder(ports[0], "state-compaction")
-                figures = (await read(ports[0], b"telemetry")).decode().splitlines()
-                assert "lb_duties_held 1" in figures and "lb_duties_begun_total 1" in figures
+                metrics = (await read(ports[0], b"telemetry")).decode().splitlines()
+                assert "lb_duties_held 1" in metrics and "lb_duties_begun_total 1" in metrics
                 async with program(tmp_path / "g1", config, ports[1], held) as (new, _):
                     assert await holder(ports[1], "state-compaction") == (first, token)
                     old.send_signal(signal.SIGTERM)
@@ -61,7 +66,7 @@
 
 
 @on_loop
-async def test_three_gateways_hold_a_duty_by_quorum_and_it_passes_on_from_one_that_is_killed(
+async def test_a_duty_with_a_quorum_of_three_moves_to_another_gateway_when_its_holder_is_killed(
     tmp_path: Path,
 ) -> None:
     names = ("g1", "g2", "g3")
@@ -79,6 +84,6 @@
         killed = first.partition("/")[0]
         assert [await holder(ports[name], "state-compaction") for name in names] == [(first, token)] * 3
         processes[killed].kill()
-        left = next(name for name in names if name != killed)
-        second, higher = await holder(ports[left], "state-compaction", killed)
+        remaining = next(name for name in names if name != killed)
+        second, higher = await holder(ports[remaining], "state-compaction", killed)
         assert higher > token and second.partition("/")[0] in set(names) - {killed}
--- a/tests/test_ledger_core.py
+++ b/tests/test_ledger_core.py
@@ -55,9 +55,9 @@
     return [action for action in actions if isinstance(action, kind)]
 
 
-def write(core: Ledger, payload: bytes, context: Context | None = None, **more: object) -> list[Action]:
-    under = core.read(*KEY)[1] if context is None else context
-    return run(core, Write("w", *KEY, payload, under, **more))  # type: ignore[arg-type]
+def write(core: Ledger, payload: bytes, context: Context | None = None, **options: object) -> list[Action]:
+    base_context = core.read(*KEY)[1] if context is None else context
+    return run(core, Write("w", *KEY, payload, base_context, **options))  # type: ignore[arg-type]
 
 
 def payloads(core: Ledger) -> list[bytes | None]:
@@ -196,9 +196,9 @@
     run(other, ViewChanged(("a",)))
     (sent,) = of_type(Send, write(other, b"small", wait=Level.ALL))
     assert isinstance(sent.message, Heads) and sent.message.payloads == (b"small",)
-    false = Heads(sent.message.records, payloads=(b"!mall",))
+    mismatched = Heads(sent.message.records, payloads=(b"!mall",))
     sha256 = sent.message.records[0].sha256
-    assert of_type(Send, run(core, MessageReceived("b", false))) == [
+    assert of_type(Send, run(core, MessageReceived("b", mismatched))) == [
         Send("b", Fetch(sha256, 0, 5))
     ] and not payloads(core)
     run(core, MessageReceived("b", sent.message))  # while it is fetched
@@ -229,7 +229,7 @@
     assert sorted(forwarded_to) == ["b", "c", "d"]
 
 
-def test_a_member_that_floods_fills_its_own_share_only() -> None:
+def test_a_member_that_writes_too_much_uses_up_only_its_own_limit() -> None:
     core = ledger(limits=Limits(records=10, writer_records=3))
     run(core, ViewChanged(("b", "c")))
     for writer, count in (("b", 8), ("c", 2)):
@@ -248,7 +248,7 @@
 
 
 @pytest.mark.parametrize(
-    ("event", "why"),
+    ("event", "expected"),
     [
         (Write("w", "kind", "", b"", Context()), "a key must have"),
         (Write("w", *KEY, bytes(256 * 1024 + 1), Context()), "a payload has up to"),
@@ -256,9 +256,9 @@
         (Delete("w", *KEY, Context()), "nothing to delete"),
     ],
 )
-def test_an_invalid_write_is_refused_with_its_reason(event: Event, why: str) -> None:
+def test_an_invalid_write_is_refused_with_its_reason(event: Event, expected: str) -> None:
     (refused,) = of_type(Refused, run(ledger(), event))
-    assert why in refused.reason
+    assert expected in refused.reason
 
 
 def test_a_deleted_record_does_not_return_after_its_tombstone_is_collected() -> None:
@@ -279,7 +279,7 @@
     assert payloads(core) == [] and not core.intake.fetches.transfers
 
 
-def rows(count: int) -> list[Put]:
+def distinct_records(count: int) -> list[Put]:
     """Records of ten writers, each with a payload of its own."""
     puts = []
     for n in range(count):
@@ -291,7 +291,7 @@
     return puts
 
 
-def pair(first: list[Put], second: list[Put]) -> LedgerCluster:
+def two_members(first: list[Put], second: list[Put]) -> LedgerCluster:
     """A cluster of two members with these records on disk."""
     cluster = LedgerCluster(1, 2, TICK_S)
     for member, puts in zip(cluster.members.values(), (first, second), strict=True):
@@ -305,18 +305,18 @@
 
 
 def test_one_change_among_10_000_records_costs_at_most_64_kib() -> None:
-    every = rows(10_000)
-    cluster = pair(every, every[1:])
+    records = distinct_records(10_000)
+    cluster = two_members(records, records[1:])
     assert cluster.run(30.0, cluster.agreed) and not cluster.reference.violations
     assert cluster.sent_bytes <= 64 * 1024
 
 
-def test_a_newcomer_gets_10_000_records() -> None:
-    cluster = pair(rows(10_000), [])
+def test_a_new_member_receives_10_000_records() -> None:
+    cluster = two_members(distinct_records(10_000), [])
     next(iter(cluster.members.values())).core.settling.settled = True  # type: ignore[union-attr]
     assert cluster.run(60.0, cluster.agreed) and not cluster.reference.violations
 
 
 @pytest.mark.parametrize("seed", range(15))
-def test_no_invariant_breaks_in_a_random_history(seed: int) -> None:
+def test_a_random_history_keeps_the_invariants(seed: int) -> None:
     assert play(seed).violations == []
--- a/tests/test_ledger_merge.py
+++ b/tests/test_ledger_merge.py
@@ -14,11 +14,11 @@
 
 dots = st.builds(Dot, st.sampled_from("abc"), st.integers(1, 2), st.integers(1, 12))
 sets = st.frozensets(dots, max_size=30)
-EVERY = [Dot(m, i, c) for m in "abc" for i in (1, 2) for c in range(1, 13)]
+ALL_DOTS = [Dot(m, i, c) for m in "abc" for i in (1, 2) for c in range(1, 13)]
 
 
-def held(context: Context) -> frozenset[Dot]:
-    return frozenset(dot for dot in EVERY if context.covers(dot))
+def covered_dots(context: Context) -> frozenset[Dot]:
+    return frozenset(dot for dot in ALL_DOTS if context.covers(dot))
 
 
 @given(sets, sets, dots)
@@ -26,12 +26,15 @@
     a: frozenset[Dot], b: frozenset[Dot], dot: Dot
 ) -> None:
     first, second = Context().add(a), Context().add(sorted(b))
-    assert held(first) == a and first.invalid_reason() is None
+    assert covered_dots(first) == a and first.invalid_reason() is None
     assert first.merge(second) == second.merge(first) == Context().add(a | b).merge(first)
-    assert held(first.merge(second)) == a | b
+    assert covered_dots(first.merge(second)) == a | b
     assert first.includes(second) == (b <= a)
-    assert held(first.without(dot)) == a - {dot}
-    assert held(first.intersection(second)) == a & b and first.intersection(second).invalid_reason() is None
+    assert covered_dots(first.without(dot)) == a - {dot}
+    assert (
+        covered_dots(first.intersection(second)) == a & b
+        and first.intersection(second).invalid_reason() is None
+    )
     message = Digest(b"root", first, settled=True)
     assert decode(encode(message)) == message
 
@@ -50,12 +53,14 @@
 def test_siblings_do_not_depend_on_order_grouping_or_repetition(writes: int, rng: random.Random) -> None:
     records = history(rng, writes)
     a, b, c = (rng.sample(records, rng.randint(0, len(records))) for _ in range(3))
-    whole = siblings((*a, *b, *c))
+    expected = siblings((*a, *b, *c))
     assert (
-        siblings((*siblings((*a, *b)), *c)) == whole == siblings((*siblings((*c, *a)), *siblings((*b, *a))))
+        siblings((*siblings((*a, *b)), *c))
+        == expected
+        == siblings((*siblings((*c, *a)), *siblings((*b, *a))))
     )
     for record in (*a, *b, *c):  # a record is dropped only if another one covers it
-        assert record in whole or any(other.covers(record) for other in (*a, *b, *c))
+        assert record in expected or any(other.covers(record) for other in (*a, *b, *c))
 
 
 @pytest.mark.parametrize(
--- a/tests/test_ledger_shell.py
+++ b/tests/test_ledger_shell.py
@@ -87,11 +87,11 @@
         answer = await second.write("kind", "other", b"x", Context(), Level.ALL, 0.3)
         assert isinstance(answer, NotConfirmed) and "m2" in answer.reason
 
-        again = await member("m2", first.membership.address, bind=third.membership.address)
-        services[2] = await service(again, tmp_path / "m2")
+        restarted = await member("m2", first.membership.address, bind=third.membership.address)
+        services[2] = await service(restarted, tmp_path / "m2")
         await until(lambda: payloads(services[2]) == [b"kept"])
         await services[2].close()
-        again.close()
+        restarted.close()
         with pytest.raises(WriteRefused, match="closed"):
             await services[2].write(*KEY, b"", Context())
 
--- a/tests/test_ledger_store.py
+++ b/tests/test_ledger_store.py
@@ -32,9 +32,9 @@
 
 
 def put(counter: int, payload: bytes | None) -> Put:
-    named = (b"", 0) if payload is None else (payload_hash(payload), len(payload))
+    hash_and_size = (b"", 0) if payload is None else (payload_hash(payload), len(payload))
     dot = Dot("a", 2**62 - 1, counter)
-    return Put(Record("k", f"key{counter}", *named, dot, Context(), payload is None), payload or b"")
+    return Put(Record("k", f"key{counter}", *hash_and_size, dot, Context(), payload is None), payload or b"")
 
 
 def batch(puts: list[Put], *drops: int) -> Persist:
@@ -70,7 +70,7 @@
 
 
 @pytest.mark.parametrize(
-    ("damage", "left", "covered", "finding"),
+    ("damage", "remaining", "covered", "finding"),
     [
         ("UPDATE ledger_payload SET payload = x'00' WHERE payload = x'79'", [1, 3], [1, 3], "SHA-256"),
         ("DELETE FROM ledger_payload WHERE payload = x'79'", [1, 3], [1, 3], "SHA-256"),
@@ -79,7 +79,7 @@
     ],
 )
 def test_damaged_rows_are_dropped_and_may_be_fetched_again(
-    directory: str, damage: str, left: list[int], covered: list[int], finding: str
+    directory: str, damage: str, remaining: list[int], covered: list[int], finding: str
 ) -> None:
     store = Store(directory)
     store_id = store.load().store_id
@@ -87,7 +87,7 @@
     assert store.load().store_id == store_id > 0
     store.close()
     store, counters, context, findings = reopened(directory, damage)
-    assert counters == left
+    assert counters == remaining
     assert context == Context().add(Dot("a", 2**62 - 1, n) for n in covered)
     assert finding in findings[0]
     assert store.load().store_id not in (0, store_id)  # promises may rest on the lost record
@@ -106,16 +106,16 @@
 
 def test_a_batch_that_fails_is_reported_and_writes_nothing(directory: str) -> None:
     store = Store(directory)
-    told: queue.Queue[Persisted | PersistFailed] = queue.Queue()
-    writer = Writer(store, told.put)
+    results: queue.Queue[Persisted | PersistFailed] = queue.Queue()
+    writer = Writer(store, results.put)
     pages = store.connection.execute("PRAGMA page_count").fetchone()[0]
     store.connection.execute(f"PRAGMA max_page_count = {pages + 1}")  # acts as a full disk
     writer.write(batch([put(1, b"x"), put(2, bytes(256 * 1024))]))
-    failed = told.get(timeout=10)
+    failed = results.get(timeout=10)
     assert isinstance(failed, PersistFailed) and "full" in failed.reason
     store.connection.execute("PRAGMA max_page_count = 100000")
     writer.write(batch([put(3, b"z")]))
-    assert told.get(timeout=10) == Persisted(1)
+    assert results.get(timeout=10) == Persisted(1)
     writer.close(10)
     assert reopened(directory)[1] == [3]
 
--- a/tests/test_list_answers.py
+++ b/tests/test_list_answers.py
@@ -23,10 +23,10 @@
     silent,
     until,
 )
-from tests.test_list_update_delay import BODY, FRESH, WHOLE, reset
+from tests.test_list_update_delay import BODY, FRESH, FULL_REPLY, reset
 
 CHUNKS = b"".join(b"%x;note=1\r\n%b\r\n" % (len(part), part) for part in (BODY[:7], BODY[7:])) + b"0\r\n\r\n"
-FORMS = {
+FRAMINGS = {
     "lower case": b"HTTP/1.1 200 OK\r\ncontent-length:%d\r\n\r\n" % len(BODY) + BODY,
     "chunked": b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n" + CHUNKS,
     "ended by close": b"HTTP/1.1 200 OK\r\n\r\n" + BODY,
@@ -34,19 +34,19 @@
 }
 
 
-@pytest.mark.parametrize("form", FORMS)
+@pytest.mark.parametrize("framing", FRAMINGS)
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
 @on_loop
-async def test_a_list_is_read_in_every_http_framing(form: str, mode: str) -> None:
+async def test_a_list_is_read_in_every_http_framing(framing: str, mode: str) -> None:
     """An answer that ended with the connection was treated as a failed call."""
 
     async def in_pieces(exchange: Exchange) -> None:
         if registry.seen[1:]:
             return  # a watch: no answer
-        for byte in FORMS[form]:
+        for byte in FRAMINGS[framing]:
             exchange.writer.write(bytes([byte]))
             await asyncio.sleep(0)
-        if form.endswith("close"):
+        if framing.endswith("close"):
             exchange.writer.write_eof()
 
     async with peer(in_pieces) as registry:
@@ -59,14 +59,14 @@
             assert sum("from=7" in exchange.message.first for exchange in registry.seen) == 1
 
 
-@pytest.mark.parametrize("form", ["ended by close", "old, ended by close"])
+@pytest.mark.parametrize("framing", ["ended by close", "old, ended by close"])
 @on_loop
-async def test_a_reset_does_not_complete_an_answer(form: str) -> None:
+async def test_a_reset_does_not_complete_an_answer(framing: str) -> None:
     """A reset may hide the end of an answer that looks complete, so the call has to fail."""
 
     def script(exchange: Exchange) -> None:
         if len(registry.seen) == 1:
-            exchange.answer(FORMS[form])
+            exchange.answer(FRAMINGS[framing])
             reset(exchange)
 
     async with (
@@ -79,12 +79,12 @@
 
 
 def requested_from(exchange: Exchange) -> str:
-    """Return the index from which the call asks for a delta, or "whole" for the full list."""
-    return exchange.message.first.partition("from=")[2].partition("&")[0] or "whole"
+    """Return the index from which the call asks for a delta, or "full" for the full list."""
+    return exchange.message.first.partition("from=")[2].partition("&")[0] or "full"
 
 
 @pytest.mark.parametrize(
-    ("late", "goes_on_from"),
+    ("late_answer", "next_from"),
     [
         (list_reply(9, endpoint("s-1", "127.0.0.1:1"), snapshot=False), "12"),  # from 7, but 12 is held
         (list_reply(9, endpoint("s-1", "127.0.0.1:1")), "12"),
@@ -93,12 +93,12 @@
     ids=["older change", "older list", "newer change"],
 )
 @on_loop
-async def test_a_late_answer_never_restores_an_older_list(late: bytes, goes_on_from: str) -> None:
+async def test_a_late_answer_never_restores_an_older_list(late_answer: bytes, next_from: str) -> None:
     """A late answer of the watch replaced a newer full list, fetched meanwhile: deleted servers came back,
     and the watch went on from the older index, so that changes were lost."""
 
     def script(exchange: Exchange) -> None:
-        if requested_from(exchange) == "whole":
+        if requested_from(exchange) == "full":
             exchange.answer(list_reply(12, FRESH))
 
     async with (
@@ -108,11 +108,11 @@
         await until(lambda: registry.seen)  # the watch, from 7
         run.gateway.discovery.fetch()
         await until(lambda: host_id(3) in run.gateway.pools.hosts)
-        registry.seen[0].answer(late)
+        registry.seen[0].answer(late_answer)
         await until(lambda: len(registry.seen) == 3)
-        assert requested_from(registry.seen[2]) == goes_on_from
+        assert requested_from(registry.seen[2]) == next_from
         assert host_id(1) not in run.gateway.pools.hosts
-        assert (host_id(3) in run.gateway.pools.hosts) == (goes_on_from == "12")
+        assert (host_id(3) in run.gateway.pools.hosts) == (next_from == "12")
 
 
 @on_loop
@@ -122,9 +122,9 @@
 
     def script(exchange: Exchange) -> None:
         if requested_from(exchange) == "7":
-            drains = endpoint("s-1", "127.0.0.1:1", status="DRAINING")
-            exchange.answer(list_reply(3, drains, snapshot=False))
-        elif requested_from(exchange) == "whole":
+            draining_entry = endpoint("s-1", "127.0.0.1:1", status="DRAINING")
+            exchange.answer(list_reply(3, draining_entry, snapshot=False))
+        elif requested_from(exchange) == "full":
             exchange.answer(list_reply(3, FRESH))
 
     async with (
@@ -132,7 +132,7 @@
         running(configuration("127.0.0.1:1", "127.0.0.1:2", discovery=registry.address)) as run,
     ):
         await until(lambda: len(registry.seen) == 3)
-        assert [requested_from(exchange) for exchange in registry.seen] == ["7", "whole", "3"]
+        assert [requested_from(exchange) for exchange in registry.seen] == ["7", "full", "3"]
         assert set(run.gateway.pools.hosts) == {host_id(3)}
 
 
@@ -144,7 +144,7 @@
 
     def script(exchange: Exchange) -> None:
         if len(registry.seen) == 1:
-            exchange.answer(WHOLE)
+            exchange.answer(FULL_REPLY)
             time.sleep(CALL_TIMEOUT_S + 0.05)  # blocks the loop, so that it sees answer and timeout at once
 
     async with peer(script) as registry:
@@ -158,17 +158,19 @@
             assert registry.opened == 1
 
 
-@pytest.mark.parametrize("whole", [True, False])
+@pytest.mark.parametrize("is_full_list", [True, False])
 @pytest.mark.parametrize(
-    "odd",
+    "invalid_fields",
     [{"weight": 0}, {"address": "nowhere"}, {"address": None, "status": "DELETED"}, {"since_ms": "long ago"}],
 )
 @on_loop
-async def test_a_drain_is_read_from_an_otherwise_unusable_entry(odd: dict[str, object], whole: bool) -> None:
+async def test_a_drain_is_read_from_an_otherwise_unusable_entry(
+    invalid_fields: dict[str, object], is_full_list: bool
+) -> None:
     """The entry was skipped as unusable, and after a delta the host stayed in use."""
-    entry = endpoint("s-0", "127.0.0.1:1", status="DRAINING") | odd
+    entry = endpoint("s-0", "127.0.0.1:1", status="DRAINING") | invalid_fields
     async with (
-        peer(answers(list_reply(9, entry, FRESH, snapshot=whole))) as registry,
+        peer(answers(list_reply(9, entry, FRESH, snapshot=is_full_list))) as registry,
         running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
         await until(lambda: host_id(3) in run.gateway.pools.hosts)
@@ -185,10 +187,10 @@
 
     def read_then_move(call: DiscoveryConnection, data: bytes) -> None:
         read(call, data)
-        if is_read and data == late:
+        if is_read and data == late_answer:
             run.gateway.discovery.change_address(parse_address(new.address, "discovery"))
 
-    read, late = DiscoveryConnection.data_received, list_reply(99, endpoint("s-1", "127.0.0.1:1"))
+    read, late_answer = DiscoveryConnection.data_received, list_reply(99, endpoint("s-1", "127.0.0.1:1"))
     monkeypatch.setattr(DiscoveryConnection, "data_received", read_then_move)
     async with (
         peer(silent) as old,
@@ -196,11 +198,11 @@
         running(configuration("127.0.0.1:1", discovery=old.address)) as run,
     ):
         await until(lambda: old.seen)
-        old.seen[0].answer(late)
+        old.seen[0].answer(late_answer)
         if not is_read:
             run.gateway.discovery.change_address(parse_address(new.address, "discovery"))
         await until(lambda: new.seen)
-        assert requested_from(new.seen[0]) == "whole" and run.gateway.discovery.index is None
+        assert requested_from(new.seen[0]) == "full" and run.gateway.discovery.index is None
         new.seen[0].answer(list_reply(3, FRESH))
         await until(lambda: len(new.seen) == 2)
         assert requested_from(new.seen[1]) == "3" and set(run.gateway.pools.hosts) == {host_id(3)}
--- a/tests/test_list_sharing.py
+++ b/tests/test_list_sharing.py
@@ -29,85 +29,87 @@
 
 @on_loop
 async def test_only_relays_call_the_service_and_a_change_reaches_all() -> None:
-    async with site("s-1", "s-2") as made:
+    async with site("s-1", "s-2") as cluster:
         for name in NAMES:  # the others have no reachable list service
-            await made.add(name, "" if name in RELAYS else NOWHERE, relays=2)
-        await made.all_have("s-1", "s-2")
-        made.registry.change("s-2", "DRAINING")
-        await until(lambda: all(node.index == 101 for node in made.nodes.values()))
-        draining = [node.gateway.listed_hosts[min(node.gateway.listed_hosts)] for node in made.nodes.values()]
+            await cluster.add(name, "" if name in RELAYS else NOWHERE, relays=2)
+        await cluster.wait_for_hosts("s-1", "s-2")
+        cluster.registry.change("s-2", "DRAINING")
+        await until(lambda: all(node.index == 101 for node in cluster.nodes.values()))
+        draining = [
+            node.gateway.listed_hosts[min(node.gateway.listed_hosts)] for node in cluster.nodes.values()
+        ]
         assert all(raw == draining[0] for raw in draining)
-        for name, node in made.nodes.items():
+        for name, node in cluster.nodes.items():
             assert (node.count("list_service_calls_total") > 0) <= (name in RELAYS)
-        nodes = made.nodes.values()
+        nodes = cluster.nodes.values()
         await until(lambda: all(proxy_count(node.gateway.balancer) == len(NAMES) for node in nodes))
         assert all({row["name"] for row in node.rows if row["relay"]} == set(RELAYS) for node in nodes)
 
 
 @on_loop
 async def test_updates_continue_after_the_service_restarts_with_a_lower_index() -> None:
-    async with site("s-1", "s-2") as made:
+    async with site("s-1", "s-2") as cluster:
         for name in NAMES:
-            await made.add(name, relays=2)
-        await made.all_have("s-1", "s-2")
-        made.registry.restart(3, "s-2", "s-3")
-        await made.all_have("s-2", "s-3")
-        made.registry.change("s-3", "DELETED")
-        await made.all_have("s-2")
-        assert {node.index for node in made.nodes.values()} == {4}
+            await cluster.add(name, relays=2)
+        await cluster.wait_for_hosts("s-1", "s-2")
+        cluster.registry.restart(3, "s-2", "s-3")
+        await cluster.wait_for_hosts("s-2", "s-3")
+        cluster.registry.change("s-3", "DELETED")
+        await cluster.wait_for_hosts("s-2")
+        assert {node.index for node in cluster.nodes.values()} == {4}
 
 
 @on_loop
 async def test_an_unconfirmed_list_is_used_until_a_member_sends_a_newer_one() -> None:
     old = {"index": 900, "snapshot": True, "endpoints": [Registry.entry("s-old")]}
-    async with site("s-1") as made:
-        await made.add("g0")
-        await made.all_have("s-1")
-        made.registry.up = False  # only members can provide the list
-        late = await made.add("g1", known=old)
-        await made.all_have("s-1")
-        assert late.index == 100 and made.nodes["g0"].hosts == {"s-1"}
+    async with site("s-1") as cluster:
+        await cluster.add("g0")
+        await cluster.wait_for_hosts("s-1")
+        cluster.registry.up = False  # only members can provide the list
+        newcomer = await cluster.add("g1", known=old)
+        await cluster.wait_for_hosts("s-1")
+        assert newcomer.index == 100 and cluster.nodes["g0"].hosts == {"s-1"}
 
 
 @on_loop
 async def test_full_members_refer_subscribers_to_their_followers() -> None:
-    async with site("s-1", "s-2") as made:
+    async with site("s-1", "s-2") as cluster:
         names = [f"g{n}" for n in range(7)]
         relays = choose_relays("site", [Peer(name, "a") for name in names], 1)
         for name in names:
-            node = await made.add(name, "" if name in relays else NOWHERE, relays=1)
+            node = await cluster.add(name, "" if name in relays else NOWHERE, relays=1)
             assert node.fleet.sharing is not None
             node.fleet.sharing.followers.limit = 2
-        await made.all_have("s-1", "s-2")
-        made.registry.change("s-2", "DELETED")
-        await made.all_have("s-1")
-        counts = [node.fleet.gauges()["list_followers"] for node in made.nodes.values()]
+        await cluster.wait_for_hosts("s-1", "s-2")
+        cluster.registry.change("s-2", "DELETED")
+        await cluster.wait_for_hosts("s-1")
+        counts = [node.fleet.gauges()["list_followers"] for node in cluster.nodes.values()]
         assert max(counts) <= 2 and sum(count > 0 for count in counts) > 1
 
 
 @on_loop
-async def test_with_pushed_lists_members_help_at_startup_and_each_keeps_its_own_watch() -> None:
-    async with site("s-1") as made:
-        await made.add("g0", mode="pushed")
-        await made.all_have("s-1")
-        made.registry.up = False
-        late = await made.add("g1", mode="pushed")
-        await made.all_have("s-1")
-        assert late.fleet.gauges()["list_feeds"] == 0
-        made.registry.up = True
-        made.registry.change("s-2", "SERVING")
-        await made.all_have("s-1", "s-2")
-        assert late.count("lists_from_service_total") == late.count("lists_from_peers_total") == 1
+async def test_with_pushed_lists_members_share_the_list_at_startup_and_each_keeps_its_own_watch() -> None:
+    async with site("s-1") as cluster:
+        await cluster.add("g0", mode="pushed")
+        await cluster.wait_for_hosts("s-1")
+        cluster.registry.up = False
+        newcomer = await cluster.add("g1", mode="pushed")
+        await cluster.wait_for_hosts("s-1")
+        assert newcomer.fleet.gauges()["list_feeds"] == 0
+        cluster.registry.up = True
+        cluster.registry.change("s-2", "SERVING")
+        await cluster.wait_for_hosts("s-1", "s-2")
+        assert newcomer.count("lists_from_service_total") == newcomer.count("lists_from_peers_total") == 1
 
 
 @on_loop
-async def test_lists_are_shared_only_where_the_cluster_settings_say_so() -> None:
-    async with site("s-1") as made:
+async def test_lists_are_shared_only_if_the_cluster_settings_enable_it() -> None:
+    async with site("s-1") as cluster:
         for name in NAMES[:2]:
-            await made.add(name, lists=False)
-        await made.all_have("s-1")
-        assert all(node.gateway.lists is node.gateway.discovery for node in made.nodes.values())
-        assert not any(row["relay"] for node in made.nodes.values() for row in node.rows)
+            await cluster.add(name, lists=False)
+        await cluster.wait_for_hosts("s-1")
+        assert all(node.gateway.lists is node.gateway.discovery for node in cluster.nodes.values())
+        assert not any(row["relay"] for node in cluster.nodes.values() for row in node.rows)
 
 
 def listing(version: ListVersion, *entries: dict[str, Any]) -> dict[str, Any]:
@@ -134,9 +136,9 @@
 async def test_unusable_answers_of_the_service_fail_the_watch_instead_of_a_busy_loop() -> None:
     ingest, callbacks = fresh_ingest()
     assert ingest.call_started() == (None, True)
-    for raw, whole, error in ((-1, True, ValueError), (2**60, True, ValueError), (5, False, CallError)):
+    for raw, is_full, error in ((-1, True, ValueError), (2**60, True, ValueError), (5, False, CallError)):
         with pytest.raises(error):
-            ingest.call_answered(ingest.call_started(), {}, raw, whole, [])
+            ingest.call_answered(ingest.call_started(), {}, raw, is_full, [])
     assert not callbacks
     ingest.apply_from_peer(decode(listing(ListVersion(7, 500), Registry.entry("s-x"))))
     with pytest.raises(CallError, match="epoch is 3"):
@@ -184,14 +186,14 @@
 
 
 async def check_set_aside(body: object, frame_bytes: int = 4 * 1024 * 1024) -> None:
-    async with site("s-1") as made:
+    async with site("s-1") as cluster:
         settings = ClusterSettings(name="site", bind="127.0.0.1:0")
         bad = Membership(settings, "g0", "a", 1)
         bad.calls = Calls("site", "g0", frame_bytes)
         with invalid_member(bad.calls, body):
             await bad.start()
-            made.nodes["g0"] = bad  # type: ignore[assignment]  # the seed
-            node = Node("g1", made.service.address, [bad.address])
+            cluster.nodes["g0"] = bad  # type: ignore[assignment]  # the seed
+            node = Node("g1", cluster.service.address, [bad.address])
             try:
                 await node.start()
                 await until(lambda: node.hosts == {"s-1"} and node.count("peers_set_aside_total") > 0)
@@ -199,7 +201,7 @@
             finally:
                 node.close()
                 bad.close()
-                del made.nodes["g0"]
+                del cluster.nodes["g0"]
 
 
 @on_loop
@@ -210,8 +212,8 @@
 
 @on_loop
 async def test_a_feed_dropped_before_it_was_opened_is_never_opened() -> None:
-    async with site("s-1") as made:
-        node = await made.add("g0")
+    async with site("s-1") as cluster:
+        node = await cluster.add("g0")
         assert node.fleet.sharing is not None
         connections = node.fleet.sharing.connections
         opening = connections.open(Peer("g1", "a", node.address), None)
@@ -222,13 +224,13 @@
 
 @on_loop
 async def test_an_older_list_from_a_member_changes_nothing() -> None:
-    async with site("s-1") as made:
-        await made.add("g0")
-        await made.all_have("s-1")
+    async with site("s-1") as cluster:
+        await cluster.add("g0")
+        await cluster.wait_for_hosts("s-1")
         calls = Calls("site", "g9")
         old = listing(ListVersion(0, 50), Registry.entry("s-old"))
         with invalid_member(calls, old):
-            node = made.nodes["g0"]
+            node = cluster.nodes["g0"]
             sharing = node.fleet.sharing
             assert sharing is not None
             sharing._receive_list("g9", old)
@@ -240,18 +242,18 @@
 
 
 @on_loop
-async def test_a_cold_gateway_starts_with_what_its_neighbours_learned() -> None:
-    async with site("s-1", "s-2") as made:
+async def test_a_cold_gateway_starts_with_the_learned_state_of_its_neighbours() -> None:
+    async with site("s-1", "s-2") as cluster:
         for name in NAMES[:3]:
-            node = await made.add(name)
+            node = await cluster.add(name)
             assert node.fleet.neighbours is not None
             node.fleet.neighbours.started_s -= 60.0  # it has run long enough to share its learned state
-        await made.all_have("s-1", "s-2")
-        for node in made.nodes.values():
+        await cluster.wait_for_hosts("s-1", "s-2")
+        for node in cluster.nodes.values():
             for server in node.gateway.balancer.servers.values():
                 server.weight = 0.25
         begun_s = time.monotonic()
-        cold = await made.add("g3")
+        cold = await cluster.add("g3")
         assert time.monotonic() - begun_s < 0.3 + 1.0  # the wait for members, and 1 s for a loaded machine
         await until(lambda: cold.hosts == {"s-1", "s-2"})
         await until(lambda: {s.weight for s in cold.gateway.balancer.servers.values()} == {0.25})
--- a/tests/test_list_source_selector.py
+++ b/tests/test_list_source_selector.py
@@ -30,10 +30,10 @@
 from tests.fleet_sim import Site
 
 
-def mass_start(site: Site, count: int) -> None:
+def start_many(site: Site, count: int) -> None:
     """Start members at random moments within one second."""
     for number in range(count):
-        site.after(site.rng.random(), partial(site.start, f"g{number}"))
+        site.call_later(site.rng.random(), partial(site.start, f"g{number}"))
 
 
 def assert_steady_state(site: Site) -> None:
@@ -50,13 +50,13 @@
 
 
 @pytest.mark.parametrize(("count", "limit"), [(50, 32), (100, 32), (200, 32), (400, 16)])
-def test_hundreds_that_start_within_a_second_call_the_service_a_few_times(count: int, limit: int) -> None:
+def test_hundreds_that_start_within_a_second_make_few_calls_to_the_service(count: int, limit: int) -> None:
     site = Site(count, limit)
-    mass_start(site, count)
+    start_many(site, count)
     site.run(10.0)
     assert_steady_state(site)
     assert len(site.calls) <= 8
-    site.change()
+    site.change_list()
     site.run(0.05)
     assert all(node.index == site.index for node in site.nodes.values())
 
@@ -66,7 +66,7 @@
     """Each member that ranked first among those seen so far started a watch: 3 to 12 of 400 did."""
     site = Site(seed, 16)
     for number in range(400):
-        site.after(site.rng.random() * 8.0, partial(site.start, f"g{number}"))
+        site.call_later(site.rng.random() * 8.0, partial(site.start, f"g{number}"))
     site.run(14.0)
     assert_steady_state(site)
     assert len(site.calls) <= 6 and site.fallbacks == 0
@@ -75,32 +75,32 @@
 def test_a_service_that_is_down_at_the_start_is_called_within_the_budget() -> None:
     site = Site(3)
     site.up = False
-    mass_start(site, 200)
+    start_many(site, 200)
     site.run(8.0)
     assert len(site.calls) <= 60
     site.run(22.0)
     busiest = max(sum(s <= call < s + 1.0 for call in site.calls) for s in range(30))
     assert busiest <= 1.6 * site.settings.list_calls_per_s
-    site.service(True)
+    site.set_service_up(True)
     site.run(4.0)
     assert all(node.index == site.index for node in site.nodes.values())
     site.run(40.0)
     assert_steady_state(site)
 
 
-@pytest.mark.parametrize("harm", ["kill", "stop"])
-def test_a_change_arrives_in_time_although_two_relays_fail_meanwhile(harm: str) -> None:
+@pytest.mark.parametrize("fault", ["kill", "stop"])
+def test_a_change_arrives_in_time_although_two_relays_fail_meanwhile(fault: str) -> None:
     site = Site(7)
-    mass_start(site, 200)
+    start_many(site, 200)
     site.run(8.0)
     first, second, _ = choose_relays("site", site.live(), 3)
     for name in (first, second):
-        getattr(site, harm)(name)
-    site.change()
+        getattr(site, fault)(name)
+    site.change_list()
     site.run(1.2)
     late = [name for name, node in site.nodes.items() if node.state == "up" and node.index != site.index]
     assert not late
-    if harm == "kill":
+    if fault == "kill":
         site.run(10.0)
         assert_steady_state(site)
     assert site.fallbacks == 0
@@ -108,12 +108,12 @@
 
 def test_killed_relays_are_all_replaced_and_fallback_calls_stay_few() -> None:
     site = Site(8)
-    mass_start(site, 100)
+    start_many(site, 100)
     site.run(8.0)
     before = len(site.calls)
     for name in choose_relays("site", site.live(), 3):
         site.kill(name)
-    site.change()
+    site.change_list()
     site.run(20.0)
     assert_steady_state(site)
     assert len(site.calls) - before <= 60
@@ -121,14 +121,14 @@
 
 def test_restarted_members_fetch_from_the_others_before_calling_the_service() -> None:
     site = Site(9)
-    mass_start(site, 200)
+    start_many(site, 200)
     site.run(8.0)
     before = len(site.calls)
     names = sorted(site.nodes)[:140]
     for name in names:
         site.kill(name)
     for name in names:
-        site.after(0.5 + site.rng.random(), partial(site.start, name))
+        site.call_later(0.5 + site.rng.random(), partial(site.start, name))
     site.run(30.0)
     assert_steady_state(site)
     assert len(site.calls) - before <= 30
@@ -136,7 +136,7 @@
 
 def test_a_relay_cut_off_from_the_service_gets_updates_from_other_relays() -> None:
     site = Site(4)
-    mass_start(site, 30)
+    start_many(site, 30)
     site.run(6.0)
     first = site.nodes[choose_relays("site", site.live(), 3)[0]]
     site.carry_out(first, first.core.service_failed(site.now_s))
@@ -144,7 +144,7 @@
     site.run(0.01)
     site.run(RELAY_OUTAGE_S)
     assert first.core.depth == 1 and not first.core.service_up
-    site.change()
+    site.change_list()
     site.run(0.01)
     assert all(node.index == site.index for node in site.nodes.values())
 
@@ -167,9 +167,9 @@
 
 
 def make_selector(own_watch: bool = False) -> SourceSelector:
-    made = SourceSelector(ME, SelectorSettings("site", own_watch=own_watch), random.Random(1))
-    assert made.view_changed(0.0, False, [ME]) == []  # no action before it has joined
-    return made
+    selector = SourceSelector(ME, SelectorSettings("site", own_watch=own_watch), random.Random(1))
+    assert selector.view_changed(0.0, False, [ME]) == []  # no action before it has joined
+    return selector
 
 
 def test_a_follower_fetches_from_two_subscribes_to_two_and_sets_an_invalid_one_aside() -> None:
@@ -192,23 +192,23 @@
 
 
 def test_a_relay_with_a_live_upstream_waits_for_a_stable_view_and_starts_with_a_long_poll() -> None:
-    me = next(peer for peer in OTHERS if peer.name in choose_relays("site", OTHERS, 3))
-    core = SourceSelector(me, SelectorSettings("site", gateways=8), random.Random(1))
+    own_peer = next(peer for peer in OTHERS if peer.name in choose_relays("site", OTHERS, 3))
+    core = SourceSelector(own_peer, SelectorSettings("site", gateways=8), random.Random(1))
     core.view_changed(0.0, True, OTHERS)
     core.depth_received(0.1, next(iter(core.upstreams)), 0)
-    acts = [(n / 10, a) for n in range(2, 40) for a in core.tick(n / 10, None) if isinstance(a, Watch)]
-    [(now_s, watch)] = acts
+    watches = [(n / 10, a) for n in range(2, 40) for a in core.tick(n / 10, None) if isinstance(a, Watch)]
+    [(now_s, watch)] = watches
     assert now_s == pytest.approx(VIEW_STABLE_S) and watch == Watch(True, has_live_upstream=True)
 
 
-def test_a_relay_without_a_live_upstream_acts_soon_although_the_view_grows() -> None:
-    me = next(peer for peer in OTHERS if peer.name in choose_relays("site", OTHERS, 3))
-    core = SourceSelector(me, SelectorSettings("site", gateways=8), random.Random(1))
+def test_a_relay_without_a_live_upstream_watches_soon_although_the_view_grows() -> None:
+    own_peer = next(peer for peer in OTHERS if peer.name in choose_relays("site", OTHERS, 3))
+    core = SourceSelector(own_peer, SelectorSettings("site", gateways=8), random.Random(1))
     core.view_changed(0.0, True, OTHERS)
     for name in core.pending_fetches.copy():
         core.fetch_ended(0.05, name)
-    acts = [n / 10 for n in range(1, 40) if Watch(True) in core.tick(n / 10, None)]
-    assert len(acts) == 1 and RELAY_SETTLE_S <= acts[0] <= 1.5 * RELAY_SETTLE_S + 0.1
+    watches = [n / 10 for n in range(1, 40) if Watch(True) in core.tick(n / 10, None)]
+    assert len(watches) == 1 and RELAY_SETTLE_S <= watches[0] <= 1.5 * RELAY_SETTLE_S + 0.1
 
 
 def test_silent_upstreams_cause_one_fallback_call_within_the_jitter_that_ends_with_a_path() -> None:
@@ -240,7 +240,7 @@
     assert [notice.peer.name for notice in notices] == [slow, slow]
 
 
-def test_with_pushed_lists_peers_help_at_the_start_alone() -> None:
+def test_with_pushed_lists_a_list_is_fetched_from_peers_only_at_startup() -> None:
     core = make_selector(own_watch=True)
     actions = core.view_changed(0.0, True, [ME, *OTHERS])
     assert len(actions) == 2 and all(isinstance(a, FetchList) for a in actions)
@@ -252,33 +252,34 @@
 
 
 def test_a_lone_member_of_a_large_fleet_waits_for_jitter_and_does_not_become_a_relay() -> None:
-    made = []
+    call_times = []
     for seed in range(200):
         core = SourceSelector(ME, SelectorSettings("site", gateways=200), random.Random(seed))
         core.view_changed(0.0, True, [ME])
         moments = [n / 10 for n in range(101) if Watch(True) in core.tick(n / 10, None)]
         assert len(moments) == 1 and not core.is_relay
-        made += moments
-    assert max(made) <= ALONE_JITTER_MAX_S + 0.1
+        call_times += moments
+    assert max(call_times) <= ALONE_JITTER_MAX_S + 0.1
     assert (
-        max(sum(at <= moment < at + 1 for moment in made) for at in range(6)) < 200 / ALONE_JITTER_MAX_S * 1.6
+        max(sum(start_s <= moment < start_s + 1 for moment in call_times) for start_s in range(6))
+        < 200 / ALONE_JITTER_MAX_S * 1.6
     )
 
 
 def test_a_lone_member_fetches_from_seeds_and_calls_the_service_where_none_answers() -> None:
-    for answers, called in ((True, False), (False, True)):
+    for answers, expected in ((True, False), (False, True)):
         core = SourceSelector(
             ME, SelectorSettings("site", gateways=40, seeds=("127.0.0.1:7",)), random.Random(1)
         )
         core.view_changed(0.0, True, [ME])
-        calls = False
+        has_called = False
         for n in range(50):
             actions = core.tick(n / 10, None)
-            calls |= Watch(True) in actions
-            for ask in (action for action in actions if isinstance(action, FetchList)):
-                assert ask.peer.address == "127.0.0.1:7"
-                core.fetch_ended(n / 10, ask.peer.name, answers)
-        assert calls is called
+            has_called |= Watch(True) in actions
+            for fetch in (action for action in actions if isinstance(action, FetchList)):
+                assert fetch.peer.address == "127.0.0.1:7"
+                core.fetch_ended(n / 10, fetch.peer.name, answers)
+        assert has_called is expected
     # Where only datagrams are lost, answers of seeds do not put off its own watch forever.
     moments = (n / 10 for n in range(50, 260))
     answering = SourceSelector(
--- a/tests/test_list_update_delay.py
+++ b/tests/test_list_update_delay.py
@@ -45,15 +45,15 @@
     exchange.reset()
 
 
-Fails = Callable[["Service", asyncio.StreamWriter], None]
+FailCall = Callable[["Service", asyncio.StreamWriter], None]
 
 
 class Service:
     """A list service whose first call fails in the given way; all further calls get the changed list."""
 
-    def __init__(self, fails: Fails) -> None:
-        self.fails, self.calls = fails, 0
-        self.good_s = math.inf  # since when it has the change and can be reached
+    def __init__(self, fail_call: FailCall) -> None:
+        self.fail_call, self.calls = fail_call, 0
+        self.recovered_s = math.inf  # since when it has the change and can be reached
         self.listener: asyncio.Server | None = None
         self.port = 0
         self.tasks: list[asyncio.Task[None]] = []
@@ -68,12 +68,12 @@
         with suppress(asyncio.IncompleteReadError, ConnectionError):
             await read_message(reader)
             self.calls += 1
-            if self.good_s < math.inf:
+            if self.recovered_s < math.inf:
                 writer.write(list_reply(9, FRESH))
                 await read_message(reader)  # leaves the next call, a long poll, unanswered
                 return
-            self.good_s = asyncio.get_running_loop().time()
-            self.fails(self, writer)
+            self.recovered_s = asyncio.get_running_loop().time()
+            self.fail_call(self, writer)
 
     def close(self) -> None:
         for task in self.tasks:
@@ -84,42 +84,42 @@
             self.listener.close()
 
 
-WHOLE = list_reply(9, FRESH)
+FULL_REPLY = list_reply(9, FRESH)
 
 
-def respond(data: bytes, ends: bool = False) -> Fails:
+def respond(data: bytes, close_after: bool = False) -> FailCall:
     def answer(service: Service, writer: asyncio.StreamWriter) -> None:
         writer.write(data)
-        if ends:
+        if close_after:
             writer.write_eof()
 
     return answer
 
 
 def respond_and_reset(service: Service, writer: asyncio.StreamWriter) -> None:
-    writer.write(WHOLE[:-9])
+    writer.write(FULL_REPLY[:-9])
     reset(Exchange(Message("", {}), writer, 0))
 
 
 def respond_without_end(service: Service, writer: asyncio.StreamWriter) -> None:
-    async def on_and_on() -> None:
+    async def send_forever() -> None:
         writer.write(b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n")
         while True:
             writer.write(b"1\r\n \r\n")
             await asyncio.sleep(0.02)
 
-    service.tasks.append(asyncio.get_running_loop().create_task(on_and_on()))
+    service.tasks.append(asyncio.get_running_loop().create_task(send_forever()))
 
 
 FAULTS = {
     "silent": respond(b""),
-    "silent in the status line": respond(WHOLE[:9]),
-    "silent in the head": respond(WHOLE[:25]),
-    "silent behind the head": respond(WHOLE[: WHOLE.index(b"{")]),
-    "silent in the body": respond(WHOLE[: WHOLE.index(b"{") + 30]),
-    "silent before the last byte": respond(WHOLE[:-1]),
+    "silent in the status line": respond(FULL_REPLY[:9]),
+    "silent in the head": respond(FULL_REPLY[:25]),
+    "silent behind the head": respond(FULL_REPLY[: FULL_REPLY.index(b"{")]),
+    "silent in the body": respond(FULL_REPLY[: FULL_REPLY.index(b"{") + 30]),
+    "silent before the last byte": respond(FULL_REPLY[:-1]),
     "ends with no answer": respond(b"", True),
-    "ends in the body": respond(WHOLE[:-1], True),
+    "ends in the body": respond(FULL_REPLY[:-1], True),
     "resets in the body": respond_and_reset,
     "bytes without end": respond_without_end,
     "500": respond(reply(500)),
@@ -129,12 +129,12 @@
 }
 
 
-async def delay_of_change(mode: str, stop_sending_s: float, must_ask_s: float, fails: Fails) -> float:
+async def delay_of_change(mode: str, stop_sending_s: float, must_ask_s: float, fail_call: FailCall) -> float:
     """Return how long the gateway took to get a change after the service had it and could be reached.
 
     This is the worst case: all jitter and backoff has its longest value.
     """
-    service = Service(fails)
+    service = Service(fail_call)
     await service.listen()
     config = configuration("127.0.0.1:1", discovery=f"127.0.0.1:{service.port}")
     config["settings"]["membershipMode"] = mode
@@ -145,7 +145,7 @@
             run.gateway.discovery.failures = run.gateway.balancer.list_calls_failed = 99
             run.gateway.discovery.watch(True)
             await until(lambda: host_id(3) in run.gateway.pools.hosts)
-            return asyncio.get_running_loop().time() - service.good_s
+            return asyncio.get_running_loop().time() - service.recovered_s
     finally:
         service.close()
 
@@ -161,8 +161,8 @@
     bound_s = stop_sending_s if mode == "pushed" else UPDATE_BOUND_S
     async with asyncio.TaskGroup() as group:
         runs = {
-            name: group.create_task(delay_of_change(mode, stop_sending_s, 400.0, fails))
-            for name, fails in FAULTS.items()
+            name: group.create_task(delay_of_change(mode, stop_sending_s, 400.0, fail_call))
+            for name, fail_call in FAULTS.items()
         }
     late = {name: run.result() for name, run in runs.items() if run.result() > bound_s}
     assert not late
@@ -194,7 +194,7 @@
             discovery.change_address(("127.0.0.1", service.port))
             if first == "refused":
                 await until(lambda: discovery.watching is None)
-                service.good_s = begun_s
+                service.recovered_s = begun_s
                 await service.listen()
             await until(lambda: host_id(3) in run.gateway.pools.hosts)
             assert asyncio.get_running_loop().time() - begun_s < ADDRESS_CHANGE_BOUND_S
@@ -206,7 +206,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("random.uniform", max)
-    async with peer(answers(WHOLE)) as registry:
+    async with peer(answers(FULL_REPLY)) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"] |= {"membershipMode": "on_request", "contract": {"mustAskInUs": 10**12}}
         async with running(config) as run:
@@ -219,7 +219,7 @@
 
 
 @on_loop
-async def test_a_kept_call_that_fails_leaves_no_spare_connection(
+async def test_a_late_reply_that_is_an_error_leaves_no_spare_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The next watch reused the connection as if it had just answered: its first call was a long poll."""
@@ -240,7 +240,7 @@
 
 
 @on_loop
-async def test_a_connection_that_does_not_come_up_after_an_answer_is_given_up_in_a_call_s_time(
+async def test_a_reconnection_that_hangs_after_an_answer_is_abandoned_within_the_call_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The wait was as long as that of a long poll, although no request had been sent yet."""
@@ -250,24 +250,24 @@
         if exchange.connection == 1:
             exchange.answer(list_reply(8, snapshot=False).replace(b"\r\n", b"\r\nConnection: close\r\n", 1))
         elif len(registry.seen) == 2:
-            exchange.answer(WHOLE)
+            exchange.answer(FULL_REPLY)
 
     async with (
         peer(script) as registry,
         running(configuration("127.0.0.1:1", discovery=registry.address)) as run,
     ):
         discovery, loop = run.gateway.discovery, asyncio.get_running_loop()
-        connect, tried_s = discovery._connect, list[float]()
+        connect, attempts_s = discovery._connect, list[float]()
 
-        async def late() -> DiscoveryConnection:
-            tried_s.append(loop.time())
-            if len(tried_s) == 2:
+        async def connect_or_hang() -> DiscoveryConnection:
+            attempts_s.append(loop.time())
+            if len(attempts_s) == 2:
                 await loop.create_future()  # never
             return await connect()
 
-        monkeypatch.setattr(discovery, "_connect", late)
+        monkeypatch.setattr(discovery, "_connect", connect_or_hang)
         await until(lambda: host_id(3) in run.gateway.pools.hosts)
-        assert len(tried_s) == 3 and tried_s[2] - tried_s[1] < CALL_TIMEOUT_S + 1.0  # no long poll
+        assert len(attempts_s) == 3 and attempts_s[2] - attempts_s[1] < CALL_TIMEOUT_S + 1.0  # no long poll
 
 
 @pytest.mark.parametrize("mode", ["pushed", "on_request"])
@@ -275,23 +275,23 @@
 async def test_a_lack_of_descriptors_only_fails_the_call(mode: str) -> None:
     """Idle clients may hold all descriptors while discovery is down."""
     limits = resource.getrlimit(resource.RLIMIT_NOFILE)
-    async with peer(answers(WHOLE)) as registry:
+    async with peer(answers(FULL_REPLY)) as registry:
         config = configuration("127.0.0.1:1", discovery=registry.address)
         config["settings"] |= {"membershipMode": mode, "contract": {"mustAskInUs": 10**12}}
         async with running(config) as run:
             discovery = run.gateway.discovery
             discovery.watch(False)
-            taken: list[int] = []
+            descriptors: list[int] = []
             resource.setrlimit(resource.RLIMIT_NOFILE, (256, limits[1]))
             try:
                 with suppress(OSError):
                     while True:
-                        taken.append(os.dup(0))
+                        descriptors.append(os.dup(0))
                 discovery.watch(True)
                 await until(lambda: discovery.watching is None)
             finally:
                 resource.setrlimit(resource.RLIMIT_NOFILE, limits)
-                for number in taken:
+                for number in descriptors:
                     os.close(number)
             begun_s = asyncio.get_running_loop().time()
             assert not registry.opened
--- a/tests/test_list_versions.py
+++ b/tests/test_list_versions.py
@@ -22,8 +22,8 @@
 )
 
 
-def entry(number: int, turn: int) -> RawEntry:
-    return {"name": f"s-{number}", "address": f"127.0.0.1:{turn + 1}", "status": "SERVING"}
+def entry(number: int, change_count: int) -> RawEntry:
+    return {"name": f"s-{number}", "address": f"127.0.0.1:{change_count + 1}", "status": "SERVING"}
 
 
 def deleted_entry(number: int) -> RawEntry:
@@ -38,7 +38,7 @@
     """
 
     def __init__(self, has_epoch: bool) -> None:
-        self.has_epoch, self.starts, self.turn = has_epoch, 0, 0
+        self.has_epoch, self.starts, self.change_count = has_epoch, 0, 0
         self.entries: dict[str, RawEntry] = {f"s-{n}": entry(n, 0) for n in range(3)}
         self.restart()
 
@@ -47,8 +47,8 @@
         return self.starts if self.has_epoch else None
 
     def change(self, number: int, delete: bool) -> None:
-        self.turn += 1
-        new = deleted_entry(number) if delete else entry(number, self.turn)
+        self.change_count += 1
+        new = deleted_entry(number) if delete else entry(number, self.change_count)
         self.entries.pop(new["name"], None)
         if not delete:
             self.entries[new["name"]] = new
@@ -60,10 +60,10 @@
         self.first = self.index = 1 if self.has_epoch else 10_000 - 100 * self.starts
         self.log: list[RawEntry] = []
 
-    def answer(self, asked: int | None) -> tuple[int, bool, list[RawEntry]]:
-        if asked is None or not self.first <= asked <= self.index:
+    def answer(self, from_index: int | None) -> tuple[int, bool, list[RawEntry]]:
+        if from_index is None or not self.first <= from_index <= self.index:
             return self.index, True, list(self.entries.values())
-        return self.index, False, self.log[asked - self.first :]
+        return self.index, False, self.log[from_index - self.first :]
 
 
 class Relay:
@@ -71,26 +71,32 @@
 
     def __init__(self) -> None:
         self.held = HeldList()
-        self.out: list[tuple[ListVersion | None, int | None, tuple[int, bool, list[RawEntry]]]] = []
+        self.pending_calls: list[tuple[ListVersion | None, int | None, tuple[int, bool, list[RawEntry]]]] = []
         self.sent: list[ListUpdate] = []
 
-    def ask(self, service: Service) -> None:
-        asked = self.held.version
-        self.out.append((asked, service.epoch, service.answer(self.held.ask_from)))
+    def call_service(self, service: Service) -> None:
+        from_version = self.held.version
+        self.pending_calls.append((from_version, service.epoch, service.answer(self.held.ask_from)))
 
-    def hear(self, place: int) -> None:
-        asked, epoch, (index, whole, entries) = self.out.pop(place % len(self.out))
+    def apply_pending_answer(self, position: int) -> None:
+        from_version, epoch, (index, is_full, entries) = self.pending_calls.pop(
+            position % len(self.pending_calls)
+        )
         before = self.held.version
-        taken, body = self.held.apply_answer(asked, answer_version(asked, index, epoch), whole, entries)
+        result, update = self.held.apply_answer(
+            from_version, answer_version(from_version, index, epoch), is_full, entries
+        )
         assert before is None or (self.held.version is not None and self.held.version >= before)
-        assert (taken is ApplyResult.NEW) == (body is not None)
-        if body is not None:
-            self.sent.append(body)
+        assert (result is ApplyResult.NEW) == (update is not None)
+        if update is not None:
+            self.sent.append(update)
 
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["change", "change", "delete", "restart", "ask", "ask", "hear", "hear", "peer"]),
+        st.sampled_from(
+            ["change", "change", "delete", "restart", "call", "call", "answer", "answer", "peer"]
+        ),
         st.integers(0, 7),
     ),
     max_size=60,
@@ -103,13 +109,13 @@
     steps: list[tuple[str, int]], has_epoch: bool
 ) -> None:
     service, relays, follower = Service(has_epoch), [Relay(), Relay()], HeldList()
-    passed: list[ListUpdate] = []
+    forwarded: list[ListUpdate] = []
 
-    def hear(body: ListUpdate) -> None:
+    def deliver(update: ListUpdate) -> None:
         before = follower.version
-        taken = follower.apply(decode(json.loads(json.dumps(encode(body)))))
-        if taken is ApplyResult.NEW:
-            assert before is None or body.version > before
+        result = follower.apply(decode(json.loads(json.dumps(encode(update)))))
+        if result is ApplyResult.NEW:
+            assert before is None or update.version > before
         else:
             assert follower.version == before
 
@@ -119,28 +125,28 @@
             service.change(number, step == "delete")
         elif step == "restart":
             service.restart()
-        elif step == "ask":
-            relay.ask(service)
-        elif step == "hear" and relay.out:
-            relay.hear(number)
-            passed += relay.sent
+        elif step == "call":
+            relay.call_service(service)
+        elif step == "answer" and relay.pending_calls:
+            relay.apply_pending_answer(number)
+            forwarded += relay.sent
             relay.sent = []
-        elif step == "peer" and passed:
-            hear(passed[number % len(passed)])  # late, repeated, with gaps
+        elif step == "peer" and forwarded:
+            deliver(forwarded[number % len(forwarded)])  # late, repeated, with gaps
     # No more changes: each relay gets the other's list, calls the service again and passes the result on.
     for _ in range(4):
         for relay, other in (relays, relays[::-1]):
-            whole = other.held.full_list()
-            if whole is not None:
-                relay.held.apply(whole)
-            relay.out = []
-            relay.ask(service)
-            relay.hear(0)
+            full_list = other.held.full_list()
+            if full_list is not None:
+                relay.held.apply(full_list)
+            relay.pending_calls = []
+            relay.call_service(service)
+            relay.apply_pending_answer(0)
     for relay in relays:
         assert relay.held.entries == service.entries
-        whole = relay.held.full_list()
-        if whole is not None:
-            hear(whole)
+        full_list = relay.held.full_list()
+        if full_list is not None:
+            deliver(full_list)
     if service.entries:
         assert follower.version == max(r.held.version for r in relays if r.held.version)
         assert follower.entries == service.entries
@@ -161,13 +167,19 @@
 
 
 def test_a_delta_is_applied_only_to_the_list_it_was_made_from() -> None:
-    one, two = HeldList(), HeldList()
-    one.apply_answer(None, ListVersion(0, 1), True, [entry(1, 1)])
-    two.apply_answer(None, ListVersion(0, 1), True, [entry(1, 2)])  # the same version, another list
-    _, change = one.apply_answer(ListVersion(0, 1), ListVersion(0, 2), False, [entry(2, 1)])
-    assert change is not None and two.apply(change) is ApplyResult.GAP and two.version == ListVersion(0, 1)
-    whole = one.full_list()
-    assert whole is not None and two.apply(whole) is ApplyResult.NEW and two.entries == one.entries
+    first, second = HeldList(), HeldList()
+    first.apply_answer(None, ListVersion(0, 1), True, [entry(1, 1)])
+    second.apply_answer(None, ListVersion(0, 1), True, [entry(1, 2)])  # the same version, another list
+    _, change = first.apply_answer(ListVersion(0, 1), ListVersion(0, 2), False, [entry(2, 1)])
+    assert (
+        change is not None and second.apply(change) is ApplyResult.GAP and second.version == ListVersion(0, 1)
+    )
+    full_list = first.full_list()
+    assert (
+        full_list is not None
+        and second.apply(full_list) is ApplyResult.NEW
+        and second.entries == first.entries
+    )
 
 
 def test_a_delta_after_a_restart_is_a_gap() -> None:
@@ -180,10 +192,10 @@
 
 def test_entries_that_do_not_match_the_digest_change_nothing() -> None:
     held = HeldList()
-    _, body = held.apply_answer(None, ListVersion(0, 1), True, [entry(1, 1)])
-    assert body is not None
+    _, update = held.apply_answer(None, ListVersion(0, 1), True, [entry(1, 1)])
+    assert update is not None
     with pytest.raises(ValueError, match="digest"):
-        held.apply(body._replace(version=ListVersion(1, 1), entries=(entry(1, 9),)))
+        held.apply(update._replace(version=ListVersion(1, 1), entries=(entry(1, 9),)))
     assert held.version == ListVersion(0, 1) and held.entries == {"s-1": entry(1, 1)}
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -100,7 +100,7 @@
 CODEC = Codec("c" * 64)
 
 
-def at(number: int) -> str:
+def address_of(number: int) -> str:
     return f"127.0.0.1:{7000 + number}"
 
 
@@ -111,10 +111,10 @@
         self.rng = random.Random(seed)
         self.drop, self.duplicate, self.now_s = drop, duplicate, 0.0
         self.members = {
-            at(n): Member(
-                MemberUpdate(f"m{n}", at(n), 1, Status.ALIVE),
+            address_of(n): Member(
+                MemberUpdate(f"m{n}", address_of(n), 1, Status.ALIVE),
                 Timing(),
-                seeds=(at(0),) if n else (),
+                seeds=(address_of(0),) if n else (),
                 rng=random.Random(seed + n),
             )
             for n in range(count)
@@ -124,16 +124,16 @@
         self.in_flight: list[tuple[float, int, str, Message]] = []
         self.actions: list[tuple[str, object]] = []
         for address, member in self.members.items():
-            self.carry(address, member.start(0.0))
+            self.carry_out(address, member.start(0.0))
 
-    def carry(self, source: str, actions: list[Action]) -> None:
+    def carry_out(self, source: str, actions: list[Action]) -> None:
         for action in actions:
             self.actions.append((source, action))
             if isinstance(action, ExchangeViews):  # stands for a call that exchanges both views
                 asker, other = self.members[source], self.members[action.address]
                 views = [Push(m.me, tuple(m.members().values())) for m in (asker, other)]
-                self.carry(action.address, other.receive(views[0], self.now_s))
-                self.carry(source, asker.receive(views[1], self.now_s))
+                self.carry_out(action.address, other.receive(views[0], self.now_s))
+                self.carry_out(source, asker.receive(views[1], self.now_s))
             if not isinstance(action, Send) or {source, action.address} & self.cut_off:
                 continue
             # Each message fits in a datagram, and is decoded unchanged.
@@ -144,8 +144,8 @@
                 continue
             for _ in range(2 if self.rng.random() < self.duplicate else 1):
                 delay_s = 0.001 + self.rng.random() * 0.004
-                landing = (self.now_s + delay_s, len(self.actions), action.address, action.message)
-                heapq.heappush(self.in_flight, landing)
+                delivery = (self.now_s + delay_s, len(self.actions), action.address, action.message)
+                heapq.heappush(self.in_flight, delivery)
 
     def run(self, until_s: float, step_s: float = 0.01) -> None:
         while self.now_s < until_s:
@@ -153,10 +153,10 @@
             while self.in_flight and self.in_flight[0][0] <= self.now_s:
                 _, _, address, message = heapq.heappop(self.in_flight)
                 if address in self.members and address not in self.cut_off:
-                    self.carry(address, self.members[address].receive(message, self.now_s))
+                    self.carry_out(address, self.members[address].receive(message, self.now_s))
             for address, member in self.members.items():
                 if address not in self.cut_off:
-                    self.carry(address, member.tick(self.now_s))
+                    self.carry_out(address, member.tick(self.now_s))
 
     def status(self, name: str) -> set[Status | None]:
         """The statuses of `name` in the views of the members that are not cut off."""
@@ -172,7 +172,7 @@
     net.run(2.0)
     assert all(len(m.members()) == 5 for m in net.members.values())
     assert net.status("m3") == {Status.ALIVE}
-    net.cut_off.add(at(3))
+    net.cut_off.add(address_of(3))
     killed_s = net.now_s
     while net.status("m3") != {Status.DEAD} and net.now_s < killed_s + 5:
         net.run(net.now_s + 0.05)
@@ -183,20 +183,20 @@
 def test_a_member_silent_for_less_than_the_suspicion_timeout_refutes_and_is_not_declared_dead() -> None:
     net = Net(5, seed=2)
     net.run(2.0)
-    net.cut_off.add(at(2))
+    net.cut_off.add(address_of(2))
     net.run(2.3)
     net.cut_off.clear()
     net.run(5.0)
     deaths = [a for _, a in net.actions if isinstance(a, MemberChanged) and a.update.status is Status.DEAD]
     assert not deaths
-    assert net.status("m2") == {Status.ALIVE} and net.members[at(2)].me.incarnation > 1
+    assert net.status("m2") == {Status.ALIVE} and net.members[address_of(2)].me.incarnation > 1
 
 
 def test_a_graceful_leave_is_known_at_once_and_a_dead_member_is_reaped() -> None:
     net = Net(4, seed=3)
     net.run(2.0)
-    leaver = net.members[at(1)]
-    net.carry(at(1), leaver.leave(net.now_s))
+    leaver = net.members[address_of(1)]
+    net.carry_out(address_of(1), leaver.leave(net.now_s))
     net.run(net.now_s + 0.05)
     assert net.status("m1") == {Status.LEFT}
     net.run(net.now_s + Timing().reap_after_s + 1)
@@ -207,17 +207,19 @@
     net = Net(3, seed=4)
     net.run(1.0)
     for take_over in (False, True):
-        twin = Member(MemberUpdate("m2", at(9), 1, Status.ALIVE), Timing(), (at(0),), take_over)
-        net.members[at(9)] = twin
-        net.carry(at(9), twin.start(net.now_s))
+        claimant = Member(
+            MemberUpdate("m2", address_of(9), 1, Status.ALIVE), Timing(), (address_of(0),), take_over
+        )
+        net.members[address_of(9)] = claimant
+        net.carry_out(address_of(9), claimant.start(net.now_s))
         net.run(net.now_s + 0.5)
-        assert twin.refused is not take_over
+        assert claimant.refused is not take_over
         if not take_over:
-            del net.members[at(9)]
+            del net.members[address_of(9)]
     net.run(net.now_s + 1.0)
-    old = net.members[at(2)]
+    old = net.members[address_of(2)]
     assert old.refused and not old.leave(net.now_s)  # taken over: it sends nothing more, not even its leave
-    assert {m.members()["m2"].address for m in net.members.values() if m is not old} == {at(9)}
+    assert {m.members()["m2"].address for m in net.members.values() if m is not old} == {address_of(9)}
 
 
 @settings(max_examples=25, deadline=None)
@@ -239,10 +241,10 @@
 def test_a_partition_longer_than_the_suspicion_timeout_heals_within_one_push_pull_period(seed: int) -> None:
     net = Net(7, seed)
     net.run(2.0)
-    net.side = {at(n) for n in (1, 2, 3)}
+    net.side = {address_of(n) for n in (1, 2, 3)}
     net.run(16.0)  # the smaller side takes longer: its probes fail, which lowers its local health
     for n in range(7):
-        known = net.members[at(n)].members().values()
+        known = net.members[address_of(n)].members().values()
         dead = {r.name for r in known if r.status is Status.DEAD}
         assert dead == ({"m0", "m4", "m5", "m6"} if n in (1, 2, 3) else {"m1", "m2", "m3"})
     net.side.clear()
@@ -259,12 +261,14 @@
 
 def test_a_seed_that_starts_late_is_found_and_a_member_alone_contacts_it_with_backoff() -> None:
     net = Net(3, seed=6)
-    late = net.members.pop(at(0))
+    late = net.members.pop(address_of(0))
     net.run(3.0)
-    assert [a for _, a in net.actions if isinstance(a, NoSeedAnswered)] == [NoSeedAnswered((at(0),))] * 2
-    contacts = sum(s == at(1) and isinstance(a, Send) for s, a in net.actions)
+    assert [a for _, a in net.actions if isinstance(a, NoSeedAnswered)] == [
+        NoSeedAnswered((address_of(0),))
+    ] * 2
+    contacts = sum(s == address_of(1) and isinstance(a, Send) for s, a in net.actions)
     assert 6 <= contacts <= 10
-    net.members[at(0)] = late
+    net.members[address_of(0)] = late
     net.run(3.0 + Timing().push_pull_s)
     assert {name for m in net.members.values() for name in m.members()} == {"m0", "m1", "m2"}
 
@@ -276,23 +280,23 @@
         name = f"gateway-{n:04}"
         seed_member.receive(Push(MemberUpdate(name, f"127.0.0.1:{n + 5000}", 1, Status.ALIVE, "zone-a")), 0.0)
     net.run(0.05)
-    assert [a for _, a in net.actions if isinstance(a, ExchangeViews)] == [ExchangeViews(at(0))]
+    assert [a for _, a in net.actions if isinstance(a, ExchangeViews)] == [ExchangeViews(address_of(0))]
     assert joiner.members().keys() == seed_member.members().keys() and len(joiner.members()) == 1_002
-    assert sum(s == at(0) and isinstance(a, Send) for s, a in net.actions) <= MAX_VIEW_DATAGRAMS
+    assert sum(s == address_of(0) and isinstance(a, Send) for s, a in net.actions) <= MAX_VIEW_DATAGRAMS
 
 
-def test_a_member_that_stalled_does_not_suspect_those_it_did_not_hear() -> None:
+def test_a_member_that_stalled_does_not_suspect_members_it_did_not_hear_from() -> None:
     net = Net(3, seed=8)
     net.run(2.0)
-    stalled = net.members[at(1)]
+    stalled = net.members[address_of(1)]
     for _ in range(20):  # with a probe in progress in each
         net.run(net.now_s + 0.05)
-        del net.members[at(1)]
+        del net.members[address_of(1)]
         net.now_s += 0.3
         waiting, net.in_flight = net.in_flight, []
-        net.members[at(1)] = stalled
+        net.members[address_of(1)] = stalled
         stalled.on_stall(0.3)
-        net.carry(at(1), stalled.tick(net.now_s))
+        net.carry_out(address_of(1), stalled.tick(net.now_s))
         net.in_flight = waiting
     suspected = [
         a for s, a in net.actions if isinstance(a, MemberChanged) and a.update.status is Status.SUSPECT
@@ -303,8 +307,8 @@
 def test_a_suspicion_is_confirmed_by_those_that_raise_it_not_by_those_that_pass_it_on() -> None:
     member = Member(ME, Timing())
     for name in ("b", "c", "d", "e"):
-        member.receive(Push(MemberUpdate(name, at(ord(name)), 1, Status.ALIVE)), 0.0)
-    suspicion = MemberUpdate("b", at(ord("b")), 1, Status.SUSPECT, suspected_by="c")
+        member.receive(Push(MemberUpdate(name, address_of(ord(name)), 1, Status.ALIVE)), 0.0)
+    suspicion = MemberUpdate("b", address_of(ord("b")), 1, Status.SUSPECT, suspected_by="c")
     senders = [member.members()[name] for name in ("c", "d", "e")]
     for sender in senders:
         member.receive(Gossip(sender, (suspicion,)), 0.0)
@@ -318,8 +322,8 @@
 
 def test_a_view_with_a_gone_member_does_not_bring_it_back_to_those_that_reaped_it() -> None:
     member = Member(ME, Timing())
-    sender = MemberUpdate("b", at(1), 1, Status.ALIVE)
-    entries = tuple(MemberUpdate(status.value, at(2), 3, status) for status in Status)
+    sender = MemberUpdate("b", address_of(1), 1, Status.ALIVE)
+    entries = tuple(MemberUpdate(status.value, address_of(2), 3, status) for status in Status)
     member.receive(Push(sender, entries), 0.0)
     assert member.members().keys() == {"a", "b", "alive", "suspect"}
     # Gossip about a death is applied, as an older update may follow it.
@@ -327,12 +331,14 @@
     assert member.members()["dead"].status is Status.DEAD
 
 
-def test_an_upgrade_that_hears_of_its_predecessor_late_takes_over_and_anybody_else_is_refused() -> None:
+def test_an_upgrade_that_learns_of_its_predecessor_late_takes_over_and_any_other_process_is_refused() -> None:
     for take_over in (True, False):
-        member = Member(MemberUpdate("b", at(9), 1, Status.ALIVE), Timing(), (at(0),), take_over)
+        member = Member(
+            MemberUpdate("b", address_of(9), 1, Status.ALIVE), Timing(), (address_of(0),), take_over
+        )
         member.start(0.0)
         assert any(isinstance(a, NoSeedAnswered) for a in member.tick(Timing().join_wait_s))
-        view = (MemberUpdate("b", at(2), 4, Status.ALIVE),)  # of an earlier process that is gone
-        actions = member.receive(Push(MemberUpdate("a", at(1), 1, Status.ALIVE), view), 2.0)
+        view = (MemberUpdate("b", address_of(2), 4, Status.ALIVE),)  # of an earlier process that is gone
+        actions = member.receive(Push(MemberUpdate("a", address_of(1), 1, Status.ALIVE), view), 2.0)
         assert member.refused is not take_over and member.me.incarnation == (5 if take_over else 1)
         assert any(isinstance(a, NameConflict) and a.joining for a in actions) is not take_over
--- a/tests/test_members_faults.py
+++ b/tests/test_members_faults.py
@@ -48,7 +48,7 @@
     assert successor.refused
 
 
-def test_a_successor_that_no_seed_answered_still_takes_over_from_the_first_process_that_it_hears_of() -> None:
+def test_a_successor_that_no_seed_answered_takes_over_from_the_first_process_it_learns_of() -> None:
     successor = started(replace(A, address="127.0.0.1:9", incarnation=6), ("127.0.0.1:2",), take_over=True)
     successor.tick(2.0)
     assert successor.joining_until_s is None
@@ -59,7 +59,7 @@
     assert successor.refused
 
 
-def test_a_process_that_may_take_over_but_found_no_predecessor_gives_way_to_its_own_successor() -> None:
+def test_a_process_that_may_take_over_but_found_no_predecessor_yields_to_its_own_successor() -> None:
     """The first process on an inherited socket once outranked its successor, as if that were an older one."""
     first = started(A, ("127.0.0.1:2",), take_over=True)
     first.receive(Push(B, (B,)), 0.1)
@@ -67,7 +67,7 @@
     assert first.refused and first.me == A
 
 
-def test_a_successor_whose_join_did_not_find_its_predecessor_knows_it_by_its_address_alone() -> None:
+def test_a_successor_whose_join_did_not_find_its_predecessor_identifies_it_by_its_address_only() -> None:
     """A successor that was cut off until its predecessor had left once took its own successor for it.
 
     It outranked that process, which was then refused.
--- a/tests/test_members_health.py
+++ b/tests/test_members_health.py
@@ -48,7 +48,7 @@
     assert member.roster.health.score == member.roster.health.max_score
 
 
-def test_seven_in_ten_members_killed_at_once_are_soon_declared_dead_and_nobody_else() -> None:
+def test_seven_in_ten_members_killed_at_once_are_soon_declared_dead_and_no_others() -> None:
     cluster = MembershipCluster(History(seed=1, size=40, start_s=0.05), check=True)
     cluster.clock.run(4.0)
     gone = random.Random(1).sample(list(cluster.processes.values()), 28)
--- a/tests/test_membership_process.py
+++ b/tests/test_membership_process.py
@@ -21,9 +21,9 @@
 CLUSTER: dict[str, Any] = {"name": "blue", "bind": "127.0.0.1:0"}
 
 
-async def read(operator: int, what: bytes) -> bytes:
+async def read(operator: int, path: bytes) -> bytes:
     client = await connect(operator)
-    client.send(CALL % what)
+    client.send(CALL % path)
     answer = await read_message(client.reader)
     client.close()
     assert answer.status == 200
@@ -45,9 +45,9 @@
         await asyncio.sleep(0.01)
 
 
-async def command(*words: str) -> tuple[int, str, str]:
+async def command(*arguments: str) -> tuple[int, str, str]:
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "cloverkeel", "members", *words, cwd=ROOT,
+        sys.executable, "-m", "cloverkeel", "members", *arguments, cwd=ROOT,
         stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
     )  # fmt: skip
     out, errors = await process.communicate()
@@ -81,9 +81,9 @@
                         while (await table(ports[0]))["by_name"]["g2"]["address"] == before["address"]:
                             await asyncio.sleep(0.01)
                         old.send_signal(signal.SIGTERM)
-                        _, said = await old.communicate()
+                        _, old_errors = await old.communicate()
                         # From the store's counter, unless the store took too long, which is logged.
-                        assert before["incarnation"] < 10 or b"members.incarnation source=clock" in said
+                        assert before["incarnation"] < 10 or b"members.incarnation source=clock" in old_errors
                         after = (await table_with(ports[0], g1="alive", g2="alive"))["by_name"]["g2"]
                         assert after["address"] != before["address"]
                         assert after["incarnation"] > before["incarnation"]
@@ -111,19 +111,19 @@
 @on_loop
 async def test_the_members_command_reports_an_error_in_one_line() -> None:
     async with peer() as host:  # answers 200 with something else
-        for words, code in (
+        for arguments, code in (
             (("--operator", "nowhere"), 2),
             (("--operator", f"127.0.0.1:{free_port()}"), 1),
             (("--operator", host.address), 1),
             ((), 2),
         ):
-            got, out, errors = await command(*words)
-            assert (got, out, errors.count("\n")) == (code, "", 1), errors
+            exit_code, out, errors = await command(*arguments)
+            assert (exit_code, out, errors.count("\n")) == (code, "", 1), errors
             assert errors.startswith("cloverkeel: ") and "Traceback" not in errors
 
 
 @pytest.mark.parametrize(
-    ("cluster", "says"),
+    ("cluster", "expected"),
     [
         (None, "no object"),
         ([], "no object"),
@@ -144,11 +144,11 @@
         (CLUSTER | {"probe_timeout_s": 0.2}, "probe_timeout_s"),
     ],
 )
-def test_an_invalid_cluster_is_one_error_line_that_names_the_key(cluster: object, says: str) -> None:
+def test_an_invalid_cluster_is_one_error_line_that_names_the_key(cluster: object, expected: str) -> None:
     with pytest.raises(ConfigError) as error:
         parse(configuration() | {"cluster": cluster})
     line = str(error.value)
-    assert line.startswith("cluster") and says in line and "\n" not in line
+    assert line.startswith("cluster") and expected in line and "\n" not in line
 
 
 def test_a_gateway_in_a_cluster_needs_a_name() -> None:
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -32,32 +32,32 @@
     name: str, *seeds: str, bind: str = "127.0.0.1:0", take_over: bool = False, **extra: Any
 ) -> Membership:
     settings = parse_cluster({"name": "blue", "bind": bind, "seeds": seeds} | extra, name)
-    made = Membership(settings, name, "a", 1, take_over, random.Random(name))
-    await made.start()
-    return made
+    membership = Membership(settings, name, "a", 1, take_over, random.Random(name))
+    await membership.start()
+    return membership
 
 
 @asynccontextmanager
-async def three(**extra: Any) -> AsyncIterator[list[Membership]]:
+async def three_members(**extra: Any) -> AsyncIterator[list[Membership]]:
     first = await member("m0", **extra)
-    all_ = [first, await member("m1", first.address, **extra), await member("m2", first.address, **extra)]
+    members = [first, await member("m1", first.address, **extra), await member("m2", first.address, **extra)]
     try:
-        await until(lambda: all(len(m.live()) == 3 for m in all_))
-        yield all_
+        await until(lambda: all(len(m.live()) == 3 for m in members))
+        yield members
     finally:
-        for made in all_:
-            made.close()
+        for membership in members:
+            membership.close()
 
 
-def statuses(made: Membership) -> dict[str, str]:
-    return {row["name"]: row["status"] for row in made.table()}
+def statuses(membership: Membership) -> dict[str, str]:
+    return {row["name"]: row["status"] for row in membership.table()}
 
 
 @on_loop
 async def test_three_members_distinguish_a_leave_from_a_death_and_report_both_to_listeners() -> None:
-    async with three() as (first, second, third):
-        heard: list[tuple[str, str]] = []
-        first.on_change(lambda rumour, before: heard.append((rumour.name, rumour.status.value)))
+    async with three_members() as (first, second, third):
+        changes: list[tuple[str, str]] = []
+        first.on_change(lambda update, before: changes.append((update.name, update.status.value)))
         assert all(m.joined.is_set() and m.state == "member" for m in (first, second, third))
         assert [r.zone for r in first.live()] == ["a"] * 3 and first.descriptors() == 3
         await second.leave()
@@ -65,7 +65,7 @@
         await until(lambda: statuses(first)["m1"] == statuses(third)["m1"] == "left")
         third.close()
         await until(lambda: statuses(first)["m2"] == "dead")
-        assert heard == [("m1", "left"), ("m2", "suspect"), ("m2", "dead")]
+        assert changes == [("m1", "left"), ("m2", "suspect"), ("m2", "dead")]
         counts = first.counters()
         assert (counts["leaves"], counts["suspicions"], counts["deaths"]) == (1, 1, 1)
         assert counts["probes"] > 0 and [r.name for r in first.live()] == ["m0"]
@@ -73,23 +73,23 @@
 
 @on_loop
 async def test_garbage_of_every_size_is_counted_and_the_members_stay_alive() -> None:
-    async with three() as (first, second, third):
+    async with three_members() as (first, second, third):
         host, port = parse_address(first.address)
         head, rng = Codec("blue").header, random.Random(1)
         stranger = MemberUpdate("s", "127.0.0.1:9", 1, Status.ALIVE)
-        sound = Codec("blue").encode(Ping(1, stranger, "m0"))
+        valid = Codec("blue").encode(Ping(1, stranger, "m0"))
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as noise:
             for size in range(1, 1_600, 3):
                 noise.sendto(rng.randbytes(size), (host, port))
                 noise.sendto(head + rng.randbytes(size), (host, port))
-                noise.sendto(sound[: 1 + size % (len(sound) - 1)], (host, port))
+                noise.sendto(valid[: 1 + size % (len(valid) - 1)], (host, port))
                 await asyncio.sleep(0)  # lets it read, so that the socket's buffer does not overflow
             for _ in range(40):
                 noise.sendto(Codec("green").encode(Ping(1, stranger, "m0")), (host, port))
         sent = 3 * len(range(1, 1_600, 3)) + 40
 
-        def dropped(of: dict[str, int]) -> int:
-            return sum(number for name, number in of.items() if name.startswith("datagrams_dropped_"))
+        def dropped(counters: dict[str, int]) -> int:
+            return sum(number for name, number in counters.items() if name.startswith("datagrams_dropped_"))
 
         await until(lambda: dropped(first.counters()) >= sent)
         counts = first.counters()
@@ -104,20 +104,20 @@
 
 @on_loop
 async def test_a_join_under_a_taken_name_is_refused_until_its_holder_has_gone() -> None:
-    async with three(push_pull_s=0.3) as (first, second, _):
-        twin = await member("m1", first.address, push_pull_s=0.3)
-        await twin.joined.wait()
-        assert (twin.state, [r.address for r in twin.live()]) == ("name_taken", [twin.address])
+    async with three_members(push_pull_s=0.3) as (first, second, _):
+        claimant = await member("m1", first.address, push_pull_s=0.3)
+        await claimant.joined.wait()
+        assert (claimant.state, [r.address for r in claimant.live()]) == ("name_taken", [claimant.address])
         assert first.view()["m1"].address == second.address and second.state == "member"
         second.close()
-        await until(lambda: twin.state == "member" and first.view()["m1"].address == twin.address)
-        twin.close()
+        await until(lambda: claimant.state == "member" and first.view()["m1"].address == claimant.address)
+        claimant.close()
 
 
 @on_loop
-async def test_a_killed_process_takes_its_name_back_before_its_death_is_known() -> None:
+async def test_a_restarted_process_regains_its_name_before_the_death_of_the_killed_one_is_known() -> None:
     slow: dict[str, Any] = {"probe_interval_s": 5.0, "probe_timeout_s": 2.0, "push_pull_s": 20.0}
-    async with three(**slow) as (first, second, third):
+    async with three_members(**slow) as (first, second, third):
         second.close()  # without a leave
         again = await member("m1", first.address, **slow)
         await again.joined.wait()
@@ -128,7 +128,7 @@
 
 
 @on_loop
-async def test_a_seed_stays_one_through_an_upgrade_and_is_never_seen_dead() -> None:
+async def test_a_seed_remains_a_seed_through_an_upgrade_and_is_never_declared_dead() -> None:
     old = await member("m0")
     seed = old.address  # configured as its address from now on
     other = await member("m1", seed)
@@ -141,8 +141,8 @@
     late = await member("m2", seed)  # contacts the address of the old process
     await until(lambda: len(late.live()) == len(other.live()) == len(new.live()) == 3)
     assert other.counters()["deaths"] == other.counters()["leaves"] == 0 and new.address != seed
-    for made in (other, new, late):
-        made.close()
+    for membership in (other, new, late):
+        membership.close()
 
 
 @on_loop
@@ -150,8 +150,8 @@
     first = await member("m0")
     assert first.member is not None
     for n in range(1_000):
-        rumour = MemberUpdate(f"gateway-{n:04}", f"127.0.0.9:{n + 1}", 1, Status.ALIVE, "zone-a")
-        first.member.roster.apply_update(rumour, asyncio.get_running_loop().time(), "test")
+        update = MemberUpdate(f"gateway-{n:04}", f"127.0.0.9:{n + 1}", 1, Status.ALIVE, "zone-a")
+        first.member.roster.apply_update(update, asyncio.get_running_loop().time(), "test")
     second = await member("m1", first.address)
     await until(lambda: len(second.view()) == len(first.view()) == 1_002)
     assert second.counters()["views_swapped"] == second.counters()["calls_out"] == 1
@@ -207,7 +207,7 @@
         callee.serve("never", lambda peer, body: asyncio.get_running_loop().create_future())
         callee.serve("long", lambda peer, body: bytes(20_000))
         assert await caller.call(address, "later", {"a": [1, None]}, 5.0) == ["caller", {"a": [1, None]}]
-        for kind, body, timeout_s, why in (
+        for kind, body, timeout_s, reason in (
             ("fails", None, 5.0, "ZeroDivisionError"),
             ("never", None, 0.05, "no answer in 0.05 s"),
             ("long", None, 5.0, "FrameError"),
@@ -215,7 +215,7 @@
             ("later", bytes(20_000), 5.0, "oversized"),
             ("later", object(), 5.0, "malformed"),
         ):
-            with pytest.raises(CallFailed, match=why):
+            with pytest.raises(CallFailed, match=reason):
                 await caller.call(address, kind, body, timeout_s)
         callee.close()
         with pytest.raises(CallFailed, match=address):
@@ -275,7 +275,7 @@
 
 
 @on_loop
-async def test_a_feed_passes_bodies_on_in_order_and_each_end_is_reported_once() -> None:
+async def test_a_feed_delivers_bodies_in_order_and_each_end_is_reported_once() -> None:
     async with caller_and_callee() as (caller, callee, address):
         feeds: list[Feed] = []
         closed: list[str] = []
@@ -286,10 +286,12 @@
             feed.send(body)
 
         callee.serve_feed("list", on_open)
-        one, two, three_ = Follower(), Follower(), Follower()
+        one, two, third_follower = Follower(), Follower(), Follower()
         for follower in (one, two):
             await caller.subscribe(address, "list", 0, follower.bodies.append, follower.ends.append)
-        third = await caller.subscribe(address, "list", 0, three_.bodies.append, three_.ends.append)
+        third = await caller.subscribe(
+            address, "list", 0, third_follower.bodies.append, third_follower.ends.append
+        )
         await until(lambda: len(feeds) == 3)
         for n in range(1, 100):
             feeds[0].send([n, bytes(1_000)])
@@ -302,7 +304,7 @@
         callee.close()
         feeds[1].send("too late")
         await until(lambda: one.ends and two.ends)
-        assert one.ends == ["end: closed"] and len(two.ends) == 1 and three_.ends == []
+        assert one.ends == ["end: closed"] and len(two.ends) == 1 and third_follower.ends == []
         assert closed == ["caller"] * 3 and two.bodies == [0] and not caller.subscriptions
         with pytest.raises(CallFailed):
             await caller.subscribe(address, "list", 0, one.bodies.append, one.ends.append)
@@ -321,7 +323,7 @@
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
     caller, loop = Calls("blue", "caller"), asyncio.get_running_loop()
-    for data, why in (
+    for data, reason in (
         (b"", "silent for 1 s"),
         (frames.encode("feed", 1) + b"\xff" * 9, "oversized"),
         (FrameCodec("green").encode("feed", 1), "cluster"),
@@ -332,7 +334,7 @@
         ends: list[str] = []
         await caller.subscribe(f"{host}:{port}", "list", None, lambda body: body + 1, ends.append)
         await until(lambda: ends)  # noqa: B023
-        assert len(ends) == 1 and (why in ends[0] or (why == "oversized" and "IndexError" in ends[0]))
+        assert len(ends) == 1 and (reason in ends[0] or (reason == "oversized" and "IndexError" in ends[0]))
         assert data or loop.time() - began_s >= 1.0
     assert not caller.subscriptions
     server.close()
@@ -358,10 +360,10 @@
 
 
 @on_loop
-async def test_invariants_are_checked_only_where_they_are_on() -> None:
+async def test_invariants_are_checked_only_if_enabled() -> None:
     with pytest.MonkeyPatch.context() as patch:
         for on in (False, True):
             patch.setattr(invariants, "ON", on)
-            made = await member("m0")
-            assert isinstance(made.member, CheckedMember) == on
-            made.close()
+            membership = await member("m0")
+            assert isinstance(membership.member, CheckedMember) == on
+            membership.close()
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -73,7 +73,7 @@
     assert again == message and again.sender.suspected_by == message.sender.suspected_by
 
 
-junk = st.recursive(
+arbitrary_values = st.recursive(
     st.one_of(
         st.none(), st.booleans(), st.integers(-(2**63), 2**64 - 1), st.text(max_size=5), st.binary(max_size=5)
     ),
@@ -93,7 +93,9 @@
     return ""
 
 
-@given(st.one_of(st.binary(max_size=60), junk.map(msgspec.msgpack.encode)), messages, st.randoms())
+@given(
+    st.one_of(st.binary(max_size=60), arbitrary_values.map(msgspec.msgpack.encode)), messages, st.randoms()
+)
 def test_an_invalid_datagram_is_rejected(data: bytes, message: Message, rng: random.Random) -> None:
     drop_reason(data)
     drop_reason(CODEC.header + data)
@@ -111,29 +113,29 @@
 def test_every_reason_for_dropping_a_datagram() -> None:
     me = MemberUpdate("a", "127.0.0.1:1", 1, Status.ALIVE)
     valid = CODEC.encode(Ack(1, me))
-    wrong: dict[str, list[bytes]] = {
+    invalid: dict[str, list[bytes]] = {
         "oversized": [valid + bytes(MAX_DATAGRAM_BYTES), CODEC.header + bytes(60_000)],
         "version": [b"", b"\x02" + valid[1:], b"GET / HTTP/1.1"],
         "cluster": [Codec("bluer").encode(Ack(1, me)), Codec("blu").encode(Ack(1, me))],
         "malformed": [valid[:1], valid[:4], valid[:-1], valid + b"\xc0"],
     }
     fields: list[Any] = ["a", "127.0.0.1:1", 1, 0, "", ""]
-    for place, value in [
+    for position, value in [
         (0, ""), (0, "x" * 129), (0, "é" * 65), (0, 3), (1, "127.0.0.1"), (1, "127.0.0.1:0"), (1, "host:1"),
         (1, "127.0.0.1:65536"), (1, "1" * 70 + ":1"), (2, -1), (2, 2**62 + 1), (2, 1.0), (3, 4), (3, "alive"),
         (4, "z" * 65), (5, "b" * 129), (5, None),
     ]:  # fmt: skip
-        bad = [*fields[:place], value, *fields[place + 1 :]]
-        wrong["malformed"].append(CODEC.header + msgspec.msgpack.encode([2, 1, bad, []]))
+        bad = [*fields[:position], value, *fields[position + 1 :]]
+        invalid["malformed"].append(CODEC.header + msgspec.msgpack.encode([2, 1, bad, []]))
         with pytest.raises(DatagramError):
             updates_from_body([bad])
-    wrong["malformed"].append(CODEC.header + msgspec.msgpack.encode([2, 1, [*fields, 0], []]))
-    wrong["malformed"].append(CODEC.header + msgspec.msgpack.encode([9, 1, fields, []]))
-    for reason, datagrams in wrong.items():
+    invalid["malformed"].append(CODEC.header + msgspec.msgpack.encode([2, 1, [*fields, 0], []]))
+    invalid["malformed"].append(CODEC.header + msgspec.msgpack.encode([9, 1, fields, []]))
+    for reason, datagrams in invalid.items():
         assert [drop_reason(data) for data in datagrams] == [reason] * len(datagrams)
 
 
-@given(st.binary(max_size=200), junk, st.integers(1, 9))
+@given(st.binary(max_size=200), arbitrary_values, st.integers(1, 9))
 def test_frames_split_anywhere_are_decoded_or_rejected(noise: bytes, body: Any, step: int) -> None:
     frames = FrameCodec("blue", most=4096)
     data, buffer, found = frames.encode("k", body) * 2, bytearray(), []
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from cloverkeel import operator as front
+from cloverkeel import operator as operator_module
 from cloverkeel.operator import POST_LIMIT, Answer, OperatorServer
 from tests.sockets import Client, Message, on_loop, until
 
@@ -39,13 +39,13 @@
         server.close()
 
 
-async def caller(port: int) -> Client:
+async def connect(port: int) -> Client:
     return Client(*await asyncio.open_connection("127.0.0.1", port))
 
 
 async def call(port: int, data: bytes) -> Message:
     """The response, once the server has closed the connection."""
-    client = await caller(port)
+    client = await connect(port)
     answer = await client.ask(data)
     assert await client.reader.read() == b""
     assert answer.headers["connection"] == "close"
@@ -57,7 +57,7 @@
 async def test_a_request_is_answered_and_closed_however_it_is_split() -> None:
     async with operators() as (_, port):
         assert (await call(port, READY)).body == b"so\n"
-        client = await caller(port)
+        client = await connect(port)
         for byte in READY:
             client.send(bytes([byte]))
             await asyncio.sleep(0)
@@ -79,13 +79,15 @@
     ],
 )
 @on_loop
-async def test_invalid_requests_get_the_status_of_http(data: bytes, status: int) -> None:
+async def test_requests_get_the_http_status_that_applies(data: bytes, status: int) -> None:
     async with operators() as (_, port):
         assert (await call(port, data)).status == status
 
 
-def post(size: int, query: str = "a=b", kind: str = "application/octet-stream") -> bytes:
-    head = f"POST /api/take?{query} HTTP/1.1\r\nContent-Type: {kind}\r\nContent-Length: {size}\r\n\r\n"
+def post(size: int, query: str = "a=b", content_type: str = "application/octet-stream") -> bytes:
+    head = (
+        f"POST /api/take?{query} HTTP/1.1\r\nContent-Type: {content_type}\r\nContent-Length: {size}\r\n\r\n"
+    )
     return head.encode() + bytes(size)
 
 
@@ -96,7 +98,7 @@
             answer = await call(port, post(size))
             assert (answer.status, answer.body) == (200, b"a=b %d" % size)
         assert (await call(port, post(POST_LIMIT + 1))).status == 413
-        assert (await call(port, post(1, kind="text/plain"))).status == 415  # as a web form would
+        assert (await call(port, post(1, content_type="text/plain"))).status == 415  # as a web form would
         assert (await call(port, READY.replace(b"ready", b"take"))).status == 405
 
 
@@ -115,7 +117,7 @@
 
 @on_loop
 async def test_a_handler_that_never_ends_gives_504(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "HANDLER_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(operator_module, "HANDLER_TIMEOUT_S", 0.05)
     async with operators() as (server, port):
         assert (await call(port, post(1, "never"))).status == 504 and not server.tasks
 
@@ -138,10 +140,10 @@
 
 @on_loop
 async def test_held_connections_are_closed_for_others_and_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "MAX_CONNECTIONS", 3)
-    monkeypatch.setattr(front, "REQUEST_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(operator_module, "MAX_CONNECTIONS", 3)
+    monkeypatch.setattr(operator_module, "REQUEST_TIMEOUT_S", 0.2)
     async with operators() as (server, port):
-        holding = [await caller(port) for _ in range(5)]
+        holding = [await connect(port) for _ in range(5)]
         for client in holding:
             client.send(READY[:9])
         assert (await call(port, READY)).status == 200  # in spite of them
--- a/tests/test_rollout_core.py
+++ b/tests/test_rollout_core.py
@@ -38,50 +38,50 @@
 
     new_rate: float = 40
     base_rate: float = 60
-    new_fails: float = 0.0
-    new_ms: int = 20
+    new_failure_rate: float = 0.0
+    new_latency_ms: int = 20
     now_s: float = 100.0
     token: int = 1
     orders: list[Order] = dataclasses.field(default_factory=list)
-    held: list[Progress] = dataclasses.field(default_factory=list)
+    written: list[Progress] = dataclasses.field(default_factory=list)
     ended: dict[str, tuple[float, float]] = dataclasses.field(default_factory=dict)
-    full: bool = False
-    ordered: int = 0
+    disk_full: bool = False
+    order_count: int = 0
 
     def __post_init__(self) -> None:
         self.conductor = Conductor(self.token, None)
-        self.give(MembersChanged(MEMBERS))
+        self.dispatch(MembersChanged(MEMBERS))
 
     @property
     def progress(self) -> Progress:
-        return newest(tuple(encode(progress) for progress in self.held)) or Progress()
+        return newest(tuple(encode(progress) for progress in self.written)) or Progress()
 
-    def seen(self) -> tuple[str, int]:
+    def state_and_stage(self) -> tuple[str, int]:
         return self.progress.state, self.progress.stage
 
-    def give(self, event: object) -> None:
+    def dispatch(self, event: object) -> None:
         for action in self.conductor.handle(self.now_s, event):  # type: ignore[arg-type]
             if not isinstance(action, WriteProgress):
                 continue
-            if self.full:
-                self.give(WriteFailed(action.progress.version, "disk full"))
+            if self.disk_full:
+                self.dispatch(WriteFailed(action.progress.version, "disk full"))
                 continue
             assert action.progress.version > self.progress.version
-            self.held.append(action.progress)
-            self.give(ProgressWritten(action.progress.version))
+            self.written.append(action.progress)
+            self.dispatch(ProgressWritten(action.progress.version))
 
     def order(self, verb: Verb, name: str = "new", spec: Spec | None = None) -> Order:
-        self.ordered += 1
-        order = Order(f"{self.ordered:032x}", self.ordered, verb, name, spec)
+        self.order_count += 1
+        order = Order(f"{self.order_count:032x}", self.order_count, verb, name, spec)
         self.orders.append(order)
-        self.give(OrdersChanged(tuple(self.orders)))
+        self.dispatch(OrdersChanged(tuple(self.orders)))
         return order
 
     def next_conductor(self) -> None:
         self.token += 1
         self.conductor = Conductor(self.token, self.progress)
-        self.give(MembersChanged(MEMBERS))
-        self.give(OrdersChanged(tuple(self.orders)))
+        self.dispatch(MembersChanged(MEMBERS))
+        self.dispatch(OrdersChanged(tuple(self.orders)))
 
     def run(self, length_s: float) -> None:
         until_s = self.now_s + length_s
@@ -93,14 +93,14 @@
                 new += 0.5 * self.new_rate * (share > 0)
                 base += 0.5 * self.base_rate * (share < 1)
                 self.ended[member] = new, base
-                failed = int(new * self.new_fails)
+                failed = int(new * self.new_failure_rate)
                 version = self.progress.version
-                self.give(
+                self.dispatch(
                     CountsReported(
-                        member, 1, version, counts(int(new), failed, self.new_ms), counts(int(base))
+                        member, 1, version, counts(int(new), failed, self.new_latency_ms), counts(int(base))
                     )
                 )
-            self.give(Tick())
+            self.dispatch(Tick())
 
 
 def started(**rates: float) -> Fleet:
@@ -109,7 +109,7 @@
     return fleet
 
 
-def test_a_good_set_passes_every_stage_in_order_and_is_done() -> None:
+def test_a_good_set_passes_every_stage_in_order_and_the_rollout_is_done() -> None:
     fleet = started()
     shares = []
     for _ in range(30):
@@ -121,27 +121,29 @@
     assert (fleet.progress.state, fleet.progress.share) == ("rolled-back", 0)
 
 
-@pytest.mark.parametrize(("what", "why"), [({"new_fails": 0.3}, "more failed"), ({"new_ms": 90}, "slower")])
-def test_a_bad_set_is_stopped_in_the_first_stage(what: dict[str, float], why: str) -> None:
-    fleet = started(**what)
+@pytest.mark.parametrize(
+    ("rates", "reason"), [({"new_failure_rate": 0.3}, "more failed"), ({"new_latency_ms": 90}, "slower")]
+)
+def test_a_bad_set_is_stopped_in_the_first_stage(rates: dict[str, float], reason: str) -> None:
+    fleet = started(**rates)
     fleet.run(4)
     assert fleet.progress.state == "rolled-back" and fleet.progress.share == 0
-    assert why in fleet.progress.why and max(p.share for p in fleet.held) == 5
+    assert reason in fleet.progress.why and max(p.share for p in fleet.written) == 5
 
 
 def test_a_thin_sample_neither_promotes_nor_aborts_and_is_paused_in_the_end() -> None:
-    fleet = started(new_rate=0.2, new_fails=1.0)
+    fleet = started(new_rate=0.2, new_failure_rate=1.0)
     fleet.run(15)
-    assert fleet.seen() == ("baking", 0)
+    assert fleet.state_and_stage() == ("baking", 0)
     fleet.run(10)
-    assert fleet.seen() == ("paused", 0) and "thin" in fleet.progress.why
+    assert fleet.state_and_stage() == ("paused", 0) and "thin" in fleet.progress.why
     fleet.order("resume")
-    assert fleet.seen() == ("baking", 0)
+    assert fleet.state_and_stage() == ("baking", 0)
 
 
 def test_orders_are_processed_in_turn_and_each_gets_an_outcome() -> None:
     fleet = started()
-    other = fleet.order("start", "other", named(SPEC, "other"))
+    other = fleet.order("start", "other", with_name(SPEC, "other"))
     outcomes = dict(fleet.progress.outcomes)
     assert (
         outcomes[fleet.orders[0].id] == "taken" and outcomes[other.id] == "refused: new is under way (baking)"
@@ -160,18 +162,18 @@
 
 def test_an_order_that_arrives_late_with_a_lower_key_is_still_processed() -> None:
     fleet = started()
-    beside = Order("00", 1, "start", "other", named(SPEC, "other"))
-    assert beside.sort_key < fleet.orders[0].sort_key
-    fleet.orders.append(beside)
-    fleet.give(OrdersChanged(tuple(fleet.orders)))
+    concurrent = Order("00", 1, "start", "other", with_name(SPEC, "other"))
+    assert concurrent.sort_key < fleet.orders[0].sort_key
+    fleet.orders.append(concurrent)
+    fleet.dispatch(OrdersChanged(tuple(fleet.orders)))
     assert dict(fleet.progress.outcomes)["00"].startswith("refused: new is under way")
     fleet.orders.clear()  # the ledger has dropped them
-    fleet.give(OrdersChanged(()))
+    fleet.dispatch(OrdersChanged(()))
     fleet.order("pause")
-    assert fleet.seen() == ("paused", 0)
+    assert fleet.state_and_stage() == ("paused", 0)
 
 
-def named(spec: Spec, name: str) -> Spec:
+def with_name(spec: Spec, name: str) -> Spec:
     return Spec(name, spec.hosts, spec.steps, spec.bake_s, spec.rules)
 
 
@@ -189,18 +191,18 @@
             fleet.now_s, OrdersChanged((*fleet.orders, Order("f" * 32, 99, "abort", "new")))
         )
     ]
-    fleet.held += [a.progress for a in late if isinstance(a, WriteProgress)]
-    assert fleet.progress.token == 2 and fleet.seen()[0] == "baking"
+    fleet.written += [a.progress for a in late if isinstance(a, WriteProgress)]
+    assert fleet.progress.token == 2 and fleet.state_and_stage()[0] == "baking"
     fleet.run(15)
-    assert fleet.seen()[0] == "done"
+    assert fleet.state_and_stage()[0] == "done"
 
 
 def test_a_failed_write_of_a_step_is_retried_and_no_stage_is_skipped() -> None:
     fleet = started()
-    fleet.full = True
+    fleet.disk_full = True
     fleet.run(10)
     assert (fleet.progress.state, fleet.progress.stage) == ("baking", 0)
-    fleet.full = False
+    fleet.disk_full = False
     fleet.run(2)
     assert fleet.progress.stage == 1
 
@@ -209,26 +211,32 @@
     fleet = started(new_rate=0)
     fleet.run(1)
     version = fleet.progress.version
-    fleet.give(CountsReported("a", 2, version, counts(5), counts(5)))  # restarted: a new counts_id
-    fleet.give(CountsReported("b", 1, version, counts(4_000, 4_000), counts(10)))
-    fleet.give(Tick())
+    fleet.dispatch(CountsReported("a", 2, version, counts(5), counts(5)))  # restarted: a new counts_id
+    fleet.dispatch(CountsReported("b", 1, version, counts(4_000, 4_000), counts(10)))
+    fleet.dispatch(Tick())
     assert fleet.progress.state == "rolling-back"  # b's failures are of this window
     fresh = started(new_rate=0)
-    fresh.give(
+    fresh.dispatch(
         CountsReported("a", 9, (0, 0), counts(4_000, 4_000), counts(0))
     )  # counted before it served the step
     fresh.run(1)
     assert fresh.progress.state == "baking"
 
 
-def test_chance_rarely_fails_a_good_set_and_a_clearly_worse_one_is_found() -> None:
+def test_random_variation_rarely_fails_a_good_set_and_a_clearly_worse_one_is_detected() -> None:
     rng = random.Random(5)
 
-    def drawn(of: int, share: float) -> Counts:
-        return counts(of, sum(rng.random() < share for _ in range(of)))
+    def random_counts(total: int, share: float) -> Counts:
+        return counts(total, sum(rng.random() < share for _ in range(total)))
 
-    same = sum(judge(drawn(200, 0.05), drawn(2_000, 0.05), Rules()).outcome == "fail" for _ in range(300))
-    worse = sum(judge(drawn(400, 0.15), drawn(2_000, 0.05), Rules()).outcome == "fail" for _ in range(100))
+    same = sum(
+        judge(random_counts(200, 0.05), random_counts(2_000, 0.05), Rules()).outcome == "fail"
+        for _ in range(300)
+    )
+    worse = sum(
+        judge(random_counts(400, 0.15), random_counts(2_000, 0.05), Rules()).outcome == "fail"
+        for _ in range(100)
+    )
     assert same <= 12 and worse == 100
     few = judge(
         counts(21, 21), counts(3_000), Rules(least=40)
@@ -248,39 +256,39 @@
 
     from cloverkeel.fleet.rollout.part import _parse_spec
 
-    whole = {"name": "new", "hosts": {"groups": ["9"]}, "steps": [5, 100], "bake_s": 1} | spec
+    raw = {"name": "new", "hosts": {"groups": ["9"]}, "steps": [5, 100], "bake_s": 1} | spec
     with pytest.raises(ValueError, match="the rollout: "):
-        _parse_spec(json.dumps(whole).encode())
+        _parse_spec(json.dumps(raw).encode())
     with pytest.raises(ValueError, match="no counts"):
         counts_from_list([1, 2, 3])
 
 
-MOVES = st.sampled_from(
+STEPS = st.sampled_from(
     ["run", "pause", "resume", "abort", "undo", "start", "next", "full", "worse", "better"]
 )
 
 
 @settings(max_examples=60, deadline=None)
-@given(st.lists(MOVES, max_size=14))
-def test_under_any_sequence_no_stage_is_skipped_and_an_abort_ends_at_share_zero(moves: list[str]) -> None:
+@given(st.lists(STEPS, max_size=14))
+def test_under_any_sequence_no_stage_is_skipped_and_an_abort_ends_at_share_zero(steps: list[str]) -> None:
     fleet = started()
-    for move in moves:
-        match move:
+    for step in steps:
+        match step:
             case "run":
                 fleet.run(3)
             case "pause" | "resume" | "abort" | "undo":
-                fleet.order(move)
+                fleet.order(step)
             case "start":
                 fleet.order("start", spec=SPEC)
             case "next":
                 fleet.next_conductor()
             case "full":
-                fleet.full = not fleet.full
+                fleet.disk_full = not fleet.disk_full
             case _:
-                fleet.new_fails = 0.5 if move == "worse" else 0.0
-    fleet.full = False
+                fleet.new_failure_rate = 0.5 if step == "worse" else 0.0
+    fleet.disk_full = False
     fleet.run(40)
-    for before, after in zip(fleet.held, fleet.held[1:], strict=False):
+    for before, after in zip(fleet.written, fleet.written[1:], strict=False):
         assert after.share in (0, 100, *SPEC.steps) and after.version > before.version
         if after.share > before.share:
             started_anew = before.share == 0 and after.stage == 0
--- a/tests/test_rollout_shares.py
+++ b/tests/test_rollout_shares.py
@@ -11,13 +11,13 @@
 from tests.helpers import SETTINGS
 
 NEW, OLD = HostSelector(groups=frozenset({9})), HostSelector(none_of=(HostSelector(groups=frozenset({9})),))
-OVER = (Target(NEW, 0.25), Target(OLD, 0.75))
+SPLIT = (Target(NEW, 0.25), Target(OLD, 0.75))
 SERVERS = tuple(
     ListedServer(number, group=9 if number > 8 else 1, zone=number % 2) for number in range(1, 13)
 )
 
 
-def sent(plan: Plan, route: int, count: int = 2_000) -> Counter[int]:
+def sent_per_server(plan: Plan, route: int, count: int = 2_000) -> Counter[int]:
     balancer = Balancer(SETTINGS, seed=3)
     balancer.handle(0, ServerList(ListKind.FULL, SERVERS))
     balancer.handle(1, plan)
@@ -32,30 +32,32 @@
     return sum(n for server, n in found.items() if server > 8) / found.total()
 
 
-def test_requests_without_a_route_and_those_of_one_are_divided_alike() -> None:
+def test_requests_with_and_without_a_route_are_split_alike() -> None:
     zone = HostSelector(zones=frozenset({1}))
-    plan = Plan({0: Route(OVER), 4: split_route(Route((Target(zone, 1.0),), max_attempts=2), OVER)})
-    assert abs(share(sent(plan, 0)) - 0.25) < 0.03
-    routed = sent(plan, 4)
+    plan = Plan({0: Route(SPLIT), 4: split_route(Route((Target(zone, 1.0),), max_attempts=2), SPLIT)})
+    assert abs(share(sent_per_server(plan, 0)) - 0.25) < 0.03
+    routed = sent_per_server(plan, 4)
     assert abs(share(routed) - 0.25) < 0.03 and all(server % 2 == 1 for server in routed)
 
 
-def test_a_route_keeps_its_caps_and_a_part_without_hosts_is_served_by_the_rest() -> None:
+def test_a_split_route_keeps_its_limits_and_a_part_without_hosts_is_served_by_the_other() -> None:
     route = Route((Target(HostSelector(groups=frozenset({1})), 1.0),), max_attempts=2, deadline_us=5, limit=7)
-    over = split_route(route, OVER)
-    assert (over.max_attempts, over.deadline_us, over.limit) == (2, 5, 7)
+    split = split_route(route, SPLIT)
+    assert (split.max_attempts, split.deadline_us, split.limit) == (2, 5, 7)
     assert (
         share(
-            sent(Plan({1: split_route(Route((Target(HostSelector(groups=frozenset({1})), 1.0),)), OVER)}), 1)
+            sent_per_server(
+                Plan({1: split_route(Route((Target(HostSelector(groups=frozenset({1})), 1.0),)), SPLIT)}), 1
+            )
         )
         == 0
     )
     assert split_route(route, ()) is route
-    none = split_route(route, (Target(NEW, 0.0), Target(OLD, 1.0)))
-    assert [target.share for target in none.targets] == [1.0]
+    without_new = split_route(route, (Target(NEW, 0.0), Target(OLD, 1.0)))
+    assert [target.share for target in without_new.targets] == [1.0]
 
 
-def test_hosts_in_both_may_have_labels_of_both() -> None:
+def test_an_intersection_of_selectors_requires_the_labels_of_both() -> None:
     both = intersect(HostSelector(labels=frozenset({1})), HostSelector(labels=frozenset({2})))
     servers = (ListedServer(1, labels=frozenset({1, 2})), ListedServer(2, labels=frozenset({1})))
     balancer = Balancer(SETTINGS, seed=3)
--- a/tests/test_routes_conflicts.py
+++ b/tests/test_routes_conflicts.py
@@ -17,7 +17,7 @@
 from cloverkeel.fleet.routes.merge import Merge, merge_all
 from cloverkeel.fleet.routes.order import RouteOrder
 from cloverkeel.fleet.routes.overlaps import Overlaps, match_rule
-from tests.routes_histories import ENVIRONMENT, History, histories, plain, play
+from tests.routes_histories import ENVIRONMENT, History, histories, without_changed_routes, run_merge
 
 
 class TwoGateways(History):
@@ -28,7 +28,7 @@
 
     def heal(self) -> View:
         for gateway in (0, 1):
-            self.hear(gateway, 1 - gateway)
+            self.receive_from(gateway, 1 - gateway)
         return self.view()
 
     def view(self, environment: Environment = ENVIRONMENT) -> View:
@@ -39,7 +39,7 @@
     return sorted((each.kind, each.routes) for each in view.conflicts)
 
 
-def only(found: Iterable[Conflict]) -> Conflict:
+def single(found: Iterable[Conflict]) -> Conflict:
     (one,) = found
     return one
 
@@ -62,7 +62,7 @@
     history.heal()
     one, two = history.write(0, "red", "a", limit=6), history.write(1, "red", "a", limit=7)
     view = history.heal()
-    found = only(view.conflicts)
+    found = single(view.conflicts)
     assert (found.kind, found.severity, found.field) == ("field", "held", "limit")
     assert [(each.dot, each.value) for each in found.choices] == [(one, 6), (two, 7)]
     assert view.routes["a"].values["limit"] == 5 and view.routes["a"].decided["limit"].dot == first
@@ -145,7 +145,7 @@
     history.write(1, "blue", "a", note="b")
     view = history.heal()
     assert kinds(view) == [("field", ("a",))] and view.routes == {}
-    assert only(view.conflicts).teams == ("blue", "red")
+    assert single(view.conflicts).teams == ("blue", "red")
     history.write(0, "red", "a", owner="blue")
     assert history.heal().routes["a"].values == {"owner": "blue", "limit": 5, "note": "b"}
 
@@ -190,7 +190,7 @@
     history.heal()
     dot = history.write(1, "blue", "b", path="/x/y")
     view = history.heal()
-    found = only(view.conflicts)
+    found = single(view.conflicts)
     assert (found.kind, found.routes, found.teams) == ("overlap", ("a", "b"), ("blue", "red"))
     assert view.held_back == (dot,) and set(view.routes) == {"a"}
     history.write(1, "blue", "b", before=["a"])
@@ -237,10 +237,12 @@
     merge = Merge(ENVIRONMENT)
     for change in history.changes:
         merge.add(change)
-    play(merge)
+    run_merge(merge)
     for environment in environments:
         merge.set_environment(environment)
-        assert plain(play(merge)) == plain(merge_all(history.changes, environment))
+        assert without_changed_routes(run_merge(merge)) == without_changed_routes(
+            merge_all(history.changes, environment)
+        )
 
 
 @settings(max_examples=60, deadline=None)
@@ -249,7 +251,7 @@
     order = RouteOrder()
     overlaps = Overlaps(order)
     names = [f"r{number}" for number in range(12)]
-    every = [f"k{number}" for number in range(70)]
+    many_classes = [f"k{number}" for number in range(70)]
     views: dict[str, Any] = {}
     for _ in range(12):
         for name in rng.sample(names, rng.randrange(1, 6)):
@@ -259,7 +261,7 @@
                 order.put(name, None)
                 continue
             values: dict[str, Any] = {"path": rng.choice(("", "/x", "/x/y", "/x/y/z", "/w"))}
-            values["classes"] = rng.choice(([], ["k1"], ["k1", "k2"], every))
+            values["classes"] = rng.choice(([], ["k1"], ["k1", "k2"], many_classes))
             values["callers"] = rng.choice(([], ["k1"], ["k3"]))
             values["before"] = rng.sample(names, rng.randrange(3))
             history = TwoGateways()
--- a/tests/test_routes_files.py
+++ b/tests/test_routes_files.py
@@ -94,26 +94,26 @@
         (b'team = "t"\n#' + b"x" * 256 * 1024, ["the file has 262156 bytes"]),
     ],
 )  # fmt: skip
-def test_each_fault_is_one_line_that_names_its_place(text: bytes, lines: list[str]) -> None:
+def test_each_fault_is_one_line_that_names_its_position(text: bytes, lines: list[str]) -> None:
     with pytest.raises(FileError) as found:
         parse(text)
-    said = str(found.value).split("\n")
-    assert len(said) == len(lines)
-    assert all(one.startswith(line) for one, line in zip(said, lines, strict=True)), said
+    message_lines = str(found.value).split("\n")
+    assert len(message_lines) == len(lines)
+    assert all(one.startswith(line) for one, line in zip(message_lines, lines, strict=True)), message_lines
 
 
-def packed(data: bytes) -> str:
+def encoded_base(data: bytes) -> str:
     return base64.b64encode(zlib.compress(data)).decode()
 
 
 @pytest.mark.parametrize(
     "base",
     [
-        packed(bytes(BASE_MAX + 1)),
-        packed(b"\xc1"),
-        packed(msgspec.msgpack.encode([[{}], {}]))[:-8],
-        packed(msgspec.msgpack.encode([[{"a": [2, 1]}], {}])),
-        packed(msgspec.msgpack.encode([Context({("m", 1): (3, 2)}), {}])),
+        encoded_base(bytes(BASE_MAX + 1)),
+        encoded_base(b"\xc1"),
+        encoded_base(msgspec.msgpack.encode([[{}], {}]))[:-8],
+        encoded_base(msgspec.msgpack.encode([[{"a": [2, 1]}], {}])),
+        encoded_base(msgspec.msgpack.encode([Context({("m", 1): (3, 2)}), {}])),
     ],
 )
 def test_an_invalid_base_is_refused_with_one_line(base: str) -> None:
--- a/tests/test_routes_index.py
+++ b/tests/test_routes_index.py
@@ -41,7 +41,7 @@
     return View("", by_name, precedes or {}, (), (), (), Context(), named)
 
 
-def filled(*routes: RouteView, zone: str = "z1") -> Index:
+def index_of(*routes: RouteView, zone: str = "z1") -> Index:
     index = Index(zone, {each.name: number for number, each in enumerate(routes, 1)})
     for each in routes:
         index.put(each)
@@ -54,18 +54,18 @@
 
 segments = st.sampled_from(("a", "b", "ab"))
 paths = st.lists(segments, max_size=3).map(lambda s: "/" + "/".join(s))
-some = st.lists(st.sampled_from(("k1", "k2")), max_size=2)
+name_lists = st.lists(st.sampled_from(("k1", "k2")), max_size=2)
 routes_drawn = st.lists(
-    st.tuples(some, some, paths, st.sampled_from(([], ["z1"], ["z2"], ["z1", "z2"]))), max_size=8
+    st.tuples(name_lists, name_lists, paths, st.sampled_from(([], ["z1"], ["z2"], ["z1", "z2"]))), max_size=8
 )
 
 
-def search_all(
+def linear_search(
     routes: list[RouteView], before: Mapping[str, frozenset[str]], klass: str, caller: str, path: str
 ) -> str | None:
     """The expected route, by linear search: the most specific of the matching routes that no other
     precedes."""
-    asked = path_segments(path.encode())
+    segments_asked = path_segments(path.encode())
 
     def prefix(each: RouteView) -> list[bytes]:
         return path_segments((each.values.get("path") or "").encode())
@@ -73,14 +73,16 @@
     def matches(each: RouteView) -> bool:
         v = each.values
         named = klass in v.get("classes", [klass]) and caller in v.get("callers", [caller])
-        return named and "z1" in v.get("zones", ["z1"]) and asked[: len(prefix(each))] == prefix(each)
+        return (
+            named and "z1" in v.get("zones", ["z1"]) and segments_asked[: len(prefix(each))] == prefix(each)
+        )
 
     found = [each for each in routes if matches(each)]
-    free = [e for e in found if not any(e.name in before.get(other.name, ()) for other in found)]
+    not_preceded = [e for e in found if not any(e.name in before.get(other.name, ()) for other in found)]
     order = [
         (*(kind not in each.values for kind in ("callers", "classes")), -len(prefix(each)),
          "zones" not in each.values, each.name)
-        for each in free
+        for each in not_preceded
     ]  # fmt: skip
     return str(min(order)[-1]) if order else None
 
@@ -104,10 +106,10 @@
     for first in range(7, -1, -1):  # only lower numbers precede higher ones, so no cycles; transitive
         nexts = [f"r{after}" for before, after in pairs if before == first < after]
         precedes[f"r{first}"] = frozenset(nexts).union(*(precedes[name] for name in nexts))
-    index = filled(*routes, *routes)  # the second put replaces the first
+    index = index_of(*routes, *routes)  # the second put replaces the first
     index.set_precedence(precedes)
     left = [each for n, each in enumerate(routes) if n not in removed]
-    expected = search_all(left, precedes, klass, caller, path)
+    expected = linear_search(left, precedes, klass, caller, path)
     for number in removed:
         index.remove(f"r{number}")
     assert name_of(index.find(klass.encode(), caller.encode(), path.encode())) == expected
@@ -117,7 +119,7 @@
 
 
 def test_a_prefix_matches_whole_segments_and_the_longest_wins() -> None:
-    index = filled(route("short", path="/pay"), route("long", path="/pay/eu/"), route("b", callers=["b"]))
+    index = index_of(route("short", path="/pay"), route("long", path="/pay/eu/"), route("b", callers=["b"]))
     for path, name in (("/pay", "short"), ("/pay/eu", "long"), ("/pay/eu/9", "long"), ("/pay/euro", "short")):
         assert name_of(index.find(b"pay", b"a", path.encode())) == name
         assert name_of(index.find(b"pay", b"b", path.encode())) == "b"
@@ -145,8 +147,8 @@
     assert shares == {canary: 0.05, third: 0.6, rest: 0.35}
     assert listed.kind in canary.kinds and {listed.group, by_text.group} == third.groups
     assert (compiled.max_attempts, compiled.deadline_us, compiled.limit) == (2, 40_000, 7)
-    none_there = compile_route(route("r", targets=[{"groups": ["3"], "share": 0}]), NAMES)
-    assert none_there == Route((Target(HostSelector(none_of=(third,))),))
+    zero_share = compile_route(route("r", targets=[{"groups": ["3"], "share": 0}]), NAMES)
+    assert zero_share == Route((Target(HostSelector(none_of=(third,))),))
 
 
 def test_labels_of_an_entry_are_strings() -> None:
@@ -222,7 +224,7 @@
     assert gateway.seen[-1] == len(fewer) == len(served.numbers)
 
 
-def test_the_lab_prints_what_routes_cost(
+def test_the_lab_prints_the_costs_of_routes(
     monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
     monkeypatch.setattr(lookups, "ROUTE_COUNTS", (10, 100))
--- a/tests/test_routes_merge.py
+++ b/tests/test_routes_merge.py
@@ -7,7 +7,7 @@
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from tests.routes_histories import ENVIRONMENT, History, histories, plain, play
+from tests.routes_histories import ENVIRONMENT, History, histories, without_changed_routes, run_merge
 
 from cloverkeel.fleet.ledger.dots import Dot
 from cloverkeel.fleet.routes.interface import View
@@ -26,18 +26,22 @@
         if rng.random() < 0.4:
             for _ in islice(merge.settle(), rng.randrange(12)):  # not always run to the end
                 pass
-    assert plain(play(merge)) == plain(merge_all(history.changes, ENVIRONMENT))
+    assert without_changed_routes(run_merge(merge)) == without_changed_routes(
+        merge_all(history.changes, ENVIRONMENT)
+    )
 
 
 @settings(max_examples=60, deadline=None)
 @given(histories())
 def test_incremental_merges_equal_a_merge_from_scratch_and_report_changed_routes(history: History) -> None:
     merge = Merge(ENVIRONMENT)
-    before = play(merge)
+    before = run_merge(merge)
     for at, change in enumerate(history.changes):
         merge.add(change)
-        after = play(merge)
-        assert plain(after) == plain(merge_all(history.changes[: at + 1], ENVIRONMENT))
+        after = run_merge(merge)
+        assert without_changed_routes(after) == without_changed_routes(
+            merge_all(history.changes[: at + 1], ENVIRONMENT)
+        )
         names = {*before.routes, *after.routes}
         assert after.changed_routes == frozenset(
             each for each in names if before.routes.get(each) != after.routes.get(each)
@@ -45,10 +49,10 @@
         before = after
 
 
-def lost(history: History, view: View) -> list[tuple[str, str, Dot]]:
+def lost_edits(history: History, view: View) -> list[tuple[str, str, Dot]]:
     """Writes that are lost: not in the plan, a conflict, waiting or held back, nor superseded by a later
     change."""
-    gone = []
+    found = []
     shown = {
         (route, each.dot)
         for conflict in view.conflicts
@@ -75,20 +79,20 @@
                 continue  # reported as not in service, or its resolution is held back
             values = {} if route is None else {**route.unknown_fields, **route.values}
             if edit.field == "deleted":
-                made_anew = any(e.route == edit.route and e.field != "deleted" for e in change.edits)
-                kept = edit.value is not True or route is None or made_anew
+                created_again = any(e.route == edit.route and e.field != "deleted" for e in change.edits)
+                kept = edit.value is not True or route is None or created_again
             else:
                 kept = edit.value in (None, []) or edit.field in values
             if not kept:
-                gone.append((edit.route, edit.field, change.dot))
-    return gone
+                found.append((edit.route, edit.field, change.dot))
+    return found
 
 
 @settings(max_examples=100, deadline=None)
 @given(histories())
 def test_no_edit_is_lost(history: History) -> None:
     view = merge_all(history.changes, ENVIRONMENT)
-    assert lost(history, view) == []
+    assert lost_edits(history, view) == []
 
 
 @settings(max_examples=100, deadline=None)
@@ -121,11 +125,11 @@
     merge = Merge(ENVIRONMENT)
     for change in history.changes:
         merge.add(change)
-    before = play(merge)
+    before = run_merge(merge)
     dots = merge.droppable()
     for dot in dots:
         merge.drop(dot)
-    assert plain(play(merge)) == plain(before)
-    assert plain(merge_all([each for each in history.changes if each.dot not in dots], ENVIRONMENT)) == plain(
-        before
-    )
+    assert without_changed_routes(run_merge(merge)) == without_changed_routes(before)
+    assert without_changed_routes(
+        merge_all([each for each in history.changes if each.dot not in dots], ENVIRONMENT)
+    ) == without_changed_routes(before)
--- a/tests/test_routes_process.py
+++ b/tests/test_routes_process.py
@@ -49,9 +49,9 @@
 """
 
 
-async def routes(*words: str, operator: int) -> tuple[int, str, str]:
+async def routes(*arguments: str, operator: int) -> tuple[int, str, str]:
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "cloverkeel", "routes", *words, "--operator", f"127.0.0.1:{operator}",
+        sys.executable, "-m", "cloverkeel", "routes", *arguments, "--operator", f"127.0.0.1:{operator}",
         cwd=ROOT, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE,
     )  # fmt: skip
     out, errors = await process.communicate()
@@ -59,13 +59,13 @@
     return process.returncode, out.decode(), errors.decode()
 
 
-async def shown(operator: int, **has: object) -> dict[str, Any]:
+async def wait_for_plan(operator: int, **expected: object) -> dict[str, Any]:
     """The plan at a gateway, once its named entries have these values or lengths."""
     while True:
         code, out, errors = await routes("show", "--json", operator=operator)
         if code == 0:
             found = json.loads(out)
-            if all(found[key] == value or len(found[key]) == value for key, value in has.items()):
+            if all(found[key] == value or len(found[key]) == value for key, value in expected.items()):
                 assert isinstance(found, dict)
                 return found
         else:
@@ -73,7 +73,9 @@
 
 
 @asynccontextmanager
-async def two(tmp_path: Path, *hosts: dict[str, object]) -> AsyncIterator[tuple[list[int], list[int]]]:
+async def two_gateways(
+    tmp_path: Path, *hosts: dict[str, object]
+) -> AsyncIterator[tuple[list[int], list[int]]]:
     """Runs a fleet of two gateways; gives their operator ports and their client ports."""
     operators = [free_port(), free_port()]
     binds = [f"127.0.0.1:{free_port()}" for _ in operators]
@@ -96,14 +98,14 @@
 async def test_a_file_applied_at_one_gateway_is_in_service_at_the_other(tmp_path: Path) -> None:
     async with peer() as old, peer() as canary:
         hosts = endpoint("s-0", old.address, group=1), endpoint("s-1", canary.address, group=3)
-        async with two(tmp_path, *hosts) as ((one, other), clients):
+        async with two_gateways(tmp_path, *hosts) as ((one, other), clients):
             file = tmp_path / "pay.toml"
             file.write_text(NEW)
             code, out, _ = await routes("apply", str(file), operator=one)
             assert code == 0 and out.startswith("committed: g1/") and "held by 2" in out
             assert file.read_text().startswith('# ours\nteam = "pay"\nbase = "')
             assert (await routes("apply", str(file), operator=other))[1].startswith("nothing differs")
-            plans = [await shown(port, routes=1) for port in (one, other)]
+            plans = [await wait_for_plan(port, routes=1) for port in (one, other)]
             assert plans[0] | {"member": ""} == plans[1] | {"member": ""}
             (route,) = plans[1]["routes"]
             assert route["values"]["path"] == PATH and route["decided"]["path"]["team"] == "pay"
@@ -121,14 +123,14 @@
             code, out, _ = await routes("apply", str(file), operator=one)
             assert code == 0 and "--take 1" in out
             assert "since changed for: eu" in (await routes("apply", str(file), operator=one))[1]
-            both = [await shown(port, conflicts=1) for port in (one, other)]
+            both = [await wait_for_plan(port, conflicts=1) for port in (one, other)]
             (conflict,) = both[0]["conflicts"]
             assert conflict == both[1]["conflicts"][0] and conflict["teams"] == ["pay"]
             assert both[1]["routes"][0]["values"]["path"] == PATH  # the last agreed value
-            words = ("resolve", conflict["id"], "--team", "pay", "--value")
-            assert (await routes(*words, '"no path"', operator=other))[0] == 1
-            assert (await routes(*words, '"/at"', operator=other))[0] == 0
-            after = await shown(one, conflicts=0)
+            arguments = ("resolve", conflict["id"], "--team", "pay", "--value")
+            assert (await routes(*arguments, '"no path"', operator=other))[0] == 1
+            assert (await routes(*arguments, '"/at"', operator=other))[0] == 0
+            after = await wait_for_plan(one, conflicts=0)
             assert after["routes"][0]["values"]["path"] == "/at"
 
 
@@ -146,25 +148,25 @@
 
 @on_loop
 async def test_invalid_commands_are_refused_with_one_line_and_write_nothing(tmp_path: Path) -> None:
-    async with two(tmp_path, endpoint("s-0", "127.0.0.1:1", group=3)) as ((one, other), _):
-        await shown(one, count=0)
+    async with two_gateways(tmp_path, endpoint("s-0", "127.0.0.1:1", group=3)) as ((one, other), _):
+        await wait_for_plan(one, count=0)
         file = tmp_path / "bad.toml"
         for text, line in BAD.items():
             file.write_text(text)
             code, out, errors = await routes("apply", str(file), operator=one)
             assert (code, out) == (1, "") and errors.count("\n") == 1, errors
             assert errors.startswith(f"cloverkeel: 127.0.0.1:{one}: {line}"), errors
-        for words, line in (
+        for arguments, line in (
             (("resolve", "c0", "--keep", "--team", "pay"), "there is no conflict c0"),
             (("accept", "g1/1/1", "--route", "a", "--team", "pay"), "no edit of a by g1/1/1 is waiting"),
             (("accept", "g1", "--route", "a", "--team", "pay"), "'g1' is not the name of a change"),
             (("show", "--toml"), "--toml exports one team's file: give --team"),
         ):
-            code, out, errors = await routes(*words, operator=one)
+            code, out, errors = await routes(*arguments, operator=one)
             assert (code, out) == (1, "") and errors.count("\n") == 1, errors
             assert errors.startswith(f"cloverkeel: 127.0.0.1:{one}: {line}"), errors
         assert (await routes("apply", str(tmp_path / "none.toml"), operator=one))[0] == 2
-        assert (await shown(other, count=0))["held_back"] == []
+        assert (await wait_for_plan(other, count=0))["held_back"] == []
 
 
 @pytest.mark.parametrize(
@@ -193,7 +195,7 @@
 
 
 @on_loop
-async def test_in_an_upgrade_the_new_process_uses_the_predecessor_s_plan_while_that_drains(
+async def test_in_an_upgrade_the_new_process_uses_the_plan_of_its_predecessor_while_that_drains(
     tmp_path: Path,
 ) -> None:
     """The old process holds the ledger until it ends; without its plan the new process ignored the routes."""
@@ -209,12 +211,12 @@
         config |= {"known": hosts_list(7, *hosts), "cluster": {"name": "blue", "bind": "127.0.0.1:0"}}
         with listening() as held:
             async with program(tmp_path, config, operators[0], held) as (process, port):
-                await shown(operators[0], count=0)
+                await wait_for_plan(operators[0], count=0)
                 file = tmp_path / "pay.toml"
                 file.write_text(NEW)
                 assert (await routes("apply", str(file), operator=operators[0]))[0] == 0
-                hangs = await connect(port)
-                hangs.send(request("transfer"))
+                unanswered = await connect(port)
+                unanswered.send(request("transfer"))
                 await until(lambda: old.seen or canary.seen)
                 old.seen.clear()
                 canary.seen.clear()
@@ -228,4 +230,4 @@
                         client.close()
                     assert process.returncode is None
                     assert (len(old.seen), len(canary.seen)) == (0, 20)
-                    hangs.close()
+                    unanswered.close()
--- a/tests/test_routes_shell.py
+++ b/tests/test_routes_shell.py
@@ -41,9 +41,9 @@
 
 
 @asynccontextmanager
-async def merging(tmp_path: Path) -> AsyncIterator[tuple[list[RoutesService], list[LedgerService]]]:
+async def routes_fleet(tmp_path: Path) -> AsyncIterator[tuple[list[RoutesService], list[LedgerService]]]:
     async with fleet(tmp_path) as services:
-        made = [started(service) for service in services]
+        made = [start_routes(service) for service in services]
         try:
             await until(lambda: all(each.view is not None for each in made))
             yield made, services
@@ -52,7 +52,7 @@
                 each.close()
 
 
-def started(service: LedgerService, environment: Environment = Environment()) -> RoutesService:  # noqa: B008
+def start_routes(service: LedgerService, environment: Environment = Environment()) -> RoutesService:  # noqa: B008
     made = RoutesService(
         service, FixedEnvironment(environment), lambda: Merge(Environment()), lambda view: None
     )
@@ -71,7 +71,7 @@
     return routes.view
 
 
-async def agreed(route_services: list[RoutesService], *dots: Dot) -> View:
+async def wait_agreed(route_services: list[RoutesService], *dots: Dot) -> View:
     """The view, once all have merged these changes; checks that plan and conflicts are the same
     everywhere."""
     await until(lambda: all(view_of(each).context.covers(dot) for each in route_services for dot in dots))
@@ -82,7 +82,7 @@
     return view_of(route_services[0])
 
 
-def new(route: str, team: str, **fields: Any) -> tuple[Edit, ...]:
+def new_route(route: str, team: str, **fields: Any) -> tuple[Edit, ...]:
     return tuple(Edit(route, name, value) for name, value in sorted({"owner": team, **fields}.items()))
 
 
@@ -102,7 +102,7 @@
         await until(lambda: routes.view is not None)
         assert len(served) == 1  # the view from disk
         settling.settled = False
-        await write(routes, "pay", Context(), *new("r", "pay", limit=1))
+        await write(routes, "pay", Context(), *new_route("r", "pay", limit=1))
         assert "r" in view_of(routes).routes and len(served) == 1
         settling.settled = True
         await until(lambda: len(served) == 2)
@@ -116,20 +116,20 @@
 ) -> None:
     monkeypatch.setattr(logging.getLogger("cloverkeel.fleet"), "propagate", True)
     caplog.set_level(logging.INFO, "cloverkeel.fleet")
-    async with merging(tmp_path) as (route_services, services):
+    async with routes_fleet(tmp_path) as (route_services, services):
         first, second, third = route_services
-        made = await write(first, "pay", Context(), *new("r", "pay", limit=1))
+        made = await write(first, "pay", Context(), *new_route("r", "pay", limit=1))
         assert (made.dot.member, made.dot.counter) == ("m0", 1)
-        seen = (await agreed(route_services, made.dot)).context
+        seen = (await wait_agreed(route_services, made.dot)).context
         one = await write(first, "pay", seen, Edit("r", "limit", 2))
         two = await write(second, "pay", seen, Edit("r", "limit", 3), Edit("r", "note", "more"))
-        view = await agreed(route_services, one.dot, two.dot)
+        view = await wait_agreed(route_services, one.dot, two.dot)
         assert dict(view.routes["r"].values) == {"limit": 1, "note": "more", "owner": "pay"}
         (conflict,) = view.conflicts
         edits = resolution_edits(conflict, Resolution("take", 2), view)
         assert edits == (Edit("r", "limit", conflict.choices[1].value),)
         last = await write(third, "pay", view.context, *edits)
-        assert (await agreed(route_services, last.dot)).conflicts == ()
+        assert (await wait_agreed(route_services, last.dot)).conflicts == ()
 
         logged = [(r.getMessage(), vars(r)["fields"].get("id")) for r in caplog.records]
         assert [each for each in logged if each[1]] == [
@@ -138,7 +138,7 @@
         await services[0].write(KIND, "m9/1/1", b"\xc1", Context(), Level.ALL)
         await services[0].write(KIND, "m9/1/2", encode(last), Context(), Level.ALL)
         await until(lambda: all(each.counts["malformed"] == 2 for each in route_services))
-        again = started(services[1])  # from disk
+        again = start_routes(services[1])  # from disk
         await until(lambda: again.view is not None)
         assert (view_of(again).hash, view_of(again).context) == (
             view_of(second).hash,
@@ -149,12 +149,12 @@
 
 @on_loop
 async def test_a_change_is_concurrent_only_to_unseen_changes_of_its_own_routes(tmp_path: Path) -> None:
-    async with merging(tmp_path) as (route_services, _):
+    async with routes_fleet(tmp_path) as (route_services, _):
         first = route_services[0]
-        made = await write(first, "pay", Context(), *new("r", "pay", limit=1))
-        fresh = new("other", "cards", limit=1)
+        made = await write(first, "pay", Context(), *new_route("r", "pay", limit=1))
+        fresh = new_route("other", "cards", limit=1)
         assert first.commit_context(Context(), fresh).covers(made.dot)
-        assert first.commit_context(Context(), new("r", "cards")) == Context()
+        assert first.commit_context(Context(), new_route("r", "cards")) == Context()
         later = await write(first, "cards", first.commit_context(Context(), fresh), *fresh)
         seen = Context().add((made.dot,))
         assert first.commit_context(seen, (Edit("r", DELETED, True),)).covers(later.dot)
@@ -165,9 +165,9 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(routes_shell, "RETRY_S", 0.01)
-    async with merging(tmp_path) as (route_services, _):
+    async with routes_fleet(tmp_path) as (route_services, _):
         first = route_services[0]
-        made = await write(first, "pay", Context(), *new("r", "pay", limit=1))
+        made = await write(first, "pay", Context(), *new_route("r", "pay", limit=1))
         before = view_of(first)
 
         def fails() -> Iterator[None]:
@@ -187,16 +187,16 @@
     monkeypatch.setattr(routes_shell, "DROP_INTERVAL_S", 0.0)
     monkeypatch.setattr(routes_shell, "POLL_S", 0.01)
     monkeypatch.setattr(routes_shell, "DROP_MIN", 2)
-    async with merging(tmp_path) as (route_services, services):
+    async with routes_fleet(tmp_path) as (route_services, services):
         first, second, _ = route_services
-        made = await write(first, "pay", Context(), *new("r", "pay", limit=1))
+        made = await write(first, "pay", Context(), *new_route("r", "pay", limit=1))
         for limit in range(2, 9):
             made = await write(second, "pay", view_of(second).context, Edit("r", "limit", limit))
         await until(lambda: first.counts["dropped"])
         await until(lambda: all(len(each.changes) <= 5 for each in route_services))
-        view = await agreed(route_services, made.dot)
+        view = await wait_agreed(route_services, made.dot)
         assert view.routes["r"].values["limit"] == 8 and not second.counts["dropped"]
-        again = started(services[2])
+        again = start_routes(services[2])
         await until(lambda: again.view is not None)
         assert view_of(again).hash == view.hash
         again.close()
@@ -216,7 +216,7 @@
 
 
 @pytest.mark.parametrize(
-    ("found", "how", "edits"),
+    ("found", "resolution", "edits"),
     [
         (conflict("field", "r"), Resolution("take", 2), [Edit("r", "limit", 7)]),
         (conflict("field", "r"), Resolution("value", value="9"), [Edit("r", "limit", 9)]),
@@ -242,13 +242,15 @@
         (conflict("cycle", "a", "b", field="before"), Resolution("take", 1), "has no sides"),
     ],
 )  # fmt: skip
-def test_a_resolution_gives_edits_or_an_error_line(found: Conflict, how: Resolution, edits: Any) -> None:
+def test_a_resolution_gives_edits_or_an_error_line(
+    found: Conflict, resolution: Resolution, edits: Any
+) -> None:
     view = plan(a={"before": ["c"]}, b={})
     if isinstance(edits, str):
         with pytest.raises(ValueError, match=edits):
-            resolution_edits(found, how, view)
+            resolution_edits(found, resolution, view)
     else:
-        assert resolution_edits(found, how, view) == tuple(edits)
+        assert resolution_edits(found, resolution, view) == tuple(edits)
 
 
 def test_a_change_name_is_parsed_as_shown() -> None:
@@ -262,27 +264,27 @@
 def test_edits_that_leave_a_class_without_hosts_are_reported_and_no_others() -> None:
     rows = [{"type": "m", "group": 1}, {"type": "m", "group": 2, "labels": ["new"]}]
 
-    def why(view: View = plan(), **values: Any) -> str:  # noqa: B008
+    def faults_of(view: View = plan(), **values: Any) -> str:  # noqa: B008
         return "; ".join(
             edit_faults(view, [Edit("r", name, value) for name, value in values.items()], rows, ENVIRONMENT)
         )
 
     unmatched = [{"groups": ["9"], "share": 100}]
-    assert "transfer would be without hosts" in why(classes=["transfer"], targets=unmatched)
-    assert "every class" in why(plan(r={"targets": unmatched}), limit=3)
+    assert "transfer would be without hosts" in faults_of(classes=["transfer"], targets=unmatched)
+    assert "every class" in faults_of(plan(r={"targets": unmatched}), limit=3)
     assert not edit_faults(
         plan(), [Edit("r", "targets", unmatched)], [], ENVIRONMENT
     )  # no hosts are listed, so this is not checked
-    assert "classes that the settings do not have: other" in why(classes=["other"])
-    assert "110 %" in why(targets=[{"groups": ["1"], "share": 40}, {"groups": ["2"], "share": 70}])
-    assert not why(plan(r={"classes": ["other"]}), limit=3)  # not changed by this edit
-    assert not why(classes=["other"], deleted=True)
-    for fine in (
+    assert "classes that the settings do not have: other" in faults_of(classes=["other"])
+    assert "110 %" in faults_of(targets=[{"groups": ["1"], "share": 40}, {"groups": ["2"], "share": 70}])
+    assert not faults_of(plan(r={"classes": ["other"]}), limit=3)  # not changed by this edit
+    assert not faults_of(classes=["other"], deleted=True)
+    for valid in (
         {"targets": unmatched, "path": "/x"}, {"targets": unmatched, "callers": ["acme"]},
         {"targets": [{"groups": ["9"], "share": 5}]}, {"targets": [{"labels": ["new"], "share": 100}]},
         {"limit": 3}, {"targets": unmatched, DELETED: True},
     ):  # fmt: skip
-        assert not why(**fine)
+        assert not faults_of(**valid)
 
 
 def test_one_member_logs_a_conflict_and_lines_are_limited() -> None:
@@ -319,28 +321,28 @@
         groups=frozenset({"3", "x", "0"}),
         labels=frozenset({"new", "big"}),
     )
-    nothing = environment_of(config.names, {}, [], None)
-    assert [nothing.groups, nothing.labels, nothing.transforms] == [None, None, None]
+    without_list = environment_of(config.names, {}, [], None)
+    assert [without_list.groups, without_list.labels, without_list.transforms] == [None, None, None]
 
 
 @on_loop
 async def test_the_environment_is_polled_again_when_list_or_transforms_change() -> None:
     config = parse(configuration())
     wanted: dict[str, Order] = {}
-    book = SimpleNamespace(versions_to_stage=lambda: wanted)
+    ledger_state = SimpleNamespace(versions_to_stage=lambda: wanted)
     transforms: Any = SimpleNamespace(activator=None)
     gateway: Any = SimpleNamespace(
         names=config.names, listed_hosts={}, discovery=SimpleNamespace(index=1, epoch=None)
     )
-    worlds = GatewayEnvironment(gateway, {}, transforms)
-    first = await worlds.poll_changed()
-    assert first is not None and first.transforms is None and await worlds.poll_changed() is None
-    transforms.activator = SimpleNamespace(core=SimpleNamespace(ledger_state=book))
-    assert await worlds.poll_changed() == dataclasses.replace(first, transforms={})
+    env_source = GatewayEnvironment(gateway, {}, transforms)
+    first = await env_source.poll_changed()
+    assert first is not None and first.transforms is None and await env_source.poll_changed() is None
+    transforms.activator = SimpleNamespace(core=SimpleNamespace(ledger_state=ledger_state))
+    assert await env_source.poll_changed() == dataclasses.replace(first, transforms={})
     source = b'transform t owner o phase request writes x-a set x-a = "1"'
     wanted |= {"1": Order("t", "1", 1, "publish", source), "2": Order("t", "2", 2, "publish", b"?")}
-    assert await worlds.poll_changed() == dataclasses.replace(first, transforms={"t": frozenset({"x-a"})})
+    assert await env_source.poll_changed() == dataclasses.replace(first, transforms={"t": frozenset({"x-a"})})
     del wanted["1"]
-    assert await worlds.poll_changed() == dataclasses.replace(first, transforms={"t": frozenset()})
+    assert await env_source.poll_changed() == dataclasses.replace(first, transforms={"t": frozenset()})
     gateway.discovery.index = 2
-    assert await worlds.poll_changed() is not None and await worlds.poll_changed() is None
+    assert await env_source.poll_changed() is not None and await env_source.poll_changed() is None
--- a/tests/test_routes_storm.py
+++ b/tests/test_routes_storm.py
@@ -18,7 +18,7 @@
         super().add(msgspec.structs.replace(change, context=Context()))
 
 
-def test_histories_keep_the_invariants_and_a_merge_without_contexts_is_found() -> None:
+def test_histories_keep_the_invariants_and_a_merge_that_ignores_contexts_is_detected() -> None:
     assert [routes_history.play(seed, members=5, steps=6).violations for seed in range(20, 27)] == [[]] * 7
     broken = [
         routes_history.play(seed, members=5, steps=6, merge_factory=IgnoresContexts).violations
@@ -31,7 +31,7 @@
     assert routes_history.play(3, members=6, steps=8) == routes_history.play(3, members=6, steps=8)
 
 
-def test_last_writer_wins_loses_concurrent_edits_and_the_merge_none() -> None:
+def test_last_writer_wins_loses_concurrent_edits_and_the_merge_loses_none() -> None:
     found = baseline.run(teams=4, trials=10, seed=1)
     assert found["edits_lost"] == 0 < found["last_writer_wins"]["edits_lost"]
     assert 0.3 < found["merged_with_no_person"] < 1.0
--- a/tests/test_state.py
+++ b/tests/test_state.py
@@ -64,10 +64,10 @@
 
 @given(st.lists(servers, max_size=5), st.lists(st.floats(), max_size=4), st.lists(st.floats(), max_size=4))
 def test_any_learned_state_leaves_the_balancer_serving(
-    learned: list[LearnedServer], smoothed: list[float], unhindered: list[float]
+    learned: list[LearnedServer], smoothed: list[float], baseline: list[float]
 ) -> None:
     driver = Driver(servers=5)
-    driver.handle(Restore(LearnedState(tuple(learned), tuple(smoothed), tuple(unhindered))))
+    driver.handle(Restore(LearnedState(tuple(learned), tuple(smoothed), tuple(baseline))))
     for server in driver.balancer.servers.values():
         assert 0.0 < server.weight <= 1.0 and 0.0 <= server.idle <= 1.0
         assert server.breaker.open_until_us <= driver.now_us + 8_000_000
@@ -78,12 +78,12 @@
     driver.end(name, sends(actions)[0].server, Outcome.OK)
 
 
-def test_a_snapshot_survives_the_file_and_a_damaged_row_falls_back(tmp_path: Path) -> None:
+def test_a_snapshot_is_read_back_and_a_damaged_row_falls_back_to_an_older_one(tmp_path: Path) -> None:
     learned = learned_driver().balancer.learned_state()
-    figures = StoreCounters()
+    counters = StoreCounters()
     fd = Store.acquire_lock(str(tmp_path))
     assert fd is not None and Store.acquire_lock(str(tmp_path)) is None
-    store, found = Store.open(str(tmp_path), fd, figures, 0.0)
+    store, found = Store.open(str(tmp_path), fd, counters, 0.0)
     assert found == []
     store.prepare()
     store.write(Snapshot(1.0, learned, {"index": 3}))
@@ -100,18 +100,18 @@
     store.close()
 
 
-def test_a_file_that_is_no_database_is_moved_aside(tmp_path: Path) -> None:
+def test_a_file_that_is_not_a_database_is_moved_aside(tmp_path: Path) -> None:
     (tmp_path / state.STATE_FILE).write_bytes(b"not a database at all" * 50)
-    figures = StoreCounters()
-    keeper, snapshot = state.recover(str(tmp_path), 5.0, 60.0, False, figures)
-    assert keeper is not None and snapshot is None and figures.corrupt == 1
+    counters = StoreCounters()
+    state_writer, snapshot = state.recover(str(tmp_path), 5.0, 60.0, False, counters)
+    assert state_writer is not None and snapshot is None and counters.corrupt == 1
     assert any(name.startswith(state.STATE_FILE + ".corrupt-") for name in os.listdir(tmp_path))
-    keeper.close(None, 5.0)
+    state_writer.close(None, 5.0)
     with sqlite3.connect(tmp_path / state.STATE_FILE) as connection:
         assert state.read_counters(connection) == {"boots": 1}
 
 
-def test_old_snapshots_are_judged_stale() -> None:
+def test_snapshots_that_are_too_old_or_from_the_future_are_unusable() -> None:
     snapshot = Snapshot(100.0, LearnedState((), (), ()))
     assert state.unusable_reason(snapshot, 150.0, 60.0) is None
     assert "over the bound" in str(state.unusable_reason(snapshot, 161.0, 60.0))
@@ -126,13 +126,13 @@
         (11_000.0, 12_000.0, 13_000.0),
         (1_000.0, 2_000.0, 3_000.0),
     )
-    then = (b"gone", b"swap", b"view")
-    kept = codec.decode(codec.encode(Snapshot(1.0, learned, {}, then)))
-    taken = kept.learned_for((b"view", b"new", b"swap"))
-    assert taken.smoothed_us == (13_000.0, 0.0, 12_000.0) and taken.unhindered_us == (3_000.0, 0.0, 2_000.0)
-    assert [(k, round(w, 1)) for k, w, _ in taken.servers[0].by_class] == [(2, 0.2), (0, 0.3)]
+    old_classes = (b"gone", b"swap", b"view")
+    decoded = codec.decode(codec.encode(Snapshot(1.0, learned, {}, old_classes)))
+    mapped = decoded.learned_for((b"view", b"new", b"swap"))
+    assert mapped.smoothed_us == (13_000.0, 0.0, 12_000.0) and mapped.unhindered_us == (3_000.0, 0.0, 2_000.0)
+    assert [(k, round(w, 1)) for k, w, _ in mapped.servers[0].by_class] == [(2, 0.2), (0, 0.3)]
     driver = Driver(servers=3)
-    driver.handle(Restore(taken))
+    driver.handle(Restore(mapped))
     assert driver.balancer.smoothed_us == [13_000.0, 50_000.0, 12_000.0]
     assert {k: p.breaker.state for k, p in driver.balancer.servers[0].by_class.items()} == {
         0: State.OPEN, 2: State.OPEN,
