--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -134,19 +134,19 @@
     assert f"event {events} at " in replayed and violation in replayed
 
 
-def test_lists_that_miss_a_restart_of_the_service_are_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lists_that_miss_a_restart_of_the_service_are_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(lists, "answer_version", lambda asked, index, epoch: ListVersion(epoch or 0, index))
     violations = [play(replace(draw_history(seed), with_lists=True)).violation for seed in range(4, 8)]
     assert any(violation is not None and "lists do not agree" in violation for violation in violations)
 
 
-def test_a_share_that_exceeds_the_fall_budget_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_share_that_exceeds_the_fall_budget_is_detected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(budget, "fall_budget_us", lambda proxy: budget.FALL_BUDGET_US / 2)
     result = play(History(seed=3, size=6, timing=TIMING, faults_until_s=4.0, with_lists=True))
     assert result.violation is not None and "fall budget exceeded" in result.violation
 
 
-def test_replay_asks_for_the_part_that_failed(capsys: pytest.CaptureFixture[str]) -> None:
+def test_replay_without_a_part_is_refused(capsys: pytest.CaptureFixture[str]) -> None:
     with pytest.raises(SystemExit):
         main(["storm", "--replay", "--seed", "1"])
     assert "--replay needs --part module or cluster or ledger or activation" in capsys.readouterr().err
@@ -156,18 +156,18 @@
 
 
 class FaultyMember(Member):
-    """A member core that calls `wrong` of a test instead of processing a message."""
+    """A member core that calls `faulty_step` of a test instead of processing a message."""
 
     def receive(self, message: Message, now_s: float) -> list[Action]:
-        return self.wrong(now_s)
+        return self.faulty_step(now_s)
 
-    def wrong(self, now_s: float) -> list[Action]:
+    def faulty_step(self, now_s: float) -> list[Action]:
         raise NotImplementedError
 
 
-def checked_member(wrong: object) -> CheckedMember:
-    """A started member with invariant checks, whose core calls `wrong` for each message."""
-    core = type("Checked", (CheckedMember, FaultyMember), {"wrong": wrong})(ME, Timing())
+def checked_member(faulty_step: object) -> CheckedMember:
+    """A started member with invariant checks, whose core calls `faulty_step` for each message."""
+    core = type("Checked", (CheckedMember, FaultyMember), {"faulty_step": faulty_step})(ME, Timing())
     assert isinstance(core, CheckedMember)
     core.start(0.0)
     return core
@@ -209,7 +209,7 @@
 
 
 @pytest.mark.parametrize(
-    ("wrong", "message"),
+    ("faulty_step", "message"),
     [
         (_marks_itself_dead, "holds itself dead"),
         (_lowers_incarnation, "own incarnation fell"),
@@ -220,8 +220,8 @@
         (_hides_change, "the view is not what was told"),
     ],
 )
-def test_a_checked_member_reports_what_a_core_did_wrong(wrong: object, message: str) -> None:
-    core = checked_member(wrong)
+def test_a_checked_member_reports_what_a_core_did_wrong(faulty_step: object, message: str) -> None:
+    core = checked_member(faulty_step)
     with pytest.raises(InvariantError, match=message):
         for now_s in range(1, 200):
             core.receive(None, float(now_s))  # type: ignore[arg-type]
--- a/tests/test_telemetry.py
+++ b/tests/test_telemetry.py
@@ -22,7 +22,7 @@
 )
 
 
-def figures(text: bytes) -> dict[str, int]:
+def parse_metrics(text: bytes) -> dict[str, int]:
     lines = [line for line in text.decode().splitlines() if not line.startswith("#")]
     return {name: int(value) for name, _, value in (line.rpartition(" ") for line in lines)}
 
@@ -33,7 +33,7 @@
 
 
 def read(gateway: Running) -> dict[str, int]:
-    return figures(gateway.gateway.render_metrics())
+    return parse_metrics(gateway.gateway.render_metrics())
 
 
 @on_loop
@@ -51,20 +51,24 @@
             b"\0\r\n\r\n",
         ):
             assert (await gateway.ask(bad)).status in (400, 404)  # not counted: they have no class
-        now = read(gateway)
-        assert handled(now, "search") == [3, 0, 0]
-        assert handled(now, "transfer") == [2, 0, 1]
-        assert now["lb_upstream_tries"] == len(host.seen) == 6
-        assert (now["lb_in_progress"], now["lb_known_hosts"], now["lb_skipped_hosts"]) == (0, 1, 0)
+        metrics = read(gateway)
+        assert handled(metrics, "search") == [3, 0, 0]
+        assert handled(metrics, "transfer") == [2, 0, 1]
+        assert metrics["lb_upstream_tries"] == len(host.seen) == 6
+        assert (metrics["lb_in_progress"], metrics["lb_known_hosts"], metrics["lb_skipped_hosts"]) == (
+            0,
+            1,
+            0,
+        )
 
 
 @on_loop
 async def test_a_request_without_a_usable_host_is_refused_and_no_attempt_counted() -> None:
     async with running(configuration("127.0.0.1:1")) as gateway:
         assert (await gateway.ask(request("transfer"))).status == 503
-        now = read(gateway)
-        assert handled(now, "transfer") == [0, 1, 0]
-        assert now["lb_upstream_tries"] == 0
+        metrics = read(gateway)
+        assert handled(metrics, "transfer") == [0, 1, 0]
+        assert metrics["lb_upstream_tries"] == 0
 
 
 @on_loop
@@ -79,9 +83,9 @@
         await until(lambda: read(gateway)["lb_in_progress"] == 2)
         host.seen[-1].answer(reply())
         await until(lambda: read(gateway)["lb_in_progress"] == 1)
-        now = read(gateway)
-        assert handled(now, "transfer") == [1, 0, 0]
-        assert now["lb_upstream_tries"] == 3
+        metrics = read(gateway)
+        assert handled(metrics, "transfer") == [1, 0, 0]
+        assert metrics["lb_upstream_tries"] == 3
         for client in clients:
             client.close()
 
@@ -108,16 +112,16 @@
     driver = Driver(servers=3)
     balancer = driver.balancer
     assert balancer.count_skipped(driver.now_us) == 0
-    broken = balancer.servers[0].breaker
-    trip(broken, driver.now_us)
+    tripped = balancer.servers[0].breaker
+    trip(tripped, driver.now_us)
     assert balancer.count_skipped(driver.now_us) == 1
     for _ in range(30):
         name, actions = driver.arrive()
         assert sends(actions)[0].server != 0
         driver.end(name, sends(actions)[0].server)
-    state = broken.state
-    driver.now_us = broken.open_until_us
-    assert balancer.count_skipped(driver.now_us) == 0 and broken.state is state
+    state = tripped.state
+    driver.now_us = tripped.open_until_us
+    assert balancer.count_skipped(driver.now_us) == 0 and tripped.state is state
     driver.list_servers(ListedServer(1, ServerStatus.DRAINING), kind=ListKind.DELTA)
     assert balancer.count_skipped(driver.now_us) == 1
 
--- a/tests/test_transforms.py
+++ b/tests/test_transforms.py
@@ -29,9 +29,9 @@
     return compile(parse((manifest + body).encode()))
 
 
-def written_after(body: str, came: Head = HEAD) -> dict[str, list[str]]:
+def written_after(body: str, head: Head = HEAD) -> dict[str, list[str]]:
     """Returns the headers in `writes` after a run, by name, as text."""
-    result = compiled_from(body).run(came)
+    result = compiled_from(body).run(head)
     assert isinstance(result, Head), result
     by_name: dict[str, list[str]] = {}
     for name, value in result.headers:
@@ -64,7 +64,7 @@
         ('set b = class + caller + path + (if "a" != "b" then "q\\"\\\\" else "")', {"b": ['q"\\']}),
     ],
 )
-def test_what_each_statement_and_function_does(
+def test_each_statement_and_function_has_its_effect(
     body: str, changes: dict[str, list[str] | None] | None
 ) -> None:
     if changes is None:  # an undefined function is a fault even if the call would never be evaluated
@@ -148,8 +148,8 @@
     ids=["doubled text", "doubled calls", "joined", "replaced", "added", "fail statement"],
 )
 def test_a_source_that_exceeds_a_limit_or_executes_fail_is_a_failure(body: str, kind: str) -> None:
-    came = Head((*HEAD.headers, *[(b"A", b"y" * 10)] * 3000))
-    result = compiled_from(body).run(came)
+    head = Head((*HEAD.headers, *[(b"A", b"y" * 10)] * 3000))
+    result = compiled_from(body).run(head)
     assert isinstance(result, Failure) and result.kind == kind
 
 
@@ -274,11 +274,11 @@
     except SourceError as error:
         assert error.faults
         return
-    came = Head(tuple(headers), b"k", b"c", b"/p")
-    result = compiled.run(came)
-    assert result == compiled.run(came)
+    head = Head(tuple(headers), b"k", b"c", b"/p")
+    result = compiled.run(head)
+    assert result == compiled.run(head)
     if isinstance(result, Head):
-        assert guard.differs_only_in(compiled.manifest.writes, came.headers, result.headers)
+        assert guard.differs_only_in(compiled.manifest.writes, head.headers, result.headers)
         new = set(result.headers) - set(headers)
         assert all(guard.HEADER_VALUE.fullmatch(value) for _, value in new)
 
--- a/tests/test_transforms_active.py
+++ b/tests/test_transforms_active.py
@@ -63,27 +63,27 @@
 
 def test_a_canary_gets_its_share_and_a_call_always_gets_the_same_version() -> None:
     active = ActiveSet(installed('set b = "old"'), installed('set b = "new"', share=0.3))
-    took = [transform_request(active, f"call-{n}") for n in range(2000)]
-    assert took == [transform_request(active, f"call-{n}") for n in range(2000)]
-    assert 500 < sum((b"b", b"new") in headers for headers in took if isinstance(headers, list)) < 700
+    results = [transform_request(active, f"call-{n}") for n in range(2000)]
+    assert results == [transform_request(active, f"call-{n}") for n in range(2000)]
+    assert 500 < sum((b"b", b"new") in headers for headers in results if isinstance(headers, list)) < 700
     with pytest.raises(ValueError, match="one version"):
         ActiveSet(installed(""), installed(""))
 
 
-def test_the_breaker_stops_a_failing_version_tries_it_again_and_notifies() -> None:
+def test_the_breaker_stops_a_failing_version_retries_it_and_notifies() -> None:
     clock = Clock()
     version = installed('when header("a") == "1" { fail "no" } set b = "x"', clock=clock)
-    told: list[tuple[str, State]] = []
-    version.on_breaker_change(lambda name, sha256, state: told.append((name, state)))
+    changes: list[tuple[str, State]] = []
+    version.on_breaker_change(lambda name, sha256, state: changes.append((name, state)))
     active = ActiveSet(version)
     for _ in range(MINIMUM + 4):
         assert transform_request(active) == HEADERS
-    assert told == [("t", State.OPEN)] and version.counts == {"raised": MINIMUM, "skipped": 4}
+    assert changes == [("t", State.OPEN)] and version.counts == {"raised": MINIMUM, "skipped": 4}
     clock.now_us += COOLDOWN_US
     assert active.request(b"", b"", b"", [(b"a", b"2")], "i") == [(b"a", b"2"), (b"b", b"x")]
     for _ in range(TRIALS - 1):
         active.request(b"", b"", b"", [(b"a", b"2")], "i")
-    assert told == [("t", State.OPEN), ("t", State.CLOSED)]
+    assert changes == [("t", State.OPEN), ("t", State.CLOSED)]
     assert version.status()["breaker"] == "closed" and version.status()["last_failure"].endswith("no")
 
 
@@ -102,24 +102,24 @@
 
 @on_loop
 async def test_request_and_response_heads_are_changed_and_a_call_keeps_its_set() -> None:
-    go = asyncio.Event()
+    release = asyncio.Event()
 
-    async def late(exchange: Any) -> None:
-        await go.wait()
+    async def respond_late(exchange: Any) -> None:
+        await release.wait()
         exchange.answer(reply(200, b"fine", "A: host", "D: 2"))
 
     both = ActiveSet(
         installed('set b = header("a", "none") + class', name="q"),
         installed('rewrite a = value + "!"', "phase response", name="s"),
     )
-    async with peer(late) as host, running(configuration(host)) as run:
+    async with peer(respond_late) as host, running(configuration(host)) as run:
         run.gateway.transforms = both
-        asked = asyncio.create_task(run.ask(request("transfer", a="1")))
+        response = asyncio.create_task(run.ask(request("transfer", a="1")))
         while not host.seen:
             await asyncio.sleep(0.002)
         run.gateway.transforms = None
-        go.set()
-        answer = await asked
+        release.set()
+        answer = await response
         assert host.seen[0].message.headers["b"] == "1transfer"
         assert (answer.status, answer.headers["a"], answer.headers["d"]) == (200, "host!", "2")
         assert (await run.ask(request("transfer"))).headers["a"] == "host"
@@ -175,13 +175,13 @@
     for wrong in wrongs:
         with pytest.raises(ConfigError, match="transforms"):
             parse(raw | {"transforms": wrong})
-    for key, name, why in (
+    for key, name, reason in (
         ("files", str(bad), ":1:11: no phase"), ("files", str(tmp_path / "none"), "No such file"),
         ("plugins", "none", "no entry point none in the group firledge.transforms"),
     ):  # fmt: skip
         named = parse(raw | {"transforms": {key: [name]}}).transforms
         assert named is not None
-        with pytest.raises(ConfigError, match=why):
+        with pytest.raises(ConfigError, match=reason):
             loader.load(named)
     # An entry point as an installed distribution registers it.
     module = tmp_path / "shipped_mark.py"
@@ -193,10 +193,10 @@
         "    def apply(self, head): return [(b'b', b'shipped')]\n"
         "mark, none = Mark(), object()\n"
     )
-    about = tmp_path / "shipped-1.dist-info"
-    about.mkdir()
-    (about / "METADATA").write_text("Metadata-Version: 2.1\nName: shipped\nVersion: 1\n")
-    (about / "entry_points.txt").write_text(
+    dist_info = tmp_path / "shipped-1.dist-info"
+    dist_info.mkdir()
+    (dist_info / "METADATA").write_text("Metadata-Version: 2.1\nName: shipped\nVersion: 1\n")
+    (dist_info / "entry_points.txt").write_text(
         "[firledge.transforms]\nmark = shipped_mark:mark\nnone = shipped_mark:none\n"
     )
     monkeypatch.syspath_prepend(tmp_path)
@@ -225,10 +225,10 @@
 ) -> None:
     monkeypatch.setattr(invariants, "ON", True)
     monkeypatch.setattr(events.LOGGER, "propagate", True)
-    sound = ActiveSet(installed('set b = "x"'))
+    active = ActiveSet(installed('set b = "x"'))
     with caplog.at_level("INFO", logger=events.LOGGER.name):
-        transform_request(sound)
+        transform_request(active)
         assert not caplog.records
         monkeypatch.setattr(guard, "run", lambda transform, head: Head(head.headers[:1]))
-        assert transform_request(sound) == HEADERS[:1]  # the check only logs; the call goes on
+        assert transform_request(active) == HEADERS[:1]  # the check only logs; the call goes on
     assert [record.getMessage() for record in caplog.records] == ["invariant.broken"]
--- a/tests/test_transforms_comparing.py
+++ b/tests/test_transforms_comparing.py
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("base", [0.01, 0.2, 0.9])
-def test_hosts_that_fail_all_calls_alike_do_not_blame_the_version(base: float) -> None:
+def test_a_version_is_not_stopped_if_hosts_fail_all_calls_alike(base: float) -> None:
     verdicts = 0
     for seed in range(40):
         rng, comparison = random.Random(seed), Comparison()
@@ -77,13 +77,13 @@
     assert active.needs_outcomes and not ActiveSet(version(1, 1.0)).needs_outcomes
 
     def calls(start: int, count: int) -> int:
-        harmed = 0
+        failures = 0
         for n in range(start, start + count):
             headers = active.request(b"transfer", b"", b"/transfer", [], f"c{n}")
-            harmed += (failed := headers == [(b"x-mark", b"2")])
+            failures += (failed := headers == [(b"x-mark", b"2")])
             active.record_outcome(b"search", b"", b"/search", f"o{n}", True)  # the version does not apply
             active.record_outcome(b"transfer", b"", b"/transfer", f"c{n}", failed)
-        return harmed
+        return failures
 
     assert calls(0, 300) < 60 and states == [State.OPEN]
     assert new.status()["last_failure"].startswith("hosts failed") and new.counts["worse"] == 1
@@ -117,12 +117,12 @@
 
 @on_loop
 async def test_a_version_is_stopped_if_hosts_answer_5xx_to_its_header() -> None:
-    def picky(exchange: Any) -> None:
+    def fail_marked(exchange: Any) -> None:
         exchange.answer(reply(500 if "x-mark" in exchange.message.headers else 200))
 
     async with AsyncExitStack() as stack:
         # With fewer hosts, the breakers of the hosts would open first, and calls be refused for a second.
-        hosts = [await stack.enter_async_context(peer(picky)) for _ in range(8)]
+        hosts = [await stack.enter_async_context(peer(fail_marked)) for _ in range(8)]
         run = await stack.enter_async_context(running(configuration(*hosts)))
         new = version()
         run.gateway.transforms = ActiveSet(new)
--- a/tests/test_warm_median.py
+++ b/tests/test_warm_median.py
@@ -26,13 +26,15 @@
     st.integers(0, 10**9),
 )
 weights = st.floats(0.0, 1e9)
-parts = st.dictionaries(st.integers(0, 2), st.tuples(weights, breakers), max_size=3).map(
+class_states = st.dictionaries(st.integers(0, 2), st.tuples(weights, breakers), max_size=3).map(
     lambda by_class: tuple((klass, weight, breaker) for klass, (weight, breaker) in by_class.items())
 )
-servers = st.builds(LearnedServer, st.integers(0, HOSTS), st.just(0), weights, weights, breakers, parts)
-figures = st.lists(st.floats(0.0, 1e9), max_size=3).map(tuple)
+servers = st.builds(
+    LearnedServer, st.integers(0, HOSTS), st.just(0), weights, weights, breakers, class_states
+)
+latencies = st.lists(st.floats(0.0, 1e9), max_size=3).map(tuple)
 learned = st.builds(
-    LearnedState, st.lists(servers, max_size=6, unique_by=lambda s: s.server).map(tuple), figures, figures
+    LearnedState, st.lists(servers, max_size=6, unique_by=lambda s: s.server).map(tuple), latencies, latencies
 )
 
 
@@ -47,10 +49,10 @@
 @settings(max_examples=60, deadline=None)
 @given(learned, st.floats(0.3, 0.6), st.floats(0.6, 1.0), st.integers(0, 2))
 def test_one_wrong_answer_of_three_opens_no_breaker_and_moves_no_weight(
-    wrong_answer: LearnedState, low: float, high: float, place: int
+    wrong_answer: LearnedState, low: float, high: float, position: int
 ) -> None:
     answers = [correct_answer(low), correct_answer(high)]
-    answers.insert(place, validate(wrong_answer))
+    answers.insert(position, validate(wrong_answer))
     combined = combine(answers)
     assert combined is not None
     driver = Driver(servers=0)
@@ -111,6 +113,6 @@
         LearnedState(tuple(replace(SERVER, server=n) for n in range(10_001)), (), ()),
     ],
 )
-def test_learned_state_that_is_impossible_is_refused(bad: LearnedState) -> None:
+def test_an_impossible_learned_state_is_refused(bad: LearnedState) -> None:
     with pytest.raises(ValueError):
         validate(bad)
