--- a/tests/fleet_sim.py
+++ b/tests/fleet_sim.py
@@ -110,6 +110,7 @@
                 self.call_later(SILENCE_S, partial(self.end_feed, other, name))
 
     def end_feed(self, node: Node, name: str) -> None:
+        """End the feed of a member from `name`."""
         if node.state == "up":
             self.carry_out(node, node.core.upstream_ended(self.now_s, name))
             if node.core.local_peer.name in self.nodes[name].followers:
@@ -130,15 +131,18 @@
                 self.call_later(HOP_S, partial(self.fail_watch, node))
 
     def answer_watch(self, node: Node) -> None:
+        """Answer the open watch of a member."""
         if node.state == "up" and node.core.watching:
             self.receive_index(node, self.index)
             self.carry_out(node, node.core.service_answered(self.now_s))
 
     def fail_watch(self, node: Node) -> None:
+        """Fail the open watch of a member."""
         if node.state == "up" and node.core.watching:
             self.carry_out(node, node.core.service_failed(self.now_s))
 
     def receive_index(self, node: Node, index: int) -> None:
+        """Give a member the list of this index; it passes a newer one on."""
         if index > node.index and node.state == "up":
             node.index = index
             for name in node.followers:
@@ -189,6 +193,7 @@
             self.carry_out(node, node.core.fetch_ended(self.now_s, other.core.local_peer.name))
 
     def open_feed(self, node: Node, other: Node) -> None:
+        """Open a feed of a member from `other`, which may refuse."""
         own_name, name = node.core.local_peer.name, other.core.local_peer.name
         if node.state != "up" or name not in node.core.upstreams:
             return
--- a/tests/routes_histories.py
+++ b/tests/routes_histories.py
@@ -41,7 +41,7 @@
 
 @dataclass
 class History:
-    """`changes`: each committed with the context that its gateway had. `known`: by gateway, its changes by
+    """Changes, each committed with the context that its gateway had; `known` has those of each gateway, by
     dot."""
 
     changes: list[Change] = field(default_factory=list)
@@ -62,11 +62,13 @@
         return dot
 
     def receive_from(self, gateway: int, other: int) -> None:
+        """Give `gateway` all changes that `other` has."""
         self.known[gateway].update(self.known[other])
 
 
 @st.composite
 def histories(draw: st.DrawFn, max_commits: int = 12) -> History:
+    """Histories of 1 to `max_commits` changes."""
     history = History()
     for _ in range(draw(st.integers(1, max_commits))):
         gateway = draw(st.integers(0, GATEWAYS - 1))
@@ -89,6 +91,7 @@
 
 
 def run_merge(merge: Merge) -> View:
+    """Run the merge to its end; return the view."""
     for _ in merge.settle():
         pass
     return merge.view
--- a/tests/test_activation_core.py
+++ b/tests/test_activation_core.py
@@ -74,9 +74,9 @@
     proposal = proposer.step(0.0, ledger_state, second)
     assert isinstance(proposal, Proposal) and proposal == Proposal(
         2, (2, "c", 5)
-    )  # above all ballots it has seen
+    )  # above all ballots seen so far
     add_records(ledger_state, VOTE, "b", Vote(2, proposal.ballot, accepted.accepted, first), store_id=2)
-    assert proposer.step(0.1, ledger_state, second) is None  # one of three
+    assert proposer.step(0.1, ledger_state, second) is None  # one vote of three
     add_records(ledger_state, VOTE, "c", Vote(2, proposal.ballot), store_id=4)
     assert proposer.step(0.1, ledger_state, second) is None  # from another store
     add_records(ledger_state, VOTE, "c", Vote(2, proposal.ballot), store_id=3)
--- a/tests/test_duties_local.py
+++ b/tests/test_duties_local.py
@@ -30,6 +30,8 @@
 
 
 class Clock:
+    """A clock that a test advances."""
+
     def __init__(self) -> None:
         self.now_s = 1_000.0
 
--- a/tests/test_duties_model.py
+++ b/tests/test_duties_model.py
@@ -38,6 +38,8 @@
 
 @dataclass
 class Process:
+    """A process that competes for the duty, with its calls and answers in transit."""
+
     core: LeaseManager
     rate: float  # of its clock
     holds: int = 0  # token, as its DutyStarted and DutyEnded say
@@ -92,7 +94,7 @@
         return NotHeld()
 
     def equivalence_key(self) -> object:
-        """Equal for states that behave alike: times relative to now, tokens relative to the newest."""
+        """Equal for states with the same behaviour: times relative to now, tokens relative to the newest."""
         parts: list[object] = [self.holder, max(0.0, self.until_s - self.now_s)]
         for p in self.processes:
             now_s = self.now_s * p.rate
@@ -114,6 +116,7 @@
 
 
 def _relative_answer(answer: BackendAnswer, token: int) -> object:
+    """The answer, with tokens relative to `token`."""
     match answer:
         case Granted(its):
             return "granted", token - its
@@ -123,6 +126,7 @@
 
 
 def possible_steps(state: State) -> list[tuple[str, int]]:
+    """The steps that can follow, each with the number of its process."""
     found = [("advance_time", 0)]
     for number, process in enumerate(state.processes):
         if process.calls:
@@ -143,6 +147,7 @@
 
 
 def state_after(before: State, step: str, number: int) -> State:
+    """The state after a step; `before` stays unchanged."""
     state = copy_state(before)
     process = state.processes[number]
     match step:
@@ -165,7 +170,10 @@
 
 
 def search(rates: tuple[float, float], depth: int) -> int:
-    """Tries every sequence of up to `depth` moves; returns the number of states. Raises AssertionError."""
+    """Tries every sequence of up to `depth` moves; returns the number of states.
+
+    Raises AssertionError if two processes act at once or a token is granted twice.
+    """
     first = State([Process(LeaseManager(f"p{n}", LOWEST_RANDOM), rate) for n, rate in enumerate(rates)])
     for process in first.processes:
         first.handle_event(process, DutiesConfigured((DUTY,)))
@@ -195,6 +203,7 @@
 
 
 def start_duty(core: LeaseManager, now_s: float, token: int) -> None:
+    """Make the core acquire the lease with this token."""
     call = next(a for a in core.handle(now_s, DutiesConfigured((DUTY,))) if isinstance(a, BackendCall))
     assert core.handle(now_s, CallAnswered("d", call.call_id, Granted(token)))[0] == DutyStarted("d", token)
 
--- a/tests/test_duties_parts.py
+++ b/tests/test_duties_parts.py
@@ -28,6 +28,7 @@
 
 
 def bootstraps(*with_journal: str) -> dict[str, Bootstrap]:
+    """The bootstrap of each voter; those named have a journal."""
     return {
         name: Bootstrap(name, run_id, frozenset(VOTERS) - {name}, name in with_journal)
         for run_id, name in enumerate(VOTERS, 1)
@@ -35,6 +36,7 @@
 
 
 def query_all(querier: Bootstrap, others: dict[str, Bootstrap]) -> None:
+    """Pass the answers of these voters to the one that asks."""
     for name in querier.others & others.keys():
         querier.handle_answer(name, *others[name].answer(querier.name, querier.run_id))
 
--- a/tests/test_list_answers.py
+++ b/tests/test_list_answers.py
@@ -1,4 +1,4 @@
-"""Answers of the list service: their HTTP framing, their place in the order of lists, their entries."""
+"""Answers of the list service: their HTTP framing, their order, their entries."""
 
 from __future__ import annotations
 
--- a/tests/test_list_source_selector.py
+++ b/tests/test_list_source_selector.py
@@ -37,7 +37,7 @@
 
 
 def assert_steady_state(site: Site) -> None:
-    """Check the steady state of a fleet."""
+    """Check that all members hold the newest list and follow the right relays."""
     relays = set(choose_relays("site", site.live(), 3))
     for name, node in site.nodes.items():
         if node.state != "up":
--- a/tests/test_list_versions.py
+++ b/tests/test_list_versions.py
@@ -1,4 +1,4 @@
-"""List versions: never backwards, whatever arrives in whatever order, and never stuck after a restart."""
+"""List versions: they never decrease in any order of arrival, and updates continue after a restart."""
 
 from __future__ import annotations
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -129,7 +129,7 @@
     def carry_out(self, source: str, actions: list[Action]) -> None:
         for action in actions:
             self.actions.append((source, action))
-            if isinstance(action, ExchangeViews):  # stands for a call that exchanges both views
+            if isinstance(action, ExchangeViews):  # simulates the call that exchanges both views
                 asker, other = self.members[source], self.members[action.address]
                 views = [Push(m.me, tuple(m.members().values())) for m in (asker, other)]
                 self.carry_out(action.address, other.receive(views[0], self.now_s))
--- a/tests/test_members_faults.py
+++ b/tests/test_members_faults.py
@@ -68,7 +68,7 @@
 
 
 def test_a_successor_whose_join_did_not_find_its_predecessor_identifies_it_by_its_address_only() -> None:
-    """A successor that was cut off until its predecessor had left once took its own successor for it.
+    """A successor that was cut off until its predecessor had left once mistook its own successor for it.
 
     It outranked that process, which was then refused.
     """
@@ -81,9 +81,10 @@
 
 
 def test_a_suspicion_of_a_process_that_claimed_the_name_and_has_gone_is_refuted() -> None:
-    """A live member once gave its name up to a suspicion of a process that had claimed the name and gone.
+    """A live member once gave up its name after a suspicion of a process that had claimed it and gone.
 
-    The suspicion outranked the member at the same incarnation, and the member took it for its successor.
+    The suspicion outranked the member at the same incarnation, and the member mistook that process for its
+    successor.
     """
     member = started()
     member.receive(Ping(1, B, "a"), 0.1)
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -98,7 +98,9 @@
             answer = await call(port, post(size))
             assert (answer.status, answer.body) == (200, b"a=b %d" % size)
         assert (await call(port, post(POST_LIMIT + 1))).status == 413
-        assert (await call(port, post(1, content_type="text/plain"))).status == 415  # as a web form would
+        assert (
+            await call(port, post(1, content_type="text/plain"))
+        ).status == 415  # a web form sends this type
         assert (await call(port, READY.replace(b"ready", b"take"))).status == 405
 
 
@@ -146,7 +148,7 @@
         holding = [await connect(port) for _ in range(5)]
         for client in holding:
             client.send(READY[:9])
-        assert (await call(port, READY)).status == 200  # in spite of them
+        assert (await call(port, READY)).status == 200  # although other clients hold connections
         assert len(server.connections) <= 3
         assert (await holding[-1].answer()).status == 408
         for client in holding:
--- a/tests/test_rollout_core.py
+++ b/tests/test_rollout_core.py
@@ -27,6 +27,7 @@
 
 
 def counts(ended: int, failed: int = 0, latency_ms: int = 20) -> Counts:
+    """Counts of requests, all with one latency."""
     found = Counts(ended, failed)
     found.latency[latency_bucket(latency_ms * 1000)] = ended - failed
     return found
@@ -34,7 +35,7 @@
 
 @dataclasses.dataclass
 class Fleet:
-    """Members that serve each step at once and count at fixed rates, and a ledger that holds every write."""
+    """Members that serve each step at once and count at fixed rates, and a ledger that keeps all writes."""
 
     new_rate: float = 40
     base_rate: float = 60
--- a/tests/test_routes_conflicts.py
+++ b/tests/test_routes_conflicts.py
@@ -80,7 +80,7 @@
     history.heal()
     history.write(0, "red", "a", limit=6)
     history.write(1, "red", "a", limit=7)
-    view = history.heal()  # the newest writes that both had seen are two and differ, so the one before them
+    view = history.heal()  # two newest writes were seen by both, and they differ: the older value
     assert kinds(view) == [("field", ("a",))] and view.routes["a"].values["limit"] == 5
 
 
--- a/tests/test_routes_regressions.py
+++ b/tests/test_routes_regressions.py
@@ -1,4 +1,4 @@
-"""Regression tests for faults that the storm of routes found, as minimal histories."""
+"""Regression tests for faults that the storm of routes found, as minimal histories of changes."""
 
 from __future__ import annotations
 
--- a/tests/test_routes_shell.py
+++ b/tests/test_routes_shell.py
@@ -172,7 +172,7 @@
 
         def fails() -> Iterator[None]:
             yield
-            raise RuntimeError("not to be")
+            raise RuntimeError("simulated failure of the merge")
 
         monkeypatch.setattr(first.merge, "settle", fails)
         change, _ = await first.commit("pay", (Edit("r", "limit", 2),), (), before.context, Level.LOCAL, 5.0)
--- a/tests/test_transforms_active.py
+++ b/tests/test_transforms_active.py
@@ -29,6 +29,8 @@
 
 
 class Clock:
+    """A clock that a test advances."""
+
     now_us = 0
 
     def __call__(self) -> int:
