--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -19,7 +19,7 @@
     return breaker
 
 
-def test_no_verdict_below_the_minimum() -> None:
+def test_the_breaker_stays_closed_below_the_minimum() -> None:
     breaker = Breaker()
     for _ in range(MINIMUM - 1):
         assert breaker.record(0, True, 0, 0.0) is None
@@ -27,7 +27,7 @@
     assert breaker.record(0, True, 0, 0.0) is State.OPEN
 
 
-def test_the_ring_forgets_its_oldest_outcome() -> None:
+def test_the_ring_drops_its_oldest_outcome() -> None:
     breaker = Breaker()
     breaker.record(0, True, 0, 0.0)
     for _ in range(RING_SIZE):
@@ -35,14 +35,14 @@
     assert breaker.failures == 0 and len(breaker.ring) == RING_SIZE
 
 
-def test_an_open_server_gets_nothing_until_the_cooldown_ends() -> None:
+def test_an_open_breaker_allows_nothing_until_the_cooldown_ends() -> None:
     breaker = tripped()
     assert not breaker.allow(COOLDOWN_US - 1)
     assert breaker.allow(COOLDOWN_US)
     assert breaker.state is State.HALF_OPEN
 
 
-def test_half_open_gives_out_no_more_than_its_trials() -> None:
+def test_half_open_allows_no_more_than_its_trials() -> None:
     breaker = half_open()
     for _ in range(TRIALS):
         assert breaker.allow(COOLDOWN_US)
@@ -50,7 +50,7 @@
     assert not breaker.allow(COOLDOWN_US)
 
 
-def test_good_trials_close_and_empty_the_ring() -> None:
+def test_successful_trials_close_the_breaker_and_empty_the_ring() -> None:
     breaker = half_open()
     for _ in range(TRIALS):
         breaker.start_trial()
@@ -59,7 +59,7 @@
     assert not breaker.ring and breaker.failures == 0
 
 
-def test_bad_trials_reopen_for_longer() -> None:
+def test_failed_trials_reopen_the_breaker_with_a_longer_cooldown() -> None:
     breaker = half_open()
     for _ in range(TRIALS):
         breaker.start_trial()
@@ -82,14 +82,14 @@
     assert breaker.open_until_us == COOLDOWN_US // 2 + COOLDOWN_US
 
 
-def test_failures_that_all_servers_share_convict_none() -> None:
+def test_failures_common_to_all_servers_do_not_open_the_breaker() -> None:
     breaker = Breaker()
     for n in range(RING_SIZE):
         breaker.record(0, n % 2 == 0, 0, 0.5)
     assert breaker.state is State.CLOSED
 
 
-def test_a_server_that_fails_is_opened_and_gets_nothing() -> None:
+def test_the_breaker_of_a_failing_server_opens_and_stops_its_requests() -> None:
     driver = Driver(servers=3)
     for _ in range(200):
         name, actions = driver.arrive()
@@ -104,7 +104,7 @@
         driver.end(name, sends(actions)[0].server)
 
 
-def test_weight_steps_up_and_is_cut() -> None:
+def test_weight_rises_on_success_and_is_cut_on_failure() -> None:
     driver = Driver(servers=1)
     server = driver.balancer.servers[0]
     server.weight = 0.5
@@ -122,7 +122,7 @@
     )
 
 
-def test_a_reply_over_twice_the_smoothed_latency_is_cut() -> None:
+def test_a_latency_over_twice_the_smoothed_one_cuts_the_weight() -> None:
     driver = Driver(servers=1)
     server = driver.balancer.servers[0]
     name, _ = driver.arrive()
@@ -130,7 +130,7 @@
     assert server.weight == MAX_WEIGHT * WEIGHT_CUT
 
 
-def test_weight_stays_between_floor_and_ceiling() -> None:
+def test_weight_stays_between_minimum_and_maximum() -> None:
     driver = Driver(servers=1)
     server = driver.balancer.servers[0]
     for _ in range(40):
@@ -141,7 +141,7 @@
     assert server.weight == MAX_WEIGHT
 
 
-def test_a_newcomer_starts_at_the_mean_weight() -> None:
+def test_a_new_server_starts_at_the_mean_weight() -> None:
     driver = Driver(servers=2)
     driver.balancer.servers[0].weight = 0.2
     driver.balancer.servers[1].weight = 0.6
@@ -149,7 +149,7 @@
     assert driver.balancer.servers[9].weight == 0.4
 
 
-def test_a_closed_again_server_regains_its_weight() -> None:
+def test_a_server_regains_its_weight_when_its_breaker_closes() -> None:
     driver = Driver(servers=1)
     server = driver.balancer.servers[0]
     for _ in range(MINIMUM):
@@ -167,7 +167,7 @@
     assert server.weight == max(MIN_WEIGHT, weight)
 
 
-def test_a_failed_connect_of_a_trial_reopens_at_once_for_longer() -> None:
+def test_a_failed_connect_of_a_trial_reopens_with_a_longer_cooldown() -> None:
     """Otherwise each end of a cooldown sends two more requests to a server whose connection table is full."""
     driver = Driver(servers=1)
     breaker = driver.balancer.servers[0].breaker
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -35,7 +35,7 @@
 
 @settings(max_examples=25, deadline=None)
 @given(seed=st.integers(0, 2**32), events=st.integers(1, 1_500))
-def test_invariants_hold_and_a_run_repeats_exactly(seed: int, events: int) -> None:
+def test_invariants_hold_and_runs_are_deterministic(seed: int, events: int) -> None:
     checked, plain = run_module(seed, events, check=True), run_module(seed, events, check=False)
     assert checked.violations == [] and checked.events == events
     assert checked.actions_sha256 == plain.actions_sha256
@@ -49,7 +49,7 @@
         return [*actions, *(action for action in actions if isinstance(action, Refuse))]
 
 
-def test_a_second_answer_is_caught_with_seed_and_event() -> None:
+def test_a_second_answer_is_reported_with_seed_and_event() -> None:
     balancer = Twice(SETTINGS, 3)
     attach_checks(balancer, 3)
     balancer.handle(START_US, ServerList(ListKind.FULL))
@@ -57,7 +57,7 @@
         balancer.handle(START_US, RequestArrived("r1", 0, 400_000))
 
 
-def test_a_gateway_logs_the_first_broken_invariant_and_goes_on() -> None:
+def test_only_the_first_violation_is_logged_and_the_balancer_continues() -> None:
     lines: list[str] = []
     balancer = Twice(SETTINGS, 3)
     attach_checks(balancer, 3, lines.append)
@@ -66,7 +66,7 @@
     assert len(lines) == 1 and "seed 3 event 1" in lines[0]
 
 
-def test_after_an_exception_of_the_module_nothing_is_checked() -> None:
+def test_checks_stop_after_an_exception_in_the_balancer() -> None:
     class Fails(Twice):
         def handle(self, now_us: int, event: Event) -> list[Action]:
             if isinstance(event, ServerList):
@@ -81,7 +81,7 @@
     assert len(balancer.handle(START_US, RequestArrived("r1", 0, 400_000))) == 2 and not lines
 
 
-def test_an_unsafe_request_that_may_have_run_is_not_sent_again() -> None:
+def test_resending_an_unsafe_request_that_may_have_run_is_detected() -> None:
     class Again(Balancer):
         def handle(self, now_us: int, event: Event) -> list[Action]:
             actions = super().handle(now_us, event)
@@ -95,7 +95,7 @@
         balancer.handle(START_US + 9_000, AttemptEnded("r1", 0, 1, Outcome.RESET, 9_000))
 
 
-def test_a_fleet_that_is_smaller_than_the_settings_say_has_larger_parts_of_a_cold_server() -> None:
+def test_a_smaller_fleet_gets_larger_shares_of_a_cold_servers_budget() -> None:
     balancer = Balancer(replace(SETTINGS, proxies=60, warm_after_us=60_000_000, start_capacity=0.1), 1)
     attach_checks(balancer, 1)
     balancer.handle(START_US, Fleet((1,)))
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize(("what", "place", "name", "broken"), BREAKS, ids=[b[0] for b in BREAKS])
-def test_the_storm_finds_a_broken_rule(
+def test_the_storm_detects_each_injected_fault(
     what: str, place: Any, name: str, broken: Any, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(place, name, broken)
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -73,7 +73,7 @@
 
 
 @on_loop
-async def test_an_attempt_that_nobody_wants_is_not_written_and_leaves_its_connection_to_the_next(
+async def test_an_unwanted_attempt_is_not_written_and_its_connection_is_reused(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr("cloverkeel.hosts.idle.REUSE_DELAY_US", 0)
@@ -96,7 +96,7 @@
 @pytest.mark.parametrize("may_cancel", [False, True])
 @pytest.mark.parametrize("data", [request("transfer"), PARTIAL_LONG_REQUEST], ids=["short", "long"])
 @on_loop
-async def test_a_client_that_leaves_while_its_connection_comes_up_ends_the_attempt_at_once(
+async def test_a_client_disconnect_while_connecting_ends_the_attempt_at_once(
     data: bytes, may_cancel: bool
 ) -> None:
     with full_listener() as listener:
@@ -117,7 +117,7 @@
 @pytest.mark.parametrize("how", ["close", "reset"])
 @pytest.mark.parametrize("data", [request("transfer"), PARTIAL_LONG_REQUEST], ids=["short", "long"])
 @on_loop
-async def test_a_client_that_leaves_in_the_moment_in_which_the_connection_comes_up_gets_nothing_begun(
+async def test_a_client_disconnect_as_the_host_connection_opens_starts_no_attempt(
     data: bytes, how: str, may_cancel: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     made = HostConnection.connection_made
@@ -141,7 +141,7 @@
 
 @pytest.mark.parametrize("first", [b"", reply(503, b"", "X-Rejected: 1"), reply(500)])
 @on_loop
-async def test_no_further_attempt_begins_for_a_client_that_leaves_as_the_first_fails(first: bytes) -> None:
+async def test_no_retry_starts_if_the_client_disconnects_as_the_attempt_fails(first: bytes) -> None:
     def script(exchange: Exchange) -> None:
         client.disconnect()  # both events are ready in the loop's next poll
         if first:
@@ -187,7 +187,7 @@
 @pytest.mark.parametrize("swept", [False, True])
 @pytest.mark.parametrize("how", ["close", "reset"])
 @on_loop
-async def test_no_pipelined_request_begins_once_its_client_has_gone_though_reading_is_paused(
+async def test_no_pipelined_request_starts_after_a_disconnect_while_reading_is_paused(
     how: str, swept: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
@@ -210,7 +210,7 @@
 
 
 @on_loop
-async def test_an_end_is_seen_though_output_waits_and_an_unread_answer_holds_no_descriptor(
+async def test_eof_is_detected_despite_unsent_output_and_frees_the_descriptor(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(request_reader, "WRITE_STALL_S", 0.05)
@@ -234,7 +234,7 @@
 
 
 @on_loop
-async def test_a_client_that_leaves_a_key_queue_does_not_hold_up_the_next_one() -> None:
+async def test_a_disconnect_in_a_key_queue_does_not_block_the_next_request() -> None:
     async with peer(silent) as host:
         config = configuration(host, mayCancel=False)
         config["settings"]["lanes"][2]["sequential"] = True
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("way", ["close_idle", "reclaim_descriptors", "on_request_timeout"])
 @on_loop
-async def test_a_request_that_crosses_the_close_of_an_idle_connection_meets_an_end_and_no_reset(
+async def test_a_request_racing_an_idle_close_gets_eof_and_no_reset(
     way: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with peer() as host, running(configuration(host)) as run:
@@ -95,7 +95,7 @@
 @pytest.mark.parametrize("reset", [False, True])
 @pytest.mark.parametrize("is_first", [False, True])
 @on_loop
-async def test_both_sides_may_end_in_one_moment(reset: bool, is_first: bool) -> None:
+async def test_both_sides_may_close_at_once(reset: bool, is_first: bool) -> None:
     faults: list[object] = []
     asyncio.get_running_loop().set_exception_handler(lambda loop, context: faults.append(context))
     async with peer() as host, running(configuration(host)) as run:
@@ -116,7 +116,7 @@
 
 @pytest.mark.parametrize("keep", ["close", ""])
 @on_loop
-async def test_bytes_that_come_behind_the_last_answer_take_none_of_it_along(
+async def test_input_after_the_last_response_does_not_truncate_it(
     keep: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Closing while part of the response was unsent reset the connection, because of unread input."""
@@ -135,7 +135,7 @@
 
 
 @on_loop
-async def test_an_operator_s_answer_that_is_read_slowly_outlasts_the_time_to_end(
+async def test_a_slowly_read_operator_response_outlasts_the_linger_timeout(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     small_send_buffers(monkeypatch, operator.OperatorConnection)
@@ -160,7 +160,7 @@
 
 
 @on_loop
-async def test_a_client_that_takes_nothing_and_one_that_does_not_end_are_closed_in_time(
+async def test_clients_that_do_not_read_or_do_not_close_are_closed_in_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     small_send_buffers(monkeypatch, ClientConnection)
@@ -177,7 +177,7 @@
 
 
 @on_loop
-async def test_the_rest_of_a_half_request_that_was_given_up_is_not_sent_on() -> None:
+async def test_the_rest_of_a_timed_out_request_is_not_forwarded() -> None:
     async with peer() as host, running(configuration(host)) as run:
         data = request("transfer", b"whole")
         with raw_client(run.port) as client:
@@ -191,7 +191,7 @@
 
 
 @on_loop
-async def test_what_follows_in_the_piece_that_brings_the_last_answer_is_not_sent_on(
+async def test_input_in_the_same_read_after_the_last_response_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The end of a streamed body may have its request answered at once, in the middle of a read."""
@@ -222,7 +222,7 @@
 
 
 @on_loop
-async def test_connections_that_linger_count_and_the_first_gives_way_where_descriptors_are_short() -> None:
+async def test_lingering_connections_hold_descriptors_and_the_oldest_is_reclaimed_first() -> None:
     async with peer() as host, running(configuration(host)) as run:
         clients = [await run.connect() for _ in range(3)]
         await until(lambda: len(run.server.connections) == 3)
@@ -241,7 +241,7 @@
 
 
 @on_loop
-async def test_small_writes_are_not_held_back() -> None:
+async def test_small_writes_are_not_delayed() -> None:
     """A reset discards output that Nagle's algorithm delays; uvloop sets TCP_NODELAY on each connection."""
     async with peer() as host, running(configuration(host)) as run:
         with raw_client(run.port):
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -40,7 +40,7 @@
     "gateways, servers, seeds", [(1, 6, 2), (5, 10, 2), (20, 12, 1), (30, 20, 1), (200, 40, 1)]
 )
 @pytest.mark.parametrize("kind", WORLDS)
-def test_the_sum_stays_within_the_bound_and_the_server_is_used(
+def test_total_work_stays_within_the_bound_and_cold_servers_are_used(
     gateways: int, servers: int, seeds: int, kind: str
 ) -> None:
     for seed in range(seeds):
@@ -51,26 +51,26 @@
 
 
 @pytest.mark.parametrize("seed", range(3))
-def test_room_that_all_saved_up_in_a_lull_does_not_come_at_once(seed: int) -> None:
+def test_allowances_saved_in_a_lull_are_not_all_spent_at_once(seed: int) -> None:
     """After a lull each of two hundred proxies may send a request; a burst must not bring all at once."""
     worst, least = worst_and_least(replace(LULL, seed=seed))
     assert worst <= 1.0 and least > 0.01
 
 
-def test_a_margin_taken_away_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_missing_margin_exceeds_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     assert worst_and_least(ALONE)[0] <= 1.0
     monkeypatch.setattr(cold, "PLANNED_SHARE", 4 * cold.PLANNED_SHARE)
     assert worst_and_least(ALONE)[0] > 1.0
 
 
-def test_a_budget_that_is_not_parted_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_undivided_budget_exceeds_the_bound(monkeypatch: pytest.MonkeyPatch) -> None:
     burst = replace(LULL, load=4.0, quiet=(0.2, 2.0), seconds=4.0, live=False)
     assert worst_and_least(burst)[0] <= 1.0
     monkeypatch.setattr(cold, "proxy_count", lambda proxy: 1)
     assert worst_and_least(burst)[0] > 1.0
 
 
-def test_requests_of_many_times_the_mean_stay_within_a_budget_of_a_few() -> None:
+def test_requests_of_many_times_the_mean_stay_within_a_small_budget() -> None:
     """A window allows seven requests at the start, and each of twenty proxies could send one of any size.
 
     The sum exceeded the bound (1.13) though each proxy kept to its part: one with no unpaid work could send a
@@ -85,7 +85,7 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 2, 3, 20, 30])
-def test_large_requests_of_few_and_of_many_processes_stay_within_the_bound(gateways: int) -> None:
+def test_large_requests_stay_within_the_bound_for_any_number_of_gateways(gateways: int) -> None:
     """With seed 19, thirty proxies used 1.20 of the bound of a window, for the same reason."""
     for seed in (0, 7, 19):
         worst, least = worst_and_least(
@@ -94,7 +94,7 @@
         assert worst <= 1.0 and least > 0.01, f"seed {seed}"
 
 
-def test_the_first_request_of_a_new_process_is_not_taken_for_a_usual_one() -> None:
+def test_the_first_request_of_a_new_process_is_not_assumed_to_be_average() -> None:
     """It is the mean of its class until a second one arrives: one of 329 ms was sent to a window of ten."""
     balancer = Balancer(replace(STEEP, proxies=20), seed=1)
     balancer.handle(START_US, ServerList(ListKind.FULL, (ListedServer(1, started_us=START_US),)))
@@ -107,7 +107,7 @@
 
 
 @pytest.mark.parametrize("crowded", [0.33, 0.97])
-def test_a_server_that_more_processes_reach_than_the_mean_stays_within_the_bound(crowded: float) -> None:
+def test_a_server_used_by_more_gateways_than_average_stays_within_the_bound(crowded: float) -> None:
     """A single cold server is the idlest: with live weights, twice the mean number of proxies use it."""
     for seed in (16, 21, 102):
         world = World(30, 20, seed, load=1.5, cold=0.08, seconds=6.0, settings=STEEP, crowded=crowded)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -44,7 +44,7 @@
 
 @pytest.mark.parametrize("told", [LIMIT, 1024])
 @on_loop
-async def test_idle_clients_take_no_descriptor_that_others_need(tmp_path: Path, told: int) -> None:
+async def test_idle_clients_do_not_exhaust_descriptors(tmp_path: Path, told: int) -> None:
     """With the limit configured, and without: then `accept` fails at it, which the listener must survive."""
     discovery = f"127.0.0.1:{free_port()}"
     async with peer() as host, peer(answers(reply(200, b"new"))) as new:
@@ -84,7 +84,7 @@
 
 
 @on_loop
-async def test_a_new_client_is_shut_unread_where_all_others_are_busy() -> None:
+async def test_a_new_client_is_closed_unread_when_all_others_are_busy() -> None:
     async with running(configuration("127.0.0.1:1")) as run:
         with raw_client(run.port) as busy:
             data, loop = request("transfer"), asyncio.get_running_loop()
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -22,7 +22,7 @@
 
 
 @on_loop
-async def test_headers_become_fields_of_the_module_s_event() -> None:
+async def test_headers_become_fields_of_the_request_event() -> None:
     from caperdrift.interface import RequestArrived
 
     async with peer() as host, running(configuration(host)) as run:
@@ -78,7 +78,7 @@
     ids=lambda value: repr(value)[:60],
 )
 @on_loop
-async def test_unusable_requests_get_an_error_and_the_gateway_goes_on(data: bytes, status: int) -> None:
+async def test_invalid_requests_get_an_error_and_the_gateway_continues(data: bytes, status: int) -> None:
     async with peer() as host, running(configuration(host)) as run:
         answer = await run.ask(data)
         assert answer.status == status
@@ -89,7 +89,7 @@
 
 
 @on_loop
-async def test_a_body_comes_in_pieces_or_chunks() -> None:
+async def test_a_body_may_arrive_in_pieces_or_chunked() -> None:
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         data = request("transfer", b"in many pieces")
@@ -107,7 +107,7 @@
 
 
 @on_loop
-async def test_a_body_of_the_largest_size_passes_both_ways() -> None:
+async def test_a_body_of_64_kib_is_forwarded_both_ways() -> None:
     body = bytes(range(256)) * 256
     async with peer(answers(reply(200, body))) as host, running(configuration(host)) as run:
         answer = await run.ask(request("transfer", body))
@@ -115,7 +115,7 @@
 
 
 @on_loop
-async def test_requests_on_one_connection_are_answered_in_turn() -> None:
+async def test_pipelined_requests_are_answered_in_order() -> None:
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(b"".join(request("transfer", b"%d" % n) for n in range(40)))
@@ -126,7 +126,7 @@
 
 
 @on_loop
-async def test_a_good_request_before_a_bad_one_is_answered_first() -> None:
+async def test_a_valid_request_before_an_invalid_one_is_answered_first() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         client = await run.connect()
         client.send(request("transfer") + b"rubbish\r\n\r\n")
@@ -140,7 +140,7 @@
 
 
 @on_loop
-async def test_a_client_that_says_close_is_closed_after_its_answer() -> None:
+async def test_connection_close_closes_after_the_response() -> None:
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         answer = await client.ask(request(connection="close"))
@@ -150,7 +150,7 @@
 
 
 @on_loop
-async def test_an_id_that_is_in_use_is_not_taken_twice() -> None:
+async def test_a_request_id_in_use_is_rejected() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         data = request("transfer")
         first = await run.connect()
@@ -164,7 +164,7 @@
 
 
 @on_loop
-async def test_ready_means_that_requests_can_be_served() -> None:
+async def test_readiness_requires_a_host_and_no_drain() -> None:
     ready = b"GET /health/ready HTTP/1.1\r\nHost: b\r\n\r\n"
     async with peer() as host:
         async with running(configuration(host)) as run:
@@ -176,7 +176,7 @@
 
 
 @on_loop
-async def test_a_refusal_has_retry_after_if_the_module_sets_it() -> None:
+async def test_a_refusal_has_retry_after_if_the_balancer_sets_it() -> None:
     async with running(configuration("127.0.0.1:1", retryAfter=True, maxRetryAfterUs=2_000_000)) as run:
         await run.ask(request())
         answer = await run.ask(request())  # the second failed connect opens the only server
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -80,7 +80,7 @@
 
 
 @on_loop
-async def test_a_refused_connection_never_ran() -> None:
+async def test_a_refused_connection_is_connect_failed() -> None:
     async with running(configuration(CLOSED_PORT)) as run:
         told = outcomes(run)
         assert (await run.ask(request("transfer"))).status == 503
@@ -88,7 +88,7 @@
 
 
 @on_loop
-async def test_connecting_ends_after_the_configured_time_out() -> None:
+async def test_connecting_ends_after_the_configured_timeout() -> None:
     import socket
 
     with socket.socket() as full:
@@ -110,7 +110,7 @@
 
 
 @on_loop
-async def test_a_time_out_closes_the_connection_and_fails_what_may_have_run() -> None:
+async def test_a_timeout_closes_the_connection_and_fails_an_unsafe_request() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         told = outcomes(run)
         assert (await run.ask(request("transfer", budget_ms=60))).status == 504
@@ -120,7 +120,7 @@
 
 
 @on_loop
-async def test_a_late_answer_of_an_ended_attempt_is_dropped() -> None:
+async def test_a_late_response_of_an_ended_attempt_is_dropped() -> None:
     async with peer(silent) as host, running(configuration(host)) as run:
         told = outcomes(run)
         client = await run.connect()
@@ -157,7 +157,7 @@
 
 @pytest.mark.parametrize("klass", ["search", "hold", "transfer"])
 @on_loop
-async def test_every_class_is_retried_elsewhere_if_a_host_is_full(klass: str) -> None:
+async def test_every_class_is_retried_on_another_host_if_one_is_full(klass: str) -> None:
     turned_away: list[Exchange] = []
 
     def script(exchange: Exchange) -> None:
@@ -189,7 +189,7 @@
 
 
 @on_loop
-async def test_end_to_end_headers_and_bodies_pass_both_ways() -> None:
+async def test_end_to_end_headers_and_bodies_are_forwarded_both_ways() -> None:
     script = answers(
         reply(200, b"\x00\xff body", "Content-Type: text/x", "X-Hit: 1", "X-Load-Report: TEXT queue=2")
     )
@@ -217,7 +217,7 @@
 
 
 @on_loop
-async def test_answers_in_chunks_and_interim_answers_are_read(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_chunked_and_interim_responses_are_parsed(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("cloverkeel.hosts.idle.REUSE_DELAY_US", 0)
     data = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     data += b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n"
@@ -242,7 +242,7 @@
 
 
 @on_loop
-async def test_an_exception_in_the_module_fails_one_request_only() -> None:
+async def test_an_exception_in_the_balancer_fails_one_request_only() -> None:
     async with peer() as host, running(configuration(host)) as run:
         handle = run.gateway.balancer.handle
         run.gateway.balancer.handle = None  # type: ignore[method-assign,assignment]
--- a/tests/test_gateway_routes.py
+++ b/tests/test_gateway_routes.py
@@ -58,7 +58,7 @@
 
 
 @on_loop
-async def test_a_limit_refuses_and_a_shorter_deadline_ends_the_wait() -> None:
+async def test_a_route_limit_refuses_and_a_route_deadline_times_out() -> None:
     async with peer(lambda exchange: None) as host, running(routed(host)) as run:
         serving = run.gateway.routes = RouteTable(run.gateway)
         serving.update(view(route("r", limit=1, deadline_ms=200)))
@@ -74,7 +74,7 @@
 
 
 @on_loop
-async def test_a_chain_runs_in_its_order_and_a_request_keeps_it_to_its_answer() -> None:
+async def test_a_transform_chain_runs_in_order_and_a_request_keeps_it() -> None:
     async with peer(lambda exchange: None) as host, running(routed(host)) as run:
         names = ("a", "b", "c")
         active = ActiveSet(*map(transform, names), *(transform(f"{n}-back", "response") for n in names))
@@ -106,7 +106,7 @@
     return headers["x-by"]  # the last one of several
 
 
-def test_a_chain_is_made_once_for_each_set() -> None:
+def test_a_chain_is_built_once_per_active_set() -> None:
     active = ActiveSet(transform("a"), transform("b"))
     made = active.for_chain(("b", "a"))
     assert made is active.for_chain(("b", "a")) and active.for_chain(()) is not made
@@ -115,7 +115,7 @@
 
 
 @on_loop
-async def test_after_a_reconfiguration_routes_go_by_the_new_numbers() -> None:
+async def test_routes_use_the_new_kind_numbers_after_a_reconfiguration() -> None:
     async with peer() as old, peer() as new, running(routed(old, new)) as run:
         serving = run.gateway.routes = RouteTable(run.gateway)
         serving.update(view(route("r", targets=[{"types": ["m9"]}])))
--- a/tests/test_host_answers.py
+++ b/tests/test_host_answers.py
@@ -19,7 +19,7 @@
 
 
 @on_loop
-async def test_what_a_host_is_told_of_the_time_is_what_is_left_when_it_is_written(
+async def test_the_budget_header_is_the_time_left_at_the_write(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """If connecting took long, the host was told a budget that included the time spent on it."""
@@ -37,7 +37,7 @@
 
 
 @on_loop
-async def test_a_blank_line_ahead_of_an_answer_does_not_bring_back_the_one_before(
+async def test_a_blank_line_before_a_response_does_not_repeat_the_previous_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The head of a streamed response was sent again, to the next request on its connection."""
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("form", TRICKLES)
 @on_loop
-async def test_an_answer_that_never_ends_is_over_with_its_client_s_time(form: str) -> None:
+async def test_a_response_that_never_ends_is_cut_off_at_the_deadline(form: str) -> None:
     """A response of unknown length was streamed until its client left: timers end where streaming starts."""
     head, piece, ends = TRICKLES[form]
 
@@ -109,7 +109,7 @@
 
 
 @on_loop
-async def test_a_slow_long_answer_goes_on_when_its_client_s_time_is_out(
+async def test_a_slow_streamed_response_continues_past_the_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """A response beyond 64 KiB is judged by its first bytes, even if it is still below at the deadline."""
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -34,7 +34,7 @@
 
 
 @on_loop
-async def test_a_reset_that_crosses_the_write_leaves_the_request_to_another_connection(
+async def test_a_reset_before_the_write_moves_the_request_to_another_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The write itself fails, so not a byte of it can have arrived."""
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("end", ["orderly", "reset after the write"])
 @on_loop
-async def test_an_end_that_the_write_did_not_meet_is_a_reset(
+async def test_a_close_that_the_write_does_not_detect_is_a_reset(
     end: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with raw_host() as host:
@@ -93,7 +93,7 @@
 @pytest.mark.parametrize("bytes_", [b"H", b"HTTP/1.1 200", reply(200, b"whose?"), b"\r\n"])
 @pytest.mark.parametrize("in_the_loop", [False, True])
 @on_loop
-async def test_an_idle_connection_that_says_something_is_not_used_again(
+async def test_an_idle_connection_with_unexpected_input_is_not_reused(
     bytes_: bytes, in_the_loop: bool
 ) -> None:
     async with raw_host() as host:
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize("then", ["reset", "time-out", "read and reset", "read and end"])
 @on_loop
-async def test_a_request_is_written_once_its_last_byte_is_with_the_kernel(then: str) -> None:
+async def test_a_request_counts_as_written_once_the_kernel_has_its_last_byte(then: str) -> None:
     data = REQUEST + bytes(16_000_000)
     async with raw_host(SMALL) as host:
         attempt = host.send(data, TIMEOUT_US if then != "time-out" else 200_000)
@@ -133,7 +133,7 @@
 
 
 @on_loop
-async def test_a_host_that_moves_while_a_connection_comes_up_gets_the_request_at_its_new_address(
+async def test_an_address_change_while_connecting_sends_to_the_new_address(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its old address may belong to another host by now."""
@@ -157,7 +157,7 @@
 @pytest.mark.parametrize("passing", [False, True])
 @pytest.mark.parametrize("end", ["orderly", "reset"])
 @on_loop
-async def test_a_reset_is_no_end_of_an_answer_without_a_length(end: str, passing: bool, size: int) -> None:
+async def test_a_reset_does_not_end_a_response_without_a_length(end: str, passing: bool, size: int) -> None:
     """The last bytes and the close or reset are seen in one poll."""
     async with raw_host() as host:
         host.send()
@@ -175,7 +175,7 @@
 
 
 @on_loop
-async def test_a_host_that_is_gone_and_listed_again_keeps_nothing_of_its_earlier_life() -> None:
+async def test_a_host_removed_and_listed_again_keeps_no_old_connections() -> None:
     async with raw_host() as host:
         address = host.known.address
         host.send()
@@ -196,7 +196,7 @@
 
 @pytest.mark.parametrize("rested", [False, True])
 @on_loop
-async def test_a_second_answer_that_is_late_is_not_the_next_request_s(rested: bool) -> None:
+async def test_a_late_second_response_is_not_given_to_the_next_request(rested: bool) -> None:
     """Once the next request is written it would pass for its response: connections are not reused at once."""
     async with raw_host() as host:
         first = await host.exchange()
@@ -218,7 +218,7 @@
 
 
 @on_loop
-async def test_an_answer_that_came_in_time_is_taken_though_the_time_out_is_due_too() -> None:
+async def test_a_response_in_time_is_accepted_though_its_timeout_is_due_too() -> None:
     """After a busy period both are due at once, and the loop runs timers before it reads."""
     async with raw_host() as host:
         host.send(timeout_us=100_000)
@@ -242,7 +242,7 @@
 
 
 @on_loop
-async def test_a_connection_that_came_up_in_time_is_taken_though_the_time_out_is_due_too() -> None:
+async def test_a_connect_in_time_is_accepted_though_its_timeout_is_due_too() -> None:
     async with raw_host() as host:
         host.pools.settings = replace(host.pools.settings, connect_timeout_us=100_000)
         attempt = host.send()
--- a/tests/test_host_descriptors.py
+++ b/tests/test_host_descriptors.py
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @on_loop
-async def test_what_is_counted_is_what_is_open(seed: int) -> None:
+async def test_the_connection_count_matches_the_open_descriptors(seed: int) -> None:
     rng = random.Random(seed)
     pools = Pools(
         Settings(classes=(SAFE,), connect_timeout_us=30_000, stop_sending_within_us=10_000),
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -32,7 +32,7 @@
     return subprocess.run(command, cwd=folder, capture_output=True, text=True, timeout=60)
 
 
-def test_a_listed_test_runs_and_is_printed_and_may_fail(tmp_path: Path) -> None:
+def test_a_listed_test_may_fail_and_its_result_is_printed(tmp_path: Path) -> None:
     ran = run(tmp_path, RED)
     assert ran.returncode == 0 and "1 passed, 1 xfailed" in ran.stdout
     said = "known red (strict): tests/test_some.py::test_red: failed; seen: a cause; command: pytest tests"
@@ -40,19 +40,19 @@
 
 
 @pytest.mark.parametrize(("test", "did"), [("test_red", "failed"), ("test_green", "passed")])
-def test_a_flaky_one_may_do_either_and_what_it_did_is_printed(tmp_path: Path, test: str, did: str) -> None:
+def test_a_flaky_test_may_pass_or_fail_and_its_result_is_printed(tmp_path: Path, test: str, did: str) -> None:
     other = "" if test == "test_red" else RED
     ran = run(tmp_path, other + entry(test, kind="flaky"))
     assert ran.returncode == 0
     assert f"known red (flaky): tests/test_some.py::{test}: {did}" in ran.stdout
 
 
-def test_no_entry_at_all_is_no_fault(tmp_path: Path) -> None:
+def test_an_empty_list_is_valid(tmp_path: Path) -> None:
     ran = run(tmp_path, "", "-k", "green")
     assert ran.returncode == 0 and "known red" not in ran.stdout
 
 
-def test_one_test_may_be_run_alone_though_others_are_listed(tmp_path: Path) -> None:
+def test_a_single_test_can_be_run_while_others_are_listed(tmp_path: Path) -> None:
     ran = run(tmp_path, RED, "tests/test_some.py::test_green")
     assert ran.returncode == 0 and "test_red: not run" in ran.stdout
 
@@ -75,7 +75,7 @@
         ("tests/test_some.py::test_red: a cause, issue 1\n", "KNOWN-RED.txt: not a line of an entry"),
     ],
 )
-def test_nothing_else_is_let_pass(tmp_path: Path, listed: str, why: str) -> None:
+def test_other_failures_and_invalid_entries_fail_the_run(tmp_path: Path, listed: str, why: str) -> None:
     ran = run(tmp_path, listed)
     assert ran.returncode != 0 and why in ran.stdout + ran.stderr
     assert "Traceback" not in ran.stdout + ran.stderr and "INTERNALERROR" not in ran.stdout + ran.stderr
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -30,14 +30,14 @@
 from tests.sockets import configuration
 
 
-def test_the_aim_grows_with_a_requests_own_work_up_to_the_deadline() -> None:
+def test_target_latency_grows_with_the_work_hint_up_to_the_deadline() -> None:
     stretched = replace(SAFE, late_worth=0.0, aim_stretch=2.0)
     driver = Driver(replace(SETTINGS, classes=(stretched,)))
     waits = [sends(driver.arrive(work_us=work_us)[1])[0].timeout_us for work_us in (0, 50_000, 500_000)]
     assert waits == [int(0.98 * 200_000), int(0.98 * 300_000), int(0.98 * 400_000)]
 
 
-def test_a_class_that_was_dropped_excuses_no_server() -> None:
+def test_a_dropped_class_does_not_excuse_a_failing_server() -> None:
     """Its last success is out of date: a server that fails all present classes is bad as a whole."""
     driver = Driver(servers=1)
     for klass, client_timeout_us in ((0, 400_000), (2, 1_000_000)):
@@ -50,7 +50,7 @@
     assert list(driver.balancer.servers[0].breaker.ring) == [False, False, True]
 
 
-def test_a_first_guess_goes_with_the_aim_and_a_measured_latency_stays() -> None:
+def test_estimated_latencies_follow_the_target_and_measured_ones_stay() -> None:
     driver = Driver()
     name, actions = driver.arrive()
     driver.end(name, sends(actions)[0].server, latency_us=10_000)
@@ -64,9 +64,7 @@
 
 @pytest.mark.parametrize("crowded", [False, True])
 @pytest.mark.parametrize("aim_ms", [20, 40, 60, 200])
-def test_a_class_whose_aim_hosts_cannot_meet_sheds_no_other_before_there_is_a_crowd(
-    aim_ms: int, crowded: bool
-) -> None:
+def test_an_unreachable_target_sheds_no_other_class_without_overload(aim_ms: int, crowded: bool) -> None:
     """Idle hosts take about 40 ms, overloaded ones four times that; late answers have some worth."""
     tight = replace(SAFE, aim_us=aim_ms * 1000, give_up_us=400_000)
     easy = replace(SAFE, aim_us=500_000, give_up_us=2_000_000, worth=1.0)
@@ -85,7 +83,7 @@
 
 
 @pytest.mark.parametrize("count", [2, 8, 20])
-def test_a_tenant_within_its_share_is_hardly_ever_over_it_by_chance(count: int) -> None:
+def test_a_tenant_within_its_share_is_rarely_counted_over_it(count: int) -> None:
     settings = replace(SETTINGS, tenants=(Tenant(1 / count),) * count, over_share_worth=0.0)
     driver, rng = Driver(settings), Random(1)
     excesses = [max(0.0, tenant_excess(driver.balancer, rng.randrange(count))) for _ in range(20_000)]
@@ -169,7 +167,7 @@
 
 @examples(max_examples=25, deadline=None)
 @given(seed=st.integers(0, 2**32), events=st.integers(500, 3_000))
-def test_invariants_hold_and_every_answer_is_in_time_while_settings_change(seed: int, events: int) -> None:
+def test_invariants_and_deadlines_hold_while_settings_change(seed: int, events: int) -> None:
     rng = Random(seed)
     settings = draw_settings(rng)
     balancer = Balancer(settings, seed)
@@ -200,7 +198,7 @@
 
 @examples(max_examples=200, deadline=None)
 @given(st.lists(st.builds(numbered, names, names, names, names, st.integers(0, 5)), min_size=2, max_size=6))
-def test_what_has_a_number_keeps_it_and_its_own_settings_whatever_files_follow(files: list[Config]) -> None:
+def test_numbers_and_their_settings_stay_stable_across_reloads(files: list[Config]) -> None:
     now = files[0]
     for file in files[1:]:
         before, now = now, merge_reloaded(now, file)
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -44,14 +44,14 @@
     return choice.subset(balancer, klass, balancer.ranked)
 
 
-def test_an_unsafe_request_that_may_have_run_fails_at_once() -> None:
+def test_an_unsafe_request_that_may_have_run_fails_without_retry() -> None:
     driver = Driver()
     name, actions = driver.arrive(klass=2)
     answer = driver.end(name, sends(actions)[0].server, Outcome.RESET)
     assert finals(answer) == [Fail(name)] and not sends(answer)
 
 
-def test_an_unsafe_request_that_never_ran_goes_elsewhere() -> None:
+def test_an_unsafe_request_that_never_ran_is_retried_on_another_server() -> None:
     driver = Driver()
     name, actions = driver.arrive(klass=2)
     first = sends(actions)[0].server
@@ -59,7 +59,7 @@
     assert len(again) == 1 and again[0].server != first
 
 
-def test_a_keyed_request_stays_in_its_group_and_window() -> None:
+def test_a_keyed_retry_stays_in_its_group_and_deduplication_window() -> None:
     driver = Driver(servers=6)
     name, actions = driver.arrive(klass=1)
     first = sends(actions)[0].server
@@ -70,21 +70,21 @@
     assert finals(driver.end(name, sends(actions)[0].server, Outcome.RESET)) == [Fail(name)]
 
 
-def test_a_keyed_request_dropped_everywhere_may_be_refused() -> None:
+def test_a_keyed_request_with_scope_all_is_refused_after_an_error() -> None:
     anywhere = replace(KEYED, scope=Scope.ALL)
     driver = Driver(replace(SETTINGS, classes=(anywhere,), max_attempts=1))
     name, actions = driver.arrive()
     assert finals(driver.end(name, sends(actions)[0].server, Outcome.ERROR)) == [Refuse(name)]
 
 
-def test_attempts_end_with_the_limit() -> None:
+def test_attempts_are_limited_to_max_attempts() -> None:
     driver = Driver(replace(SETTINGS, max_attempts=2), servers=5)
     name, actions = driver.arrive()
     again = sends(driver.end(name, sends(actions)[0].server, Outcome.ERROR))
     assert finals(driver.end(name, again[0].server, Outcome.ERROR, attempt=1)) == [Refuse(name)]
 
 
-def test_a_second_copy_goes_out_when_the_first_is_overdue_and_the_loser_is_called_off() -> None:
+def test_an_overdue_attempt_is_hedged_and_the_slower_one_cancelled() -> None:
     driver = Driver()
     driver.balancer.smoothed_us[0] = 20_000.0
     name, actions = driver.arrive()
@@ -100,7 +100,7 @@
     assert not driver.balancer.requests
 
 
-def test_no_second_copy_where_none_is_allowed() -> None:
+def test_no_hedge_where_hedging_is_disabled() -> None:
     driver = Driver(replace(SETTINGS, second_copies=False))
     driver.balancer.smoothed_us[0] = 20_000.0
     _, actions = driver.arrive()
@@ -109,7 +109,7 @@
     assert not sends(driver.handle(TimerFired(timer.token)))
 
 
-def test_an_unsafe_request_is_no_trial() -> None:
+def test_an_unsafe_request_is_not_used_as_a_trial() -> None:
     driver = Driver(servers=2)
     breaker = driver.balancer.servers[0].breaker
     trip(breaker, driver.now_us)
@@ -118,14 +118,14 @@
         assert sends(driver.arrive(klass=2)[1])[0].server == 1
 
 
-def test_a_silent_server_gets_nothing_more() -> None:
+def test_an_unresponsive_server_gets_no_more_requests() -> None:
     driver = Driver(servers=1)
     driver.arrive(klass=2)
     driver.now_us += int(OVERDUE_FACTOR * max(driver.balancer.smoothed_us)) + 1
     assert not sends(driver.arrive(klass=2)[1])
 
 
-def test_a_light_request_does_not_hide_a_silent_server() -> None:
+def test_a_request_with_little_work_does_not_hide_an_unresponsive_server() -> None:
     """Dividing its latency by its tiny relative work gave seconds, which raised all expected latencies."""
     driver = Driver()
     for work_us in [1_000] * 20 + [1] * 3:
@@ -138,7 +138,7 @@
     assert sends(others)[0].server != sends(actions)[0].server
 
 
-def test_refusal_names_the_shortest_cooldown_when_all_are_open() -> None:
+def test_a_refusal_carries_the_shortest_cooldown_when_all_breakers_are_open() -> None:
     driver = Driver(servers=2)
     for number, server in driver.balancer.servers.items():
         trip(server.breaker, driver.now_us + number * 100_000)
@@ -150,7 +150,7 @@
 ORDERED = replace(SETTINGS, classes=(replace(UNSAFE, in_order=True),), key_rest_us=50_000)
 
 
-def test_requests_of_a_key_take_turns() -> None:
+def test_requests_of_a_key_are_sent_in_order() -> None:
     driver = Driver(ORDERED)
     first, actions = driver.arrive(key=7, client_timeout_us=900_000)
     server = sends(actions)[0].server
@@ -171,7 +171,7 @@
     assert not driver.balancer.key_queues.get(7)
 
 
-def test_a_client_that_comes_again_under_its_name_while_its_key_rests_is_answered() -> None:
+def test_a_request_id_reused_while_its_key_rests_is_answered() -> None:
     """The end of the rest removed the new request of that name: it was sent, but not answered."""
     driver = Driver(ORDERED)
     name, actions = driver.arrive(key=7, client_timeout_us=900_000)
@@ -185,7 +185,7 @@
     assert not driver.balancer.requests and not driver.balancer.key_queues and not driver.balancer.in_flight
 
 
-def test_a_popular_key_is_refused_before_a_line_that_cannot_be_served() -> None:
+def test_requests_that_a_key_queue_cannot_serve_in_time_are_refused() -> None:
     """A request that was refused a place in the queue was sent out of turn all the same."""
     driver = Driver(ORDERED)
     told = [driver.arrive(key=7, client_timeout_us=400_000)[1] for _ in range(30)]
@@ -196,7 +196,7 @@
     assert finals(driver.handle(TimerFired(waiting.token)))
 
 
-def test_full_is_no_proof_where_the_settings_say_so() -> None:
+def test_full_counts_as_may_have_run_with_full_unproven() -> None:
     for unproven in (True, False):
         driver = Driver(replace(SETTINGS, full_unproven=unproven))
         name, actions = driver.arrive(klass=2)
@@ -205,7 +205,7 @@
         assert bool(sends(answer)) != unproven
 
 
-def test_a_server_bad_for_one_class_keeps_the_others() -> None:
+def test_a_server_failing_one_class_still_serves_other_classes() -> None:
     """Half the servers rejected one class; opening breakers for whole servers excluded half the fleet."""
     driver = Driver(servers=2)
     name, actions = driver.arrive(klass=2)
@@ -223,7 +223,7 @@
     assert driver.balancer.shed_high_value == 0.0
 
 
-def test_failures_of_every_class_are_the_servers_own() -> None:
+def test_failures_of_all_classes_count_against_the_server() -> None:
     driver = Driver(servers=1)
     for klass in (2, 1, 0, 2, 1):
         name, actions = driver.arrive(klass=klass)
@@ -232,7 +232,7 @@
     assert driver.balancer.servers[0].breaker.failures >= 3
 
 
-def test_silence_sheds_as_a_slow_answer_does_but_less_where_it_was_cut_at_the_aim() -> None:
+def test_a_timeout_sheds_like_a_slow_response_but_less_if_it_was_at_the_target() -> None:
     """Lost connections led to shedding, and the connections that idled because of it were lost as well."""
     moved = []
     cut = replace(SAFE, late_worth=0.0)
@@ -253,7 +253,7 @@
 
 @pytest.mark.parametrize("client_timeout_us", [0, 1, 40])
 @pytest.mark.parametrize("klass", [0, 1, 2])
-def test_a_request_with_hardly_any_time_gets_one_answer(klass: int, client_timeout_us: int) -> None:
+def test_a_request_with_a_tiny_timeout_gets_exactly_one_answer(klass: int, client_timeout_us: int) -> None:
     driver = Driver()
     name, actions = driver.arrive(klass=klass, client_timeout_us=client_timeout_us)
     answers = finals(actions)
@@ -265,7 +265,7 @@
 
 
 @pytest.mark.parametrize("scope", list(Scope))
-def test_a_keyed_repeat_keeps_to_its_scope_and_ends_with_the_window(scope: Scope) -> None:
+def test_a_keyed_retry_stays_in_scope_and_ends_with_the_deduplication_window(scope: Scope) -> None:
     """The deduplication window runs from the first attempt that may have run, to the microsecond."""
     for late in (0, 1):
         klass = replace(KEYED, scope=scope)
@@ -282,7 +282,7 @@
             assert again[0].server % 3 == first % 3
 
 
-def test_a_tenant_beyond_its_share_yields_first_while_anything_is_shed() -> None:
+def test_a_tenant_over_its_share_is_shed_first() -> None:
     """The clients of one tenant retried without limit, and requests of all tenants were refused alike."""
     tenants = (Tenant(0.5, 10.0), Tenant(0.5, 10.0))
     driver = Driver(replace(SETTINGS, tenants=tenants, over_share_worth=0.1), servers=9)
@@ -305,7 +305,7 @@
     assert finals(actions) == [Refuse(name)]
 
 
-def test_the_client_leaving_ends_the_request() -> None:
+def test_a_client_disconnect_cancels_the_request() -> None:
     driver = Driver(replace(SETTINGS, attempts_per_connection=100))
     name, actions = driver.arrive()
     assert driver.handle(RequestGone(name)) == [Cancel(name, 0)]
@@ -313,7 +313,7 @@
     assert not driver.balancer.requests
 
 
-def test_a_stream_is_left_alone() -> None:
+def test_timers_have_no_effect_on_a_streamed_response() -> None:
     driver = Driver()
     name, actions = driver.arrive()
     driver.handle(StreamStarted(name, 0))
@@ -324,7 +324,7 @@
     assert not driver.balancer.requests
 
 
-def test_an_id_in_hand_is_not_taken_twice() -> None:
+def test_a_duplicate_request_id_is_ignored_while_pending() -> None:
     driver = Driver()
     driver.arrive()
     driver.count = 0
@@ -340,7 +340,7 @@
     assert [sum(isinstance(a, Log) for a in actions) for actions in (first, second, third)] == [1, 0, 1]
 
 
-def test_servers_in_other_zones_weigh_less_by_the_price_of_crossing() -> None:
+def test_servers_in_other_zones_are_drawn_less_by_the_cross_zone_price() -> None:
     driver = Driver(replace(SETTINGS, prices=Prices(cross_zone=0.05)), servers=0)
     driver.list_servers(ListedServer(1, zone=0), ListedServer(2, zone=1))
     to_home = 0
@@ -351,7 +351,7 @@
     assert 130 < to_home < 190
 
 
-def test_a_keys_requests_go_home_while_it_has_room() -> None:
+def test_requests_of_a_key_prefer_one_server_while_it_has_capacity() -> None:
     driver = Driver(replace(SETTINGS, warm_keys=True), servers=8)
     met: dict[int, int] = {}
     for _ in range(100):
@@ -362,13 +362,13 @@
     assert max(met.values()) > 50 and len(met) > 1
 
 
-def test_an_unknown_class_is_failed() -> None:
+def test_a_request_of_an_unknown_class_fails() -> None:
     driver = Driver()
     name, actions = driver.arrive(klass=7)
     assert finals(actions) == [Fail(name)]
 
 
-def test_a_draining_or_gone_server_gets_nothing_new() -> None:
+def test_a_draining_or_gone_server_gets_no_new_requests() -> None:
     driver = Driver(servers=3)
     driver.list_servers(
         ListedServer(0, ServerStatus.DRAINING), ListedServer(1, ServerStatus.GONE), kind=ListKind.DELTA
@@ -377,7 +377,7 @@
         assert sends(driver.arrive()[1])[0].server == 2
 
 
-def test_a_full_list_drops_what_it_lacks_and_a_restart_empties_the_record() -> None:
+def test_a_full_list_removes_missing_servers_and_a_restart_resets_the_breaker() -> None:
     driver = Driver(servers=3)
     driver.balancer.servers[1].breaker.record(0, True, 0, 0.0)
     driver.list_servers(ListedServer(1, started_us=driver.now_us))
@@ -385,7 +385,7 @@
     assert driver.balancer.servers[1].breaker.failures == 0
 
 
-def test_the_list_is_asked_for_and_asked_again_after_an_error() -> None:
+def test_the_list_is_watched_and_the_watch_retried_after_an_error() -> None:
     driver = Driver(replace(SETTINGS, list_is_pushed=False), servers=0)
     (timer,) = timers(driver.list_servers(ListedServer(1), kind=ListKind.DISK))
     assert 0 <= timer.due_us - driver.now_us < SETTINGS.must_ask_within_us / 5  # not all proxies at once
@@ -399,7 +399,7 @@
     assert list(driver.balancer.servers) == [1]
 
 
-def test_nothing_is_kept_of_what_is_finished() -> None:
+def test_no_state_of_finished_requests_is_kept() -> None:
     driver = Driver(servers=4)
     for n in range(3_000):
         name, actions = driver.arrive(klass=n % 3)
@@ -420,7 +420,7 @@
     assert len(balancer.ranked) == 4 and balancer.in_flight == 0
 
 
-def test_a_clock_that_steps_back_stands_still() -> None:
+def test_the_clock_does_not_go_back() -> None:
     driver = Driver()
     driver.balancer.handle(driver.now_us, RequestGone("none"))
     driver.balancer.handle(driver.now_us - 5_000_000, RequestGone("none"))
@@ -433,7 +433,7 @@
 @pytest.mark.parametrize(
     "bad", [{"aim_us": 0}, {"give_up_us": -1}, {"window_us": -1}, {"worth": NAN}, {"late_worth": 1.5}]
 )
-def test_classes_that_cannot_be_used_are_rejected(bad: dict[str, float]) -> None:
+def test_invalid_classes_are_rejected(bad: dict[str, float]) -> None:
     with pytest.raises(ValueError, match=next(iter(bad))):
         RequestClass(**{"aim_us": 1, "give_up_us": 1, **bad})  # type: ignore[arg-type]
 
@@ -452,12 +452,12 @@
         {"key_rest_us": -1},
     ],
 )
-def test_settings_that_cannot_be_used_are_rejected(bad: dict[str, object]) -> None:
+def test_invalid_settings_are_rejected(bad: dict[str, object]) -> None:
     with pytest.raises(ValueError, match=next(iter(bad))):
         replace(SETTINGS, **bad)  # type: ignore[arg-type]
 
 
-def test_a_proxy_with_few_answers_sheds_as_soon_as_a_busy_one() -> None:
+def test_a_proxy_with_few_answers_sheds_as_early_as_a_busy_one() -> None:
     """Each of 850 proxies saw only three answers in the five seconds in which the fleet became overloaded."""
     shed = []
     for gap_us in (100_000, 1_500_000):
@@ -474,7 +474,7 @@
     assert RequestClass(aim_us=1, give_up_us=1).effect is UNSAFE.effect
 
 
-def test_a_proxy_keeps_to_its_subset() -> None:
+def test_a_proxy_uses_only_its_subset() -> None:
     """Hundreds of proxies that used every server filled the connection tables: 90% of attempts got none."""
     met: set[int] = set()
     driver = Driver(replace(SETTINGS, proxies=300, proxy=5), servers=60)
@@ -485,7 +485,7 @@
     assert len(met) <= MIN_SUBSET_SIZE + 1
 
 
-def test_subsets_are_even_and_move_little() -> None:
+def test_subsets_are_even_and_change_little_with_the_list() -> None:
     """With subsets drawn at random, equal servers were used by one to twenty-one proxies."""
     used: Counter[int] = Counter()
     for proxy in range(40):
@@ -499,14 +499,14 @@
     assert max(used.values()) <= 2 * 40 * MIN_SUBSET_SIZE / 60
 
 
-def test_a_proxy_with_more_in_hand_reaches_further() -> None:
+def test_a_proxy_with_more_in_flight_uses_a_larger_subset() -> None:
     """A proxy with a fifth of all traffic would overload the few servers of a fixed subset."""
     driver = Driver(replace(SETTINGS, proxies=300), servers=60)
     met = {sends(driver.arrive(klass=2)[1])[0].server for _ in range(40)}
     assert len(met) > 3 * MIN_SUBSET_SIZE
 
 
-def test_an_open_server_gives_its_place_to_the_next_in_rank() -> None:
+def test_an_open_server_is_replaced_in_the_subset_by_the_next_in_rank() -> None:
     driver = Driver(replace(SETTINGS, proxies=300), servers=60)
     before = subset(driver.balancer, 0)
     trip(before[0].breaker, driver.now_us)
@@ -514,7 +514,7 @@
     assert before[0] not in after and after[: len(before) - 1] == before[1:] and len(after) == len(before)
 
 
-def test_failed_connects_open_only_when_two_come_on_end() -> None:
+def test_two_consecutive_failed_connects_open_the_breaker() -> None:
     """Where one connection in twelve broke, each single failure excluded a server for a second or more."""
     driver = Driver(servers=1)
     breaker = driver.balancer.servers[0].breaker
@@ -530,7 +530,7 @@
 )
 
 
-def test_cold_servers_are_kept_within_the_budget_by_all_proxies_together() -> None:
+def test_all_proxies_together_keep_within_a_cold_servers_budget() -> None:
     """Each proxy sent its one allowed request as soon as a server was listed, forty at once."""
     work_us = [0.0] * 20  # per half second
     for proxy in range(40):
@@ -547,14 +547,14 @@
     assert sum(work_us) > 0
 
 
-def test_a_server_whose_start_lies_ahead_by_its_clock_is_as_cold_as_one_that_has_just_started() -> None:
+def test_a_server_with_a_start_time_in_the_future_can_be_used() -> None:
     """With warm_after_us 0 the balancer divided by zero there, and failed the request."""
     driver = Driver(replace(SETTINGS, warm_after_us=0), servers=0)
     driver.list_servers(ListedServer(1, started_us=driver.now_us + 1_000))
     assert [action.server for action in sends(driver.arrive()[1])] == [1]
 
 
-def test_a_cold_server_is_charged_the_hinted_work_not_the_time_that_answers_wait() -> None:
+def test_a_cold_server_is_charged_the_hinted_work_not_queueing_time() -> None:
     """Estimated from answers that include waiting, work seemed five times as much: cold servers idled."""
     sent = []
     for work_us in (10_000, 0):
@@ -571,7 +571,7 @@
     assert hinted > 3 * unhinted > 0
 
 
-def test_a_server_that_starts_in_a_crowd_is_used_soon() -> None:
+def test_a_server_that_starts_during_overload_is_used_soon() -> None:
     """Waiting time counted as work already sent to a new server, which therefore idled for seconds."""
     soon = 0
     for proxy in range(40):
@@ -584,7 +584,7 @@
     assert soon > 20
 
 
-def test_a_cold_server_beyond_the_reach_is_not_used() -> None:
+def test_a_cold_server_outside_the_reach_is_not_used() -> None:
     """Otherwise all proxies that replace failing servers would use the same cold one."""
     driver = Driver(replace(COLD, proxies=300), servers=60)
     last = driver.balancer.ranked[-1].entry.server
@@ -594,14 +594,14 @@
     assert subset(driver.balancer, 0) == []
 
 
-def test_what_is_worth_nothing_late_is_timed_out_at_the_aim() -> None:
+def test_a_class_without_late_worth_times_out_at_its_target_latency() -> None:
     """Attempts that ran until the client gave up filled the servers' queues with work of no worth."""
     driver = Driver(replace(SETTINGS, classes=(replace(SAFE, late_worth=0.0), SAFE)))
     assert sends(driver.arrive(klass=0)[1])[0].timeout_us < SAFE.aim_us
     assert sends(driver.arrive(klass=1)[1])[0].timeout_us > SAFE.aim_us
 
 
-def test_a_gateway_of_many_keeps_to_few_servers_and_one_of_three_uses_all() -> None:
+def test_subset_size_depends_on_the_number_of_gateways() -> None:
     """Forty gateways with nine attempts in flight each used twelve servers, each of them once a second."""
     for proxies, count, reached in ((40, 60, 7), (3, 13, 13)):
         driver = Driver(replace(SETTINGS, proxies=proxies), servers=count)
@@ -610,7 +610,7 @@
         assert len(subset(driver.balancer, 0)) == reached
 
 
-def test_a_server_whose_live_weight_stays_low_leaves_the_subset_until_it_rises() -> None:
+def test_a_server_with_a_lasting_low_listed_weight_leaves_the_subset() -> None:
     """With a fixed rank, some servers idled all day beside overloaded ones."""
     driver = Driver(replace(SETTINGS, proxies=40), servers=60)
     member = subset(driver.balancer, 0)[0]
@@ -620,7 +620,7 @@
         assert (member in subset(driver.balancer, 0)) is kept
 
 
-def test_a_cold_server_is_shared_by_as_many_proxies_as_its_budget_is_parted_for() -> None:
+def test_a_cold_server_is_used_by_as_many_proxies_as_share_its_budget() -> None:
     """A lower rank while cold meant that a third of the proxies with a part of its budget used it."""
     users = 0
     for proxy in range(200):
@@ -630,7 +630,7 @@
     assert 0.75 < users / (200 * MIN_SUBSET_SIZE / 60) < 1.5
 
 
-def test_drained_servers_leave_the_others_evenly_shared() -> None:
+def test_subsets_stay_even_while_servers_drain() -> None:
     """When a third drained in a release, some servers had three times the proxies of others and timed out."""
     users: Counter[int] = Counter()
     for proxy in range(200):
@@ -643,7 +643,7 @@
     assert len(users) == 40 and max(users.values()) < 1.5 * mean and min(users.values()) > mean / 1.5
 
 
-def test_servers_without_weight_or_capacity_are_ranked_too() -> None:
+def test_servers_with_zero_weight_or_capacity_are_ranked() -> None:
     """Either raised an exception: the rank is divided by a server's zone factor, capacity and idleness."""
     driver = Driver(replace(COLD, start_capacity=0.0), servers=0)
     cold = ListedServer(2, started_us=driver.now_us)
@@ -652,7 +652,7 @@
     assert sends(driver.arrive()[1])[0].server == 3
 
 
-def test_an_own_attempt_out_counts_for_more_than_a_listed_weight_five_times_as_high() -> None:
+def test_an_attempt_in_flight_outweighs_a_fivefold_listed_weight() -> None:
     """Listed weights are late and the same for all: all sent more to idle or just hung servers."""
     driver = Driver(servers=0)
     driver.list_servers(ListedServer(0, weight=1.0))
@@ -663,7 +663,7 @@
     assert free > busy > 0.0
 
 
-def test_long_waits_shed_the_least_worth_first_and_prompt_answers_end_it() -> None:
+def test_high_latency_sheds_the_lowest_worth_first_until_latency_falls() -> None:
     cheap = replace(SAFE, worth=1.0)
     dear = replace(SAFE, worth=10.0)
     driver = Driver(Settings(classes=(cheap, dear)))
@@ -687,7 +687,7 @@
         assert refused == shed
 
 
-def test_no_copy_and_no_repeat_of_what_may_have_run_while_anything_is_shed() -> None:
+def test_no_hedge_or_retry_of_what_may_have_run_while_shedding() -> None:
     """Retries and hedges of three hundred proxies doubled the work in an overload, which then never ended."""
     driver = Driver()
     driver.balancer.shed_low_value = SHED_STEP
@@ -699,7 +699,7 @@
     assert not sends(driver.end(name, sends(actions)[0].server, Outcome.TIMEOUT))
 
 
-def test_a_last_try_that_is_given_more_does_not_make_first_tries_late() -> None:
+def test_a_longer_timeout_of_last_tries_does_not_make_first_tries_late() -> None:
     """Clients give their last try all the time left: first tries, with less, were refused as late."""
     late = replace(SAFE, late_worth=0.0)
     for marks in (True, False):
@@ -713,7 +713,7 @@
             driver.end(name, send.server)
 
 
-def test_a_server_keeps_its_weight_from_before_the_trip() -> None:
+def test_a_server_keeps_the_weight_it_had_when_its_breaker_opened() -> None:
     """Late outcomes and failed trials cut the weight that a server has when its breaker closes again."""
     driver = Driver(servers=1)
     server = driver.balancer.servers[0]
@@ -727,7 +727,7 @@
     assert server.weight == weight
 
 
-def test_a_client_that_leaves_costs_no_connection_where_each_carries_one_attempt() -> None:
+def test_a_client_disconnect_does_not_cancel_an_attempt_on_an_unshared_connection() -> None:
     """Cancelling closed the connection, and the next request needed a new one."""
     driver = Driver(replace(SETTINGS, attempts_per_connection=1), servers=1)
     name, _ = driver.arrive()
@@ -739,7 +739,7 @@
     assert list(balancer.servers[0].breaker.ring) == [False]  # and its outcome still counts
 
 
-def test_an_overdue_attempt_is_called_off_with_its_client() -> None:
+def test_an_overdue_attempt_is_cancelled_when_its_client_disconnects() -> None:
     driver = Driver(replace(SETTINGS, attempts_per_connection=1, second_copies=False), servers=1)
     name, actions = driver.arrive()
     timer = timers(actions)[0]
--- a/tests/test_retuning.py
+++ b/tests/test_retuning.py
@@ -109,7 +109,7 @@
 
 
 @on_loop
-async def test_nothing_is_taken_from_a_broken_file(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_invalid_file_changes_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     async with peer() as host:
         config = configuration(host)
         async with retuned(tmp_path, monkeypatch, config) as (gateway, retune):
@@ -133,9 +133,7 @@
 
 
 @on_loop
-async def test_a_file_that_is_missing_is_a_broken_one(
-    monkeypatch: pytest.MonkeyPatch, tmp_path: Path
-) -> None:
+async def test_a_missing_file_counts_as_a_load_error(monkeypatch: pytest.MonkeyPatch, tmp_path: Path) -> None:
     async with running(configuration("127.0.0.1:1")) as gateway:
         monkeypatch.setenv("LB_CONFIG", str(tmp_path / "none"))
         gateway.server.reload()
@@ -143,7 +141,9 @@
 
 
 @on_loop
-async def test_a_class_comes_and_its_rules_bind(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_an_added_class_is_served_by_its_own_settings(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async with peer() as host:
         config = configuration(host)
         async with retuned(tmp_path, monkeypatch, config) as (gateway, retune):
@@ -163,7 +163,7 @@
 
 
 @on_loop
-async def test_a_class_goes_while_its_requests_are_open_and_returns_under_its_number(
+async def test_a_removed_class_finishes_pending_requests_and_returns_with_its_number(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with peer(silent) as host:
@@ -190,7 +190,7 @@
 
 
 @on_loop
-async def test_an_open_request_keeps_its_attempts_and_new_ones_have_the_new_limit(
+async def test_a_pending_request_keeps_its_attempt_limit_across_a_reload(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Three hosts refuse one after the other: a request that never ran is retried while attempts are left."""
@@ -219,7 +219,7 @@
 
 
 @on_loop
-async def test_signals_in_quick_succession_end_with_the_last_file(
+async def test_reloads_in_quick_succession_end_with_the_last_file(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with peer() as host, peer(answers(list_reply(3, endpoint("s-0", host.address)))) as found:
@@ -239,7 +239,7 @@
 
 
 @on_loop
-async def test_zones_keep_their_numbers_whatever_their_order(
+async def test_zones_keep_their_numbers_when_reordered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     config = configuration("127.0.0.1:1")
@@ -251,7 +251,7 @@
         assert gateway.gateway.balancer.settings.zone == 2
 
 
-def test_a_zone_or_kind_that_no_file_names_keeps_its_number() -> None:
+def test_an_unconfigured_zone_or_kind_keeps_its_number() -> None:
     """Otherwise a zone counts as two until the next list, and a keyed request's scope is split."""
     config = configuration("127.0.0.1:1")
     before = parse(config)
@@ -266,7 +266,7 @@
 NEW = RequestClass(aim_us=100_000, give_up_us=200_000, effect=SAFE.effect)
 
 
-def test_what_was_learned_of_servers_outlives_other_settings() -> None:
+def test_learned_state_of_servers_survives_a_settings_change() -> None:
     driver = Driver()
     trip(driver.balancer.servers[0].breaker, driver.now_us)
     driver.balancer.servers[1].weight = 0.3
@@ -280,7 +280,7 @@
     assert not driver.end(name, sends(actions)[0].server)
 
 
-def test_an_open_request_of_a_class_that_became_unsafe_is_still_repeated() -> None:
+def test_a_pending_request_of_a_class_that_became_unsafe_is_still_retried() -> None:
     driver = Driver(servers=3)
     name, actions = driver.arrive()
     driver.handle(SettingsChanged(replace(SETTINGS, classes=(UNSAFE, KEYED, UNSAFE))))
@@ -291,7 +291,7 @@
 
 
 @pytest.mark.parametrize("waits", ["in line", "for its body"])
-def test_a_request_that_has_not_been_sent_yet_keeps_the_rules_that_it_came_under(waits: str) -> None:
+def test_an_unsent_request_keeps_the_class_settings_of_its_arrival(waits: str) -> None:
     """Effect, scope, window, attempts and deadline have all changed by the time it is sent."""
     keyed = replace(KEYED, in_order=waits == "in line")
     driver = Driver(replace(SETTINGS, classes=(keyed,), max_attempts=2), servers=6)
@@ -315,7 +315,7 @@
     assert not sends(driver.end(name, sends(again)[0].server, Outcome.CONNECT_FAILED, attempt=1))
 
 
-def test_a_dropped_class_takes_nothing_new_and_has_no_part_in_worths_or_shedding() -> None:
+def test_a_dropped_class_is_refused_and_ignored_by_load_shedding() -> None:
     driver = Driver(servers=3)
     balancer = driver.balancer
     open_, actions = driver.arrive(klass=2, client_timeout_us=1_000_000)
@@ -333,7 +333,7 @@
 
 
 @on_loop
-async def test_asking_for_the_list_begins_where_it_was_pushed_before(
+async def test_list_watch_starts_when_the_mode_changes_from_pushed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async with peer(silent) as found:
@@ -347,7 +347,7 @@
 
 
 @on_loop
-async def test_a_request_that_waits_behind_others_keeps_the_settings_that_it_came_under(
+async def test_a_pipelined_request_keeps_the_settings_of_its_arrival(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A client sends two requests at once, and SIGHUP arrives while the first is in flight.
--- a/tests/test_routes_module.py
+++ b/tests/test_routes_module.py
@@ -53,7 +53,7 @@
         ),
     ],
 )
-def test_hosts_are_named_by_what_the_list_says(hosts: HostSelector, named: set[int]) -> None:
+def test_hosts_are_selected_by_their_list_entries(hosts: HostSelector, named: set[int]) -> None:
     driver = driver_with(Route((Target(hosts),)), servers=0)
     driver.list_servers(
         ListedServer(1, kind=7, zone=1, labels=frozenset({5})),
@@ -80,7 +80,7 @@
     assert 700 < drawn[1] < 900  # 800 of 4000; four standard deviations are 101
 
 
-def test_where_the_drawn_target_has_no_host_the_greatest_has_its_requests() -> None:
+def test_a_target_without_hosts_falls_back_to_the_greatest_target() -> None:
     driver = driver_with(Route((Target(HostSelector(groups=frozenset({9})), 0.4), Target(EVEN, 0.6))))
     for _ in range(50):
         name, actions = driver.arrive(route=1)
@@ -91,7 +91,7 @@
     assert finals(actions) == [Refuse(name)] and not driver.balancer.pending_by_route[1]
 
 
-def test_retries_and_second_copies_stay_inside_the_route() -> None:
+def test_retries_and_hedges_stay_inside_the_route() -> None:
     driver = driver_with(Route((Target(ODD),)), servers=4)
     name, actions = driver.arrive(route=1)
     again = driver.end(name, sent_to(actions), Outcome.CONNECT_FAILED)
@@ -104,7 +104,7 @@
     assert {sent_to(actions), sent_to(driver.handle(TimerFired(timer.token)))} == {1, 3}
 
 
-def test_caps_are_the_lower_of_both_and_the_client_timeout_is_learned_all_the_same() -> None:
+def test_route_caps_only_lower_limits_and_client_timeouts_are_still_learned() -> None:
     driver = driver_with(Route(max_attempts=2, deadline_us=100_000), Route(max_attempts=9, deadline_us=10**9))
     plain = Driver(servers=12)
     name, actions = driver.arrive(route=1)
@@ -120,7 +120,7 @@
     assert driver.balancer.requests[name].max_attempts == SETTINGS.max_attempts
 
 
-def test_a_limit_is_the_fleet_s_and_each_has_its_part_of_it_rounded_up() -> None:
+def test_a_fleet_limit_is_divided_among_proxies_rounded_up() -> None:
     driver = driver_with(Route(limit=5))
     driver.handle(Fleet((2,)))
     held = [driver.arrive(route=1) for _ in range(3)]
@@ -136,7 +136,7 @@
     assert len(sends(driver.arrive(route=1)[1])) == 1
 
 
-def test_an_open_request_keeps_its_route_through_a_new_plan() -> None:
+def test_a_pending_request_keeps_its_route_through_a_new_plan() -> None:
     driver = driver_with(Route((Target(ODD),), max_attempts=2))
     name, actions = driver.arrive(route=1)
     driver.handle(Plan({1: Route((Target(EVEN),), max_attempts=1)}))
@@ -144,13 +144,13 @@
     assert sent_to(driver.arrive(route=1)[1]) % 2 == 0
 
 
-def test_a_route_that_the_plan_has_not_is_told_and_narrows_nothing() -> None:
+def test_a_route_missing_from_the_plan_is_logged_and_restricts_nothing() -> None:
     driver, plain = driver_with(Route((Target(ODD),))), Driver(servers=12)
     (_, actions), (_, was) = driver.arrive(route=7), plain.arrive()
     assert actions == [Log("route 7 is not in the plan; its requests go as if there were none"), *was]
 
 
-def test_the_servers_of_a_target_are_worked_out_once_for_each_ranking() -> None:
+def test_target_servers_are_cached_per_ranking() -> None:
     driver = driver_with(Route((Target(ODD),)), Route((Target(replace(ODD)),)))
     driver.arrive(route=1)
     (ranked,) = driver.balancer.ranked_by_selector.values()
@@ -165,7 +165,7 @@
     assert not driver.balancer.ranked_by_selector
 
 
-def test_requests_without_a_route_go_as_if_there_were_no_plan() -> None:
+def test_requests_without_a_route_are_unaffected_by_the_plan() -> None:
     planned, plain = driver_with(Route((Target(ODD, 0.5), Target(REST, 0.5)))), Driver(servers=12)
     for turn in range(500):
         (name, actions), (_, was) = planned.arrive(turn % 3), plain.arrive(turn % 3)
@@ -176,7 +176,7 @@
             assert planned.end(name, server, outcome) == plain.end(name, server, outcome)
 
 
-def test_a_cold_server_s_budget_is_shared_by_all_who_have_few_to_choose_from() -> None:
+def test_a_cold_server_of_a_small_target_shares_its_budget_among_all_proxies() -> None:
     """With three servers in the target each of 60 proxies uses all; with 60 servers, few proxies use each."""
     settings = replace(SETTINGS, proxies=60, warm_after_us=8_000_000, start_capacity=0.1)
     driver = Driver(settings, servers=0)
@@ -188,7 +188,7 @@
     assert driver.balancer.requests[routed].pool_size == 3 and driver.balancer.requests[plain].pool_size == 60
 
 
-def test_a_class_that_is_not_there_fails_whatever_its_route() -> None:
+def test_an_unknown_class_fails_regardless_of_route() -> None:
     driver = driver_with(Route(limit=1))
     name, actions = driver.arrive(klass=9, route=1)
     assert finals(actions) == [Fail(name)] and not driver.balancer.pending_by_route
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -207,7 +207,9 @@
 
 @settings(max_examples=150, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(st.integers(0, 3), st.sampled_from(VARIANTS), st.lists(STEPS, min_size=10, max_size=150))
-def test_rules_hold_on_any_sequence(seed: int, rules: Settings, steps: list[tuple[str, int, int]]) -> None:
+def test_effect_rules_hold_on_any_event_sequence(
+    seed: int, rules: Settings, steps: list[tuple[str, int, int]]
+) -> None:
     world = World(seed, rules)
     for what, first, second in steps:
         if what == "arrive":
@@ -231,7 +233,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 7])
-def test_equal_events_give_equal_actions(seed: int) -> None:
+def test_balancer_actions_are_deterministic(seed: int) -> None:
     logs = []
     for _ in range(2):
         balancer = Balancer(SETTINGS, seed)
--- a/tests/test_sharers.py
+++ b/tests/test_sharers.py
@@ -20,7 +20,7 @@
     return proxy_count(driver.balancer)
 
 
-def test_a_number_that_rises_counts_at_once_and_one_that_falls_after_a_while() -> None:
+def test_a_rising_proxy_count_applies_at_once_and_a_falling_one_after_a_delay() -> None:
     driver = Driver(EIGHT)
     part_us = fall_budget_us(driver.balancer)
     assert seen(driver, 10, 6) == 16
@@ -31,14 +31,14 @@
     assert seen(driver, 1, 0) == 1
 
 
-def test_a_start_goes_by_the_settings_number_until_the_fleet_has_been_seen_for_a_while() -> None:
+def test_a_new_proxy_uses_the_configured_count_until_the_delay_has_passed() -> None:
     driver = Driver(EIGHT)
     assert seen(driver, 1) == 8
     driver.now_us += LOWER_COUNT_DELAY_US
     assert seen(driver, 2) == 2
 
 
-def test_without_membership_the_settings_number_holds() -> None:
+def test_without_membership_the_configured_count_applies() -> None:
     driver = Driver(EIGHT)
     assert proxy_count(driver.balancer) == 8
     seen(driver, 20)
@@ -50,7 +50,7 @@
         st.tuples(st.integers(0, 2 * LOWER_COUNT_DELAY_US), st.integers(1, 300)), min_size=1, max_size=30
     )
 )
-def test_it_is_the_most_that_was_seen_of_late(steps: list[tuple[int, int]]) -> None:
+def test_proxy_count_is_the_recent_maximum(steps: list[tuple[int, int]]) -> None:
     driver = Driver(EIGHT)
     history = [(driver.now_us + steps[0][0], EIGHT.proxies)]
     for gap_us, live in steps:
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("klass", [0, 1, 2])
-def test_when_no_answer_tells_of_a_crowd_any_more_requests_try_one_at_a_time(klass: int) -> None:
+def test_after_the_last_overload_signal_expires_one_request_at_a_time_is_sent(klass: int) -> None:
     driver = crowded()
     driver.now_us += MAX_SHED_INTERVAL_US
     name, actions = driver.arrive(klass)
@@ -33,19 +33,19 @@
     assert driver.balancer.shed_low_value < MAX_SHED and driver.balancer.shed_high_value < MAX_SHED
 
 
-def test_an_answer_that_told_of_a_crowd_is_believed_until_it_is_old() -> None:
+def test_shedding_continues_until_the_last_overload_signal_expires() -> None:
     driver = crowded()
     driver.now_us += MAX_SHED_INTERVAL_US - 1
     refused = sum(isinstance(driver.arrive(0)[1][0], Refuse) for _ in range(100))
     assert refused >= 80
 
 
-def test_a_pause_of_a_millisecond_is_no_crowd_where_hosts_answer_faster() -> None:
+def test_a_millisecond_pause_is_not_overload_on_fast_hosts() -> None:
     """A request was refused (503) with no other in flight, after an answer of 1.1 ms where 0.4 ms is usual.
 
     Any answer of 2.75 times the baseline counted as overload and shed a tenth of the next requests, whatever
     their target: any pause of a process is many times a fraction of a millisecond. It made
-    `test_a_request_may_be_cut_at_every_byte` fail in 6 of 1,994 runs beside load, each time with
+    `test_a_request_may_be_split_at_every_byte` fail in 6 of 1,994 runs beside load, each time with
     `OK, 1034 us` or slightly more as the last answer, 140 us before, and `shed_high_value` at 0.1.
     """
     driver = Driver(servers=12)
@@ -56,7 +56,7 @@
         driver.end(name, actions[0].server, latency_us=latency_us)
 
 
-def test_answers_of_many_times_the_usual_still_tell_of_a_crowd() -> None:
+def test_latency_of_three_times_the_baseline_counts_as_overload() -> None:
     driver = Driver(servers=12)
     for latency_us in [20_000] * 300 + [60_000]:
         name, actions = driver.arrive()
--- a/tests/test_streamed_answers.py
+++ b/tests/test_streamed_answers.py
@@ -30,7 +30,9 @@
 )
 @pytest.mark.parametrize("old", [False, True])
 @on_loop
-async def test_a_long_answer_passes_unchanged_in_whatever_form(head: str, data: bytes, old: bool) -> None:
+async def test_a_streamed_response_is_forwarded_unchanged_in_any_framing(
+    head: str, data: bytes, old: bool
+) -> None:
     cuts = [data[at : at + 30_011] for at in range(0, len(data), 30_011)]
     async with raw_host(single_response(head, *cuts)) as host, running(configuration(host)) as gateway:
         client = await gateway.connect()
@@ -67,7 +69,7 @@
 
 @pytest.mark.parametrize("size", [10, BODY_LIMIT])
 @on_loop
-async def test_a_short_answer_may_end_with_its_connection_too(size: int) -> None:
+async def test_a_short_response_may_be_delimited_by_connection_close(size: int) -> None:
     serve = single_response("HTTP/1.1 200 OK\n", BODY[:size])
     async with raw_host(serve) as host, running(configuration(host)) as gateway:
         answer = await gateway.ask(request("search"))
@@ -87,7 +89,7 @@
 )
 @pytest.mark.parametrize("old", [False, True])
 @on_loop
-async def test_an_answer_that_breaks_ends_so_that_it_shows(
+async def test_an_aborted_response_is_detectable_by_the_client(
     head: str, data: bytes, reset: bool, old: bool
 ) -> None:
     async with (
@@ -127,13 +129,13 @@
     ids=["both", "two lengths", "coding", "chunk", "length", "204", "304", "500", "framing"],
 )
 @on_loop
-async def test_what_is_no_answer_is_a_failed_attempt(head: str, data: bytes) -> None:
+async def test_an_invalid_response_is_a_failed_attempt(head: str, data: bytes) -> None:
     async with raw_host(single_response(head, data)) as host, running(configuration(host)) as gateway:
         assert (await gateway.ask(request("transfer"))).status == 502
 
 
 @on_loop
-async def test_a_slow_reader_stops_the_host_and_nobody_else() -> None:
+async def test_a_slow_reader_applies_backpressure_to_its_host_only() -> None:
     written = 0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -173,7 +175,7 @@
 
 
 @on_loop
-async def test_a_reader_that_leaves_ends_the_attempt() -> None:
+async def test_a_client_disconnect_ends_a_streamed_response() -> None:
     ended = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -193,7 +195,7 @@
 
 
 @on_loop
-async def test_a_time_out_does_not_cut_an_answer_that_has_begun() -> None:
+async def test_a_timeout_does_not_abort_a_streamed_response() -> None:
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n" + BODY[:50_000])
@@ -207,7 +209,7 @@
 
 
 @on_loop
-async def test_an_answer_of_unknown_length_that_comes_slowly_passes_before_it_is_long() -> None:
+async def test_a_slow_response_of_unknown_length_is_streamed_at_once() -> None:
     """Held back until 64 KiB had arrived, the response exceeded its deadline."""
     rest = asyncio.Event()
 
@@ -231,7 +233,7 @@
 
 
 @on_loop
-async def test_a_head_alone_is_not_passed_on() -> None:
+async def test_a_response_head_alone_is_not_forwarded() -> None:
     """The host may have failed after the head, and the request can still be retried at another host."""
     heads = 0
 
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -46,7 +46,7 @@
 
 @pytest.mark.parametrize("form", ["length", "chunked", "extensions and a trailer"])
 @on_loop
-async def test_a_long_body_passes_unchanged_and_the_connection_goes_on(
+async def test_a_streamed_body_is_forwarded_unchanged_and_connections_are_reused(
     form: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("cloverkeel.hosts.idle.REUSE_DELAY_US", 0)
@@ -70,7 +70,7 @@
 
 
 @on_loop
-async def test_long_and_short_requests_in_a_row_are_answered_in_turn() -> None:
+async def test_pipelined_streamed_and_short_requests_are_answered_in_order() -> None:
     sink = Sink()
     async with raw_host(sink) as host, running(configuration(host)) as gateway:
         client = await gateway.connect()
@@ -102,7 +102,7 @@
 
 
 @on_loop
-async def test_a_body_that_turns_out_bad_never_ends_at_the_host() -> None:
+async def test_an_invalid_streamed_body_is_never_completed_at_the_host() -> None:
     sink = Sink()
     async with raw_host(sink) as host, running(configuration(host)) as gateway:
         client = await gateway.connect()
@@ -119,7 +119,7 @@
 
 @pytest.mark.parametrize("may_cancel", [False, True])
 @on_loop
-async def test_a_client_that_leaves_in_its_body_ends_the_attempt(may_cancel: bool) -> None:
+async def test_a_client_disconnect_within_the_body_ends_the_attempt(may_cancel: bool) -> None:
     sink = Sink()
     async with raw_host(sink) as host, running(configuration(host, mayCancel=may_cancel)) as gateway:
         client = await gateway.connect()
@@ -132,7 +132,7 @@
 
 
 @on_loop
-async def test_a_body_beyond_the_limit_is_cut_where_it_passes_it(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_body_over_the_limit_gets_413_and_is_aborted(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(front, "MAX_BODY_BYTES", 200_000)
     sink = Sink()
     async with raw_host(sink) as host, running(configuration(host)) as gateway:
@@ -142,7 +142,7 @@
 
 
 @on_loop
-async def test_a_host_that_breaks_off_a_body_fails_it_and_nothing_is_sent_twice() -> None:
+async def test_a_body_aborted_by_the_host_is_not_retried() -> None:
     heads = 0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -160,7 +160,7 @@
 
 
 @on_loop
-async def test_a_body_that_is_answered_early_is_read_to_its_end_and_the_connection_goes_on() -> None:
+async def test_a_body_answered_early_is_read_and_the_connection_kept() -> None:
     """The connection was closed while the client was still sending."""
     async with running(configuration("127.0.0.1:1")) as gateway:
         client = await gateway.connect()
@@ -177,7 +177,7 @@
 
 
 @on_loop
-async def test_a_body_that_is_answered_early_and_turns_out_bad_gets_no_second_answer() -> None:
+async def test_an_invalid_body_answered_early_gets_no_second_response() -> None:
     async with running(configuration("127.0.0.1:1")) as gateway:
         client = await gateway.connect()
         client.send(in_chunks(chunked(BODY)[:-5]))
@@ -197,7 +197,7 @@
 
 
 @on_loop
-async def test_a_host_that_reads_slowly_slows_the_client() -> None:
+async def test_a_slow_host_applies_backpressure_to_the_client() -> None:
     may_read = asyncio.Event()
     received = 0
 
@@ -227,7 +227,7 @@
 
 
 @on_loop
-async def test_a_body_is_late_by_its_rate_and_a_head_by_its_time() -> None:
+async def test_a_body_is_overdue_by_rate_and_a_head_by_timeout() -> None:
     async with peer() as host, running(configuration(host)) as gateway:
         client = await gateway.connect()
         await until(lambda: gateway.server.connections)
@@ -247,7 +247,7 @@
 
 
 @on_loop
-async def test_a_body_below_the_least_rate_is_answered_408(monkeypatch: pytest.MonkeyPatch) -> None:
+async def test_a_body_below_the_minimum_rate_gets_408(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(front, "HEAD_TIMEOUT_S", 0.1)
     monkeypatch.setattr(front, "BODY_GRACE_S", 0.1)
     monkeypatch.setattr(front, "MIN_BYTES_PER_S", 10_000_000)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -20,7 +20,7 @@
 
 
 @on_loop
-async def test_a_request_may_be_cut_at_every_byte() -> None:
+async def test_a_request_may_be_split_at_every_byte() -> None:
     async with peer() as host, running(configuration(host)) as gateway:
         client = await gateway.connect()
         length = len(in_chunks(chunked(b"abcdefg", 3)))
@@ -37,7 +37,7 @@
 
 
 @on_loop
-async def test_blanks_behind_a_header_s_value_are_no_part_of_it() -> None:
+async def test_trailing_whitespace_of_header_values_is_stripped() -> None:
     """Trailing whitespace made the class unknown and the budget invalid."""
     async with peer() as host, running(configuration(host)) as gateway:
         data = request("search", x_call_class="search \t", x_budget_ms="20000  ", x_call_cost="5 ")
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 1000])
-def test_an_answer_may_be_cut_anywhere(size: int) -> None:
+def test_a_response_may_be_split_anywhere(size: int) -> None:
     body = BODY[:100_000] if size > 100 else BODY[:3_000]
     reader = ReplyReader(1_000, allows_streaming=True)
     data = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nA: b \r\n\r\n" + chunked(
@@ -63,14 +63,14 @@
         assert ended.headers == [(b"Transfer-Encoding", b"chunked"), (b"A", b"b")]
 
 
-def test_what_follows_a_long_answer_spoils_neither_it_nor_the_next() -> None:
+def test_extra_input_after_a_streamed_response_closes_the_connection() -> None:
     reader = ReplyReader(10, allows_streaming=True)
     ended = reader.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n" + b"x" * 20 + b"HTTP/1.1 200 OK\r\n")
     assert ended is not None and not ended.keep_alive
     assert reader.take_body() == b"x" * 20
 
 
-def test_an_answer_of_nothing_but_framing_is_none() -> None:
+def test_a_response_of_framing_alone_is_an_error() -> None:
     reader = ReplyReader()
     reader.feed(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5;")
     with pytest.raises(ReplyError):
@@ -81,7 +81,7 @@
 # Memory
 
 
-def test_pieces_are_smaller_the_more_bodies_pass() -> None:
+def test_piece_size_falls_with_the_number_of_streamed_bodies() -> None:
     buffer = ReadBuffer(memory_mb=64)
     assert len(buffer.streamed_view()) == PIECE_BYTES
     buffer.streamed_bodies = 512
@@ -96,7 +96,7 @@
 
 
 @on_loop
-async def test_memory_stays_small_while_long_bodies_stand_still(tmp_path: Path) -> None:
+async def test_memory_is_bounded_while_streamed_bodies_are_stalled(tmp_path: Path) -> None:
     """40 bodies of 32 MB: together 40 times the memory limit of the process."""
     begun = 0
 
@@ -154,7 +154,7 @@
     assert not sends(ended) and len(finals(ended)) == 1
 
 
-def test_the_time_of_a_request_begins_with_its_last_byte() -> None:
+def test_deadlines_run_from_the_last_byte_of_a_request() -> None:
     driver = Driver(servers=1)
     name, _ = driver.arrive(body_incomplete=True)
     server = driver.balancer.servers[0]
@@ -180,7 +180,7 @@
     assert driver.balancer.in_flight == 0 and not driver.balancer.requests
 
 
-def test_a_begun_answer_is_judged_by_its_first_bytes_and_not_by_its_reader() -> None:
+def test_a_streamed_response_counts_by_its_first_bytes_not_its_reader() -> None:
     driver = Driver(servers=1)
     name, _ = driver.arrive()
     server = driver.balancer.servers[0]
@@ -194,7 +194,7 @@
     assert driver.balancer.in_flight == 0 and not driver.balancer.requests
 
 
-def test_a_begun_answer_that_breaks_counts_against_its_server() -> None:
+def test_an_aborted_streamed_response_counts_against_its_server() -> None:
     driver = Driver(servers=1)
     name, _ = driver.arrive()
     driver.handle(StreamStarted(name, 0))
@@ -202,7 +202,7 @@
     assert list(driver.balancer.servers[0].breaker.ring) == [False, True]
 
 
-def test_settings_may_change_while_a_body_passes() -> None:
+def test_settings_may_change_while_a_body_is_streamed() -> None:
     driver = Driver(servers=1)
     name, _ = driver.arrive(body_incomplete=True)
     driver.handle(SettingsChanged(SETTINGS))
@@ -212,7 +212,7 @@
 
 
 @on_loop
-async def test_the_part_of_a_body_that_was_sent_is_no_longer_held() -> None:
+async def test_the_sent_part_of_a_body_is_released() -> None:
     """Each streamed body was held in memory three times until its request ended."""
     async with peer(silent) as host, running(configuration(host)) as gateway:
         client = await gateway.connect()
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -87,7 +87,7 @@
     return PARSERS[name](fields)
 
 
-def test_events_are_read() -> None:
+def test_events_are_parsed() -> None:
     assert parse(
         "incoming requestId=t/a affinity=ff costUs=12 customer=2 graceUs=240 priority=1 retry=1 isWrite=1"
     ) == RequestArrived("t/a", 1, 240, 255, 12, True, 2)
@@ -109,14 +109,14 @@
     assert set(OUTCOMES.values()) == set(Outcome)
 
 
-def test_list_entries_are_read() -> None:
+def test_list_entries_are_parsed() -> None:
     _, fields = split_line(
         "host campus=1 host=7 heft=1.5 group=3 sinceUs=61 status=Terminating classOfHost=2"
     )
     assert parse_server(fields) == ListedServer(7, ServerStatus.DRAINING, 1.5, 1, 3, 2, 61)
 
 
-def test_actions_are_written() -> None:
+def test_actions_are_formatted() -> None:
     assert format_action(Send("t/a", 7, 90)) == "pass_on requestId=t/a maxWaitUs=90 host=7"
     assert format_action(Refuse("t/a", 5)) == "bounce requestId=t/a comeBackUs=5"
     assert format_action(Fail("t/a")) == "surrender requestId=t/a"
@@ -131,7 +131,7 @@
     assert format_action(Log("two words")) == "journal_line line=two words"
 
 
-def test_settings_have_defaults_and_ignore_the_unknown() -> None:
+def test_settings_have_defaults_and_unknown_keys_are_ignored() -> None:
     settings = parse_settings(BOOT)
     assert settings.max_attempts == 4
     assert settings.proxies == 1
@@ -153,7 +153,7 @@
         ('{"lanes": [{"giveUpUs": 1}], "overShareWorth": 3}', "over_share_worth"),
     ],
 )
-def test_settings_that_cannot_be_used_are_named(boot: str, word: str) -> None:
+def test_invalid_settings_are_reported_with_line_and_field(boot: str, word: str) -> None:
     with pytest.raises(WireError, match=word):
         parse_settings(boot)
     replies, errors = run(
@@ -176,7 +176,7 @@
         "dropped requestId",
     ],
 )
-def test_a_bad_line_is_named_and_the_rest_goes_on(line: str) -> None:
+def test_an_invalid_line_is_reported_and_later_lines_are_processed(line: str) -> None:
     replies, errors = run(
         *START,
         "begin_batch simTimeUs=2000",
@@ -190,7 +190,7 @@
     assert any(reply.startswith("pass_on requestId=t/good") for reply in replies)
 
 
-def test_every_setting_that_a_decision_may_rest_on_is_passed_on() -> None:
+def test_settings_used_in_decisions_are_parsed() -> None:
     boot = {
         "lanes": [{"giveUpUs": 9, "sequential": True, "aimStretch": 2.5}],
         "contract": {
@@ -218,7 +218,7 @@
     assert limits == (3, 8, 7)
 
 
-def test_an_unknown_instance_is_named() -> None:
+def test_an_unknown_instance_is_reported() -> None:
     replies, errors = run(
         "begin_batch simTimeUs=1", "instance i=gateway_8", "incoming requestId=t/a graceUs=9", "go"
     )
@@ -226,7 +226,7 @@
     assert "gateway_8" in errors
 
 
-def test_things_finished_already_are_ignored() -> None:
+def test_events_for_unknown_requests_and_timers_are_ignored() -> None:
     replies, errors = run(
         *START,
         "begin_batch simTimeUs=2000",
@@ -242,7 +242,7 @@
     assert errors == ""
 
 
-def test_a_killed_instance_is_forgotten_and_may_start_again() -> None:
+def test_a_destroyed_instance_can_be_launched_again() -> None:
     replies, errors = run(
         *START,
         "begin_batch simTimeUs=2000",
@@ -257,7 +257,7 @@
     assert replies[1] == "by i=gateway_0"
 
 
-def test_the_adapter_answers_a_script_the_same_way_twice() -> None:
+def test_adapter_output_is_deterministic() -> None:
     script = [*START]
     for n in range(40):
         script += [
@@ -321,7 +321,7 @@
     return actions
 
 
-def test_instances_act_alike_in_one_process_and_in_three_and_under_any_hash_seed() -> None:
+def test_instance_actions_do_not_depend_on_process_sharing_or_hash_seed() -> None:
     together = played([0, 1, 2], "1")
     apart = played([0], "2") | played([1], "3") | played([2], "4")
     assert together == apart
