--- a/tests/cold_fleet.py
+++ b/tests/cold_fleet.py
@@ -1,4 +1,4 @@
-"""Simulation of many balancers and of cold servers: measures the work that all proxies send to each."""
+"""Simulates a fleet of balancers with cold servers and measures the work that each cold server is sent."""
 
 from __future__ import annotations
 
@@ -64,10 +64,11 @@
     started_us: int = 0
     free_us: float = 0.0
     queued: int = 0
-    recent: deque[tuple[int, float]] = field(default_factory=deque)  # in the window: when, units of mean work
-    sum: float = 0.0  # units in the window
-    worst: float = 0.0  # greatest share of the bound that a window used
-    received: float = 0.0  # units in total while cold
+    # Requests in the window: (time, work in units of the mean).
+    recent: deque[tuple[int, float]] = field(default_factory=deque)
+    sum: float = 0.0  # work in the window, in units of the mean
+    worst: float = 0.0  # highest share of the bound that any window used
+    received: float = 0.0  # total work while cold, in units of the mean
 
     def capacity(self, settings: Settings, now_us: int) -> float:
         if not self.started_us or not settings.warm_after_us:
@@ -79,7 +80,7 @@
         self.started_us, self.free_us, self.queued = now_us, now_us, 0
 
     def count(self, settings: Settings, now_us: int, work_us: float) -> None:
-        """Count a request that was sent, even if it is rejected."""
+        """Counts the work of a request that was sent, even if the server rejects it."""
         capacity = self.capacity(settings, now_us)
         if capacity >= 1.0:
             return
@@ -95,7 +96,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """Parameters of one run."""
+    """Parameters of one simulation run."""
 
     gateways: int
     servers: int
@@ -103,17 +104,17 @@
     load: float = 0.7  # share of the capacity of all servers when warm
     seconds: float = 10.0
     settings: Settings = SETTINGS
-    cold_share: float = 0.33  # share of the servers that restart at once; a tenth more join
+    cold_share: float = 0.33  # share of the servers that restart together; a tenth more are added
     hinted: bool = True
-    live_weights: bool = True  # listed weights follow the load
-    lull: tuple[float, float] = (0.0, 0.0)  # from and to, in seconds after the start: hardly any requests
+    live_weights: bool = True  # listed weights follow the servers' queues
+    lull: tuple[float, float] = (0.0, 0.0)  # start and end in seconds after the servers' restart
     restart_share: float = 0.5  # share of the gateways that restart while servers are cold
-    restart_together: bool = False  # these restart all at once
+    restart_together: bool = False  # these gateways restart at the same time
     first_zone_share: float = 0.33  # share of the gateways in the first zone
 
 
 class Fleet:
-    """Gateways and servers on one simulated clock."""
+    """Simulates gateways and servers on one clock."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -128,7 +129,7 @@
             0 if self.random.random() < scenario.first_zone_share else 1 + n % 2
             for n in range(scenario.gateways)
         ]
-        self.restarts = [0] * scenario.gateways  # how often each gateway was restarted
+        self.restarts = [0] * scenario.gateways  # number of restarts of each gateway
         self.balancers = [self.balancer(index) for index in range(scenario.gateways)]
         self.work_us: dict[str, int] = {}
         self.attempts: Counter[str] = Counter()
@@ -155,7 +156,7 @@
         heapq.heappush(self.events, (max(int(due_us), self.now_us), next(self.order), callback))
 
     def run(self) -> list[Host]:
-        """Run the simulation; returns the servers that started cold."""
+        """Runs the simulation and returns the servers that started cold."""
         scenario, end_us = self.scenario, START_US + int((2.0 + self.scenario.seconds) * 1e6)
         shares = [self.random.choice((0.5, 0.7, 1.0, 1.0, 4.0)) for _ in range(scenario.gateways)]
         for index, share in enumerate(shares):
@@ -172,7 +173,7 @@
         return [host for host in self.hosts if host.started_us]
 
     def start_servers(self) -> None:
-        """Restart some servers and add some new ones."""
+        """Restarts some servers and adds some new ones."""
         order = self.random.sample(self.hosts, len(self.hosts))
         if self.scenario.first_zone_share > 0.5:
             order.sort(key=attrgetter("zone"))
@@ -193,7 +194,7 @@
             self.execute(index, balancer.handle(self.now_us, event))
 
     def restart(self, index: int) -> None:
-        """Kill a gateway's process: its requests are lost, and the next process has learned nothing."""
+        """Restarts a gateway: its requests are lost, and the new process has no learned state."""
         self.restarts[index] += 1
         self.balancers[index] = self.balancer(index)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""KNOWN-RED.txt: tests that fail for a real fault that is not mended yet. They run, are printed, may fail.
+"""Expected failures from KNOWN-RED.txt: tests of known, unfixed faults, which run, may fail and are reported.
 
-Entries are parted by blank lines; each has a line `name: value` for every field of `Entry`, `kind` where it
-is `flaky`. A strict entry's test that passes fails the run: its entry has to go. A flaky one's may do either.
+Entries are separated by blank lines. Each has a line `name: value` for every field of `Entry`; `kind` may be
+left out unless it is `flaky`. If the test of a strict entry passes, the run fails until the entry is removed;
+the test of a flaky entry may pass or fail.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 
 @dataclass(frozen=True)
 class Entry:
-    """One test that may fail."""
+    """A test that is expected to fail, or that fails only at times."""
 
     test: str  # as pytest prints it: tests/test_x.py::test_y
-    command: str  # that shows the failure
-    seed: str  # "none" where nothing is drawn
-    seen: str  # what failed, and how often
+    command: str  # reproduces the failure
+    seed: str  # "none" if the test uses no random numbers
+    seen: str  # the failure that was observed, and how often
     issue: str
-    kind: str = STRICT  # or FLAKY: it fails only at times
+    kind: str = STRICT  # FLAKY if the test fails only at times
 
 
 LISTED = pytest.StashKey[dict[str, Entry]]()
@@ -37,7 +38,7 @@
 
 
 def read_entry(block: str) -> Entry:
-    """One entry of the list. Raises ValueError that names what is wrong with it."""
+    """Parses one entry. Raises ValueError with the reason if it is invalid."""
     values: dict[str, str] = {}
     for line in block.splitlines():
         name, separator, value = line.partition(":")
@@ -56,7 +57,7 @@
 
 
 def known_red(path: Path) -> dict[str, Entry]:
-    """The entries by their tests; none where there is no file. Raises ValueError as `read_entry` does."""
+    """Reads the entries by test; none if there is no file. Raises ValueError if an entry is invalid."""
     text = path.read_text() if path.exists() else ""
     listed: dict[str, Entry] = {}
     for block in filter(None, (part.strip() for part in text.split("\n\n"))):
@@ -76,7 +77,7 @@
 
 
 def unknown_tests(config: pytest.Config, items: Iterable[pytest.Item]) -> list[str]:
-    """The listed tests that there are not, among the files that were collected collects_all."""
+    """Listed tests that do not exist, judged only by test files that were collected completely."""
     if config.option.keyword or any("::" in argument for argument in config.args):
         return []
     collects_all = not config.args or config.args == config.getini("testpaths")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings, a driver for one balancer, and filters of its actions."""
+"""Settings, a driver for one balancer, and filters for its actions."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 
 class Driver:
-    """One balancer with its clock; numbers requests and keeps the timers that were set."""
+    """Drives one balancer with a simulated clock; numbers its requests and records the timers it sets."""
 
     def __init__(self, settings: Settings = SETTINGS, servers: int = 3, seed: int = 1) -> None:
         self.balancer = Balancer(settings, seed)
@@ -92,7 +92,7 @@
 
 
 def trip(breaker: Breaker, now_us: int) -> None:
-    """Open a fresh breaker with the fewest failures that can."""
+    """Opens a new breaker with the minimum number of failures."""
     for _ in range(MINIMUM):
         breaker.record(now_us, True, 0, 0.0)
     assert breaker.state is State.OPEN
--- a/tests/raw_host.py
+++ b/tests/raw_host.py
@@ -1,4 +1,4 @@
-"""A host that a test controls step by step, and the pool that connects to it."""
+"""A host that a test controls step by step, and the connection pool that connects to it."""
 
 from __future__ import annotations
 
@@ -43,6 +43,7 @@
 
 
 def reset(accepted_socket: socket.socket) -> None:
+    """Closes the connection with a reset."""
     accepted_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     accepted_socket.close()
 
@@ -82,14 +83,14 @@
         return accepted_socket
 
     async def read(self, accepted_socket: socket.socket, size: int = len(REQUEST)) -> int:
-        """Returns the number of bytes that came, up to a size or the end of the stream."""
+        """Reads up to `size` bytes or the end of the stream; returns the number of bytes read."""
         got = 0
         while got < size and (data := await asyncio.get_running_loop().sock_recv(accepted_socket, 1 << 20)):
             got += len(data)
         return got
 
     async def exchange(self, *answer: bytes) -> socket.socket:
-        """Has one request answered on a new connection, which is idle afterwards if it can be kept."""
+        """Answers one request on a new connection, which is idle afterwards if it can be kept."""
         self.send()
         accepted_socket = await self.accept()
         await self.read(accepted_socket)
@@ -104,6 +105,7 @@
 
 @asynccontextmanager
 async def raw_host(receive_buffer: int = 0) -> AsyncIterator[RawHost]:
+    """Runs a host on a loopback port, and a pool that has only this host."""
     pools = Pools(Settings(classes=(SAFE,), stop_sending_within_us=1_000_000), Telemetry(), ReadBuffer(192))
     with socket.socket() as listener:
         if receive_buffer:
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -16,13 +16,11 @@
 from cloverkeel.gateway import Gateway
 from cloverkeel.front.server import Server
 
-TEST_TIMEOUT_S = (
-    30.0  # for anything that should happen: how long a broken test takes, never how long a good one
-)
+TEST_TIMEOUT_S = 30.0  # bounds a test that hangs; passing tests end much earlier
 
 
 def on_loop(test: Callable[..., Coroutine[Any, Any, None]]) -> Callable[..., None]:
-    """Run a test on the loop that the program runs on."""
+    """Runs a test on uvloop, the event loop of the program, with a time limit."""
 
     @functools.wraps(test)
     def run(*args: Any, **kwargs: Any) -> None:
@@ -37,14 +35,14 @@
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait until something holds that no event tells of."""
+    """Polls until the condition holds; for conditions that no event signals."""
     while not condition():
         await asyncio.sleep(0.002)
 
 
 @dataclass
 class Message:
-    """A request or an answer, as it was read."""
+    """A request or response as read from a connection."""
 
     first: str
     headers: dict[str, str]
@@ -56,7 +54,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader) -> Message:
-    """One message with a Content-Length; IncompleteReadError if it is not whole."""
+    """Reads one message with a Content-Length. Raises IncompleteReadError if it is truncated."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
     first, *lines = head[:-4].split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in lines)}
@@ -65,13 +63,14 @@
 
 
 def reply(status: int = 200, body: bytes = b"fine", *headers: str) -> bytes:
+    """A response with this status and body, as bytes."""
     lines = [f"HTTP/1.1 {status} X", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
 @dataclass
 class Exchange:
-    """One request at a scripted peer, and the connection that it came on."""
+    """A request received by a scripted peer, and its connection."""
 
     message: Message
     writer: asyncio.StreamWriter
@@ -88,21 +87,22 @@
 
 
 def answers(data: bytes) -> Script:
+    """A script that responds with these bytes to each request."""
     return lambda exchange: exchange.answer(data)
 
 
 def silent(exchange: Exchange) -> None:
-    """Take the request and say nothing."""
+    """A script that never responds."""
 
 
 @dataclass
 class Peer:
-    """A server that does with each request what its script says."""
+    """A server that handles each request by its script."""
 
     script: Script
     seen: list[Exchange] = field(default_factory=list)
     opened: int = 0
-    ended: int = 0  # connections that the other side has closed
+    ended: int = 0  # connections that the gateway has closed
     writers: list[asyncio.StreamWriter] = field(default_factory=list)
     server: asyncio.Server | None = None
     address: str = ""
@@ -131,6 +131,7 @@
 
 @asynccontextmanager
 async def peer(script: Script = answers(reply())) -> AsyncIterator[Peer]:  # noqa: B008
+    """Runs a scripted peer on a free loopback port."""
     server_peer = Peer(script)
     server_peer.server = await asyncio.start_server(server_peer.serve, "127.0.0.1", 0)
     host, port = server_peer.server.sockets[0].getsockname()
@@ -142,6 +143,7 @@
 
 
 def endpoint(name: str, address: str, **extra: object) -> dict[str, object]:
+    """An entry of a list of hosts, as the list service sends it."""
     entry: dict[str, object] = {
         "name": name, "address": address, "zone": "a", "type": "m", "group": 0,
         "status": "SERVING", "weight": 1.0, "since_ms": 0,
@@ -150,15 +152,17 @@
 
 
 def hosts_list(index: int, *endpoints: dict[str, object], snapshot: bool = True) -> dict[str, object]:
+    """A list of hosts, as the list service sends it."""
     return {"index": index, "snapshot": snapshot, "endpoints": list(endpoints)}
 
 
 def list_reply(index: int, *endpoints: dict[str, object], snapshot: bool = True) -> bytes:
+    """The list service's response with this list of hosts."""
     return reply(200, json.dumps(hosts_list(index, *endpoints, snapshot=snapshot)).encode())
 
 
 def configuration(*hosts: Peer | str, discovery: str = "127.0.0.1:9", **caps: object) -> dict[str, Any]:
-    """A configuration for these hosts; no list is asked for unless `membershipMode` is changed."""
+    """A configuration with these hosts. Tests that use the list service change `membershipMode`."""
     addresses = [host if isinstance(host, str) else host.address for host in hosts]
     lane = {"aimUs": 20_000_000, "giveUpUs": 20_000_000, "lateValue": 0.5, "value": 1.0, "group": "all"}
     lane["windowUs"] = 15_000_000
@@ -194,12 +198,13 @@
 
 
 def host_id(number: int) -> int:
+    """The number that the gateway gives to host s-`number` of `configuration`."""
     return stable_id(f"s-{number}", 4)
 
 
 @dataclass
 class Running:
-    """The gateway in this process, listening on a port of its own."""
+    """A gateway that runs in this process and listens on a free port."""
 
     gateway: Gateway
     server: Server
@@ -218,6 +223,8 @@
 
 @dataclass
 class Client:
+    """A client connection to the gateway."""
+
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
@@ -237,6 +244,7 @@
 
 @asynccontextmanager
 async def running(config: dict[str, Any]) -> AsyncIterator[Running]:
+    """Runs a gateway with this configuration on a free port."""
     parsed = parse(config)
     gateway = Gateway(parsed)
     server = Server(parsed, gateway)
@@ -255,7 +263,7 @@
 
 
 def request(klass: str = "search", body: bytes = b"", budget_ms: int = 20_000, **headers: str) -> bytes:
-    """A client's request in full; a header's name is given with _ for -, and None for its value drops it."""
+    """A complete client request. Header names have _ for -; an empty value leaves the header out."""
     global _count
     _count += 1
     fields: dict[str, str] = {
--- a/tests/streaming.py
+++ b/tests/streaming.py
@@ -1,4 +1,4 @@
-"""Hosts and clients that write and read streamed bodies byte by byte, as a test needs it."""
+"""Hosts and clients whose streamed bodies are written and read under a test's control."""
 
 from __future__ import annotations
 
@@ -12,9 +12,7 @@
 from tests.sockets import request
 
 
-BODY = b"".join(
-    hashlib.sha256(b"%d" % n).digest() for n in range(12_000)
-)  # 384,000 bytes, no two pieces alike
+BODY = b"".join(hashlib.sha256(b"%d" % n).digest() for n in range(12_000))  # 384,000 bytes without repetition
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 
@@ -67,11 +65,13 @@
 
 
 def chunked(data: bytes, size: int = 50_000, extension: bytes = b"", trailer: bytes = b"") -> bytes:
+    """The body in chunked transfer coding, with an optional extension on each chunk and a trailer."""
     parts = [data[at : at + size] for at in range(0, len(data), size)]
     return b"".join(b"%x%s\r\n%s\r\n" % (len(p), extension, p) for p in parts) + b"0\r\n%s\r\n" % trailer
 
 
 async def read_chunked(reader: asyncio.StreamReader) -> bytes:
+    """Reads a body in chunked transfer coding; fails at a trailer."""
     body = b""
     while size := int(await reader.readline(), 16):
         body += await reader.readexactly(size)
@@ -81,15 +81,18 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[int, dict[str, str]]:
+    """Reads a response head; returns its status and headers."""
     first, *lines = (await reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
     fields = (line.partition(":") for line in lines if line)
     return int(first.split(" ")[1]), {name.lower(): value.strip() for name, _, value in fields}
 
 
 def head_with_length(body: bytes) -> str:
+    """A response head with the body's Content-Length, for `single_response`."""
     return f"HTTP/1.1 200 OK\nContent-Length: {len(body)}\n"
 
 
 def chunked_request(body: bytes, x_blank: str = "") -> bytes:
+    """A chunked request with this body, which is already in chunks."""
     head = request("transfer", content_length="", transfer_encoding="chunked", x_blank=x_blank)
     return head + body
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -1,4 +1,4 @@
-"""The states of the circuit breaker, and the weight controller."""
+"""The circuit breaker's states, and the controller of server weights."""
 
 from tests.helpers import Driver, sends, trip
 from caperdrift.interface import ListedServer, ListKind, Outcome
@@ -115,7 +115,8 @@
     driver.end(name, 0, Outcome.RESET)
     assert server.weight == (0.5 + WEIGHT_STEP) * WEIGHT_CUT
     name, _ = driver.arrive(klass=2)
-    driver.end(name, 0, Outcome.ERROR)  # the last answer of the other class was a success: no effect on it
+    # The last answer of the other class was a success, so only this class's weight is cut.
+    driver.end(name, 0, Outcome.ERROR)
     assert (
         server.weight == (0.5 + WEIGHT_STEP) * WEIGHT_CUT
         and server.class_state(2).weight == MAX_WEIGHT * WEIGHT_CUT
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -42,7 +42,7 @@
 
 
 class DuplicatesRefusals(Balancer):
-    """Repeats each refusal."""
+    """A faulty balancer that returns each refusal twice."""
 
     def handle(self, now_us: int, event: Event) -> list[Action]:
         actions = super().handle(now_us, event)
@@ -109,7 +109,7 @@
         if any(isinstance(action, Send) for action in actions):
             sent += 1
             balancer.handle(now_us + 500, AttemptEnded(name, 0, 1, Outcome.OK, 500, finished=True))
-    assert sent > 1  # a sixtieth of the budget would not allow a second request so early
+    assert sent > 1  # with a sixtieth of the budget, a second request would not be allowed so early
 
 
 FAULTS: tuple[tuple[str, Any, str, Any], ...] = (
--- a/tests/test_client_gone.py
+++ b/tests/test_client_gone.py
@@ -1,4 +1,4 @@
-"""Disconnected clients: no attempt starts for them, and their requests are dropped."""
+"""Clients that disconnect: no further attempt starts for them, and their requests are dropped."""
 
 from __future__ import annotations
 
@@ -67,9 +67,8 @@
             filler.close()
 
 
-PARTIAL_LONG_REQUEST = request("transfer", bytes(200_000))[
-    :100_000
-]  # of a streamed body: it waits for a host
+# Its body is streamed and incomplete, so it waits for a host.
+PARTIAL_LONG_REQUEST = request("transfer", bytes(200_000))[:100_000]
 
 
 @on_loop
@@ -164,7 +163,7 @@
 
 @on_loop
 async def test_a_hedged_request_that_connects_after_the_response_is_not_sent() -> None:
-    """Without `mayCancel` in the settings, nothing cancelled the hedged request."""
+    """Without `mayCancel` in the settings, the hedged request was not cancelled."""
     with full_listener() as listener:
         async with peer() as host, running(configuration(host, mayCancel=False)) as run:
             attempts_ended, gateway = outcomes(run), run.gateway
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""Lingering close of clients' connections: input that crosses it causes no reset and is not forwarded."""
+"""Lingering close of client connections: input that arrives late causes no reset and is not forwarded."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @contextmanager
 def raw_client(port: int, receive_buffer: int = 0) -> Iterator[socket.socket]:
-    """A client on a plain socket, whose calls take effect at once, between two statements of the gateway."""
+    """A client on a plain socket, whose calls take effect without an iteration of the event loop."""
     with socket.socket() as client:
         if receive_buffer:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer)
@@ -50,12 +50,14 @@
 
 
 async def connected(run: Running) -> ClientConnection:
+    """Waits for the only client connection."""
     await until(lambda: run.server.connections)
     (connection,) = run.server.connections
     return connection
 
 
 def small_send_buffers(monkeypatch: pytest.MonkeyPatch, protocol: type) -> None:
+    """Gives the sockets of this protocol's connections small send buffers."""
     original = protocol.connection_made  # type: ignore[attr-defined]
 
     def connection_made(self: object, transport: asyncio.Transport) -> None:
@@ -89,7 +91,8 @@
             assert await read_all(client) == b""
             assert not host.seen
             assert list(run.server.lingering) == [connection]  # the client has not closed yet
-        await until(lambda: not run.server.lingering)  # it has, which ends the lingering before its time-out
+        # The client has closed, which ends the lingering before its time-out.
+        await until(lambda: not run.server.lingering)
 
 
 @pytest.mark.parametrize("reset", [False, True])
@@ -119,7 +122,7 @@
 async def test_input_after_the_last_response_does_not_truncate_it(
     keep: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Closing while part of the response was unsent reset the connection, because of unread input."""
+    """Closing while part of the response was unsent caused a reset if there was unread input."""
     small_send_buffers(monkeypatch, ClientConnection)
     async with peer(answers(reply(200, LARGE))) as host, running(configuration(host)) as run:
         run.server.draining = not keep
@@ -195,7 +198,7 @@
 async def test_input_in_the_same_read_after_the_last_response_is_not_forwarded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The end of a streamed body may have its request answered at once, in the middle of a read."""
+    """The end of a streamed body may lead to its response at once, while a read is being processed."""
     async with peer(silent) as host, running(configuration(host)) as run:
         with raw_client(run.port) as client:
             long = request("transfer", b"y" * 150_000)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -45,7 +45,7 @@
 @pytest.mark.parametrize("configured", [LIMIT, 1024])
 @on_loop
 async def test_idle_clients_do_not_exhaust_descriptors(tmp_path: Path, configured: int) -> None:
-    """With the limit configured, and without: then `accept` fails at it, which the listener must survive."""
+    """With the real limit configured, or a higher one: `accept` then fails, which the listener survives."""
     discovery = f"127.0.0.1:{free_port()}"
     async with peer() as host, peer(answers(reply(200, b"new"))) as new_host:
         config = configuration(host, discovery=discovery) | {"listen": f"127.0.0.1:{free_port()}"}
--- a/tests/test_gateway_clients.py
+++ b/tests/test_gateway_clients.py
@@ -179,14 +179,14 @@
 async def test_a_refusal_has_retry_after_if_the_balancer_sets_it() -> None:
     async with running(configuration("127.0.0.1:1", retryAfter=True, maxRetryAfterUs=2_000_000)) as run:
         await run.ask(request())
-        answer = await run.ask(request())  # the second failed connect opens the only server
+        answer = await run.ask(request())  # the second failed connect opens the breaker of the only server
         assert answer.status == 503
         assert 0 < float(answer.headers["retry-after"]) <= 2
 
 
 @on_loop
 async def test_while_draining_a_new_connection_has_time_for_its_first_request() -> None:
-    """A client whose request crossed the close of its old connection sends it once more on a new one."""
+    """A client whose request arrived during the close of its connection sends it again on a new one."""
     async with peer() as host, running(configuration(host)) as run:
         client = await run.connect()
         await until(lambda: run.server.connections)
@@ -209,7 +209,7 @@
 
 @on_loop
 async def test_a_connection_with_unread_input_is_not_closed_as_idle() -> None:
-    """A request may have reached the kernel while the event loop was busy, so the kernel is asked."""
+    """A request may have reached the kernel while the event loop was busy, so the socket is polled."""
     import socket
 
     async with peer() as host, running(configuration(host)) as run:
@@ -239,9 +239,8 @@
             connection.awaiting_since_s -= 60
         assert (await incomplete.answer()).status == 408
         assert await incomplete.reader.read() == b"" == await never_sends.reader.read()
-        assert (
-            await keep_alive.ask(request())
-        ).status == 200  # a connection between two requests may be idle
+        # A connection between two requests may be idle.
+        assert (await keep_alive.ask(request())).status == 200
         assert len(host.seen) == 2
 
 
--- a/tests/test_gateway_outcomes.py
+++ b/tests/test_gateway_outcomes.py
@@ -27,7 +27,7 @@
 
 
 def outcomes(run: Running) -> list[AttemptEnded]:
-    """The AttemptEnded events that the decision module gets from now on."""
+    """Records the AttemptEnded events that the balancer gets from now on."""
     ended: list[AttemptEnded] = []
     handle = run.gateway.balancer.handle
 
@@ -115,7 +115,7 @@
         ended = outcomes(run)
         assert (await run.ask(request("transfer", budget_ms=60))).status == 504
         assert [event.outcome for event in ended] == [Outcome.TIMEOUT]
-        await until(lambda: host.ended == 1)  # the host sees that the attempt was abandoned
+        await until(lambda: host.ended == 1)  # the host's connection was closed
         assert run.gateway.pools.open_connections == 0 and not run.gateway.pending
 
 
@@ -127,7 +127,7 @@
         assert (await client.ask(request("transfer", budget_ms=60))).status == 504
         host.seen[0].answer(reply(200, b"too late"))
         host.script = answers(reply(200, b"in time"))
-        # After a time-out the module may shed a few requests.
+        # After a time-out the balancer may shed a few requests.
         while (answer := await client.ask(request())).status == 503:
             pass
         assert answer.body == b"in time"
--- a/tests/test_gateway_routes.py
+++ b/tests/test_gateway_routes.py
@@ -1,4 +1,4 @@
-"""Routes in a gateway: the hosts and transforms that a request gets, and keeps until its response."""
+"""Routes in a gateway: which hosts and transforms a request gets, and that it keeps them to its response."""
 
 from __future__ import annotations
 
@@ -67,7 +67,8 @@
         await until(lambda: host.seen)
         assert int(host.seen[0].message.headers["x-budget-ms"]) <= 200
         assert (await run.ask(request())).status == 503
-        assert (await client.answer()).status == 503  # over the limit; the refused request frees its place
+        # Its deadline has passed; it no longer counts towards the limit.
+        assert (await client.answer()).status == 503
         client.close()
         host.script = answers(reply())
         assert (await run.ask(request())).status == 200
@@ -104,7 +105,7 @@
 
 
 def _last_value(headers: dict[str, str]) -> str:
-    return headers["x-by"]  # the last one of several
+    return headers["x-by"]  # `read_message` keeps the last of several headers
 
 
 def test_a_chain_is_built_once_per_active_set() -> None:
--- a/tests/test_host_answers.py
+++ b/tests/test_host_answers.py
@@ -22,7 +22,7 @@
 async def test_the_budget_header_is_the_time_left_at_the_write(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """If connecting took long, the host was told a budget that included the time spent on it."""
+    """If connecting took long, the budget sent to the host still included the time spent on it."""
     async with peer() as host, running(configuration(host)) as run:
         pools = run.gateway.pools
         on_connected = pools.on_connected
@@ -82,7 +82,7 @@
 @pytest.mark.parametrize("kind", ENDLESS_RESPONSES)
 @on_loop
 async def test_a_response_that_never_ends_is_cut_off_at_the_deadline(kind: str) -> None:
-    """A response of unknown length was streamed until its client left: timers end where streaming starts."""
+    """A response of unknown length was streamed until its client left: streaming ends the timers."""
     head, piece, expected = ENDLESS_RESPONSES[kind]
 
     async def script(exchange: Exchange) -> None:
@@ -112,7 +112,7 @@
 async def test_a_slow_streamed_response_continues_past_the_deadline(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A response beyond 64 KiB is judged by its first bytes, even if it is still below at the deadline."""
+    """A response over 64 KiB counts by its first bytes, even if less has arrived by the deadline."""
     checks = 0
     on_rate_check = StreamedBodies.on_rate_check
 
--- a/tests/test_host_crossings.py
+++ b/tests/test_host_crossings.py
@@ -16,11 +16,11 @@
 from tests.raw_host import REQUEST, TIMEOUT_US, descriptors_to, raw_host, reset, wait_until_readable
 from tests.sockets import on_loop, peer, reply, request, until
 
-SMALL_BUFFER = 65_536  # socket buffer, far smaller than the data written
+SMALL_BUFFER = 65_536  # size of a socket buffer, far smaller than the data written
 
 
 def run_before_write(monkeypatch: pytest.MonkeyPatch, action: Callable[[HostConnection], None]) -> None:
-    """Runs `does` between `take_idle`, which found a connection quiet, and the write to it."""
+    """Runs `action` after `take_idle` has found a connection quiet, and before the write to it."""
     original = HostConnection.is_quiet
 
     def wrapped(connection: HostConnection) -> bool:
@@ -37,7 +37,7 @@
 async def test_a_reset_before_the_write_moves_the_request_to_another_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The write itself fails, so not a byte of it can have arrived."""
+    """The write itself fails, so no byte of the request can have arrived."""
     async with raw_host() as host:
         first = await host.exchange()
         run_before_write(monkeypatch, lambda connection: reset(first))
@@ -197,7 +197,7 @@
 @pytest.mark.parametrize("reuse_delay_over", [False, True])
 @on_loop
 async def test_a_late_second_response_is_not_given_to_the_next_request(reuse_delay_over: bool) -> None:
-    """Once the next request is written it would pass for its response: connections are not reused at once."""
+    """It would be taken for the response to the next request, so connections are not reused at once."""
     async with raw_host() as host:
         first = await host.exchange()
         if not reuse_delay_over:
@@ -219,7 +219,7 @@
 
 @on_loop
 async def test_a_response_in_time_is_accepted_though_its_timeout_is_due_too() -> None:
-    """After a busy period both are due at once, and the loop runs timers before it reads."""
+    """After the loop was blocked both are due at once, and the loop runs timers before it reads."""
     async with raw_host() as host:
         host.send(timeout_us=100_000)
         accepted = await host.accept()
@@ -228,7 +228,7 @@
         read_end, write_end = socket.socketpair()
 
         def busy() -> None:
-            """Blocks the loop in a read callback: what arrives meanwhile is read in the next iteration."""
+            """Blocks the loop in a read callback; what arrives meanwhile is read in the next iteration."""
             loop.remove_reader(read_end)
             accepted.sendall(reply(200, b"mine"))
             time.sleep(0.15)
--- a/tests/test_host_descriptors.py
+++ b/tests/test_host_descriptors.py
@@ -25,7 +25,7 @@
 
 
 def random_script(rng: random.Random) -> Callable[[Exchange], None]:
-    """A host that handles each request in one of many behaviours, chosen at random."""
+    """A script that handles each request by one of many behaviours, chosen at random."""
 
     def closing(exchange: Exchange, data: bytes) -> None:
         exchange.answer(data)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that may fail: each is there, says how it fails, and is printed with what it result."""
+"""KNOWN-RED.txt: each entry names an existing test and its failure, and its result is printed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def entry(name: str, **changed: str) -> str:
-    """An entry; a field that is changed to nothing is left out."""
+    """An entry of the list; a field that is changed to the empty string is left out."""
     fields = {"test": f"tests/test_some.py::{name}", "command": "pytest tests", "seed": "7",
               "seen": "a cause", "issue": "1"} | changed  # fmt: skip
     return "".join(f"{key}: {value}\n" for key, value in fields.items() if value) + "\n"
@@ -22,7 +22,7 @@
 
 
 def run(folder: Path, listed: str, *arguments: str) -> subprocess.CompletedProcess[str]:
-    """A run of the project's own conftest over two tests, one of which fails."""
+    """Runs pytest with the project's conftest on two tests, one of which fails."""
     (folder / "tests").mkdir()
     (folder / "tests" / "conftest.py").write_text((Path(__file__).parent / "conftest.py").read_text())
     (folder / "tests" / "test_some.py").write_text(TESTS)
--- a/tests/test_other_settings.py
+++ b/tests/test_other_settings.py
@@ -1,4 +1,4 @@
-"""Settings of other deployments, and changes of settings under load: earlier settings have no effect left."""
+"""Unusual settings, and settings changes under load, after which the previous settings have no effect."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 @pytest.mark.parametrize("overloaded", [False, True])
 @pytest.mark.parametrize("aim_ms", [20, 40, 60, 200])
 def test_an_unreachable_target_sheds_no_other_class_without_overload(aim_ms: int, overloaded: bool) -> None:
-    """Idle hosts take about 40 ms, overloaded ones four times that; late answers have some worth."""
+    """Idle hosts take about 40 ms, overloaded ones four times as long; late answers have some worth."""
     tight = replace(SAFE, aim_us=aim_ms * 1000, give_up_us=400_000)
     relaxed = replace(SAFE, aim_us=500_000, give_up_us=2_000_000, worth=1.0)
     driver, rng, refused = Driver(replace(SETTINGS, classes=(tight, relaxed)), servers=8), Random(1), 0
@@ -113,7 +113,7 @@
 
 
 def other_settings(rng: Random, old: Settings) -> Settings:
-    """Other settings; only classes and tenants keep their numbers."""
+    """Draws new settings in which classes and tenants keep their numbers."""
     classes = list(old.classes)
     for number, klass in enumerate(classes):
         kind_of_change = rng.randrange(6)
@@ -136,7 +136,7 @@
 
 
 class ChangingWorld(World):
-    """Settings change every few dozen events and no process stalls, so every answer must be in time."""
+    """Changes settings every few dozen events; no process stalls, so every answer must be in time."""
 
     late: list[str]
 
@@ -190,7 +190,7 @@
 def numbered_config(
     lanes: list[str], tenants: list[str], zones: list[str], kinds: list[str], zone: int
 ) -> Config:
-    """Each class has a deadline of its own name, each tenant a share."""
+    """A configuration in which each class's deadline and each tenant's share is derived from its name."""
     config = configuration("127.0.0.1:1")
     settings = config["settings"]
     lane = settings["lanes"][0]
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""The Python example in README.md runs without changes."""
 
 import re
 from pathlib import Path
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests, subsets, load shedding, cold servers and lists: a test for each failure that was found."""
+"""Regression tests of the balancer: requests, subsets, load shedding, cold servers and lists."""
 
 from __future__ import annotations
 
@@ -126,7 +126,7 @@
 
 
 def test_a_request_with_little_work_does_not_hide_an_unresponsive_server() -> None:
-    """Dividing its latency by its tiny relative work gave seconds, which raised all expected latencies."""
+    """Its latency divided by its small relative work was seconds, which raised all expected latencies."""
     driver = Driver()
     for work_us in [1_000] * 20 + [1] * 3:
         name, actions = driver.arrive(work_us=work_us)
@@ -172,7 +172,7 @@
 
 
 def test_a_request_id_reused_while_its_key_rests_is_answered() -> None:
-    """The end of the rest removed the new request of that name: it was sent, but not answered."""
+    """The timer at the end of the rest removed the new request of that ID, which was then never answered."""
     driver = Driver(ORDERED)
     name, actions = driver.arrive(key=7, client_timeout_us=900_000)
     driver.end(name, sends(actions)[0].server, Outcome.RESET)
@@ -186,7 +186,7 @@
 
 
 def test_requests_that_a_key_queue_cannot_serve_in_time_are_refused() -> None:
-    """A request that was refused a place in the queue was sent out of turn all the same."""
+    """A request that was refused a place in the key queue was sent out of order all the same."""
     driver = Driver(ORDERED)
     results = [driver.arrive(key=7, client_timeout_us=400_000)[1] for _ in range(30)]
     refused = [actions for actions in results if finals(actions)]
@@ -388,7 +388,8 @@
 def test_the_list_is_watched_and_the_watch_retried_after_an_error() -> None:
     driver = Driver(replace(SETTINGS, list_is_pushed=False), servers=0)
     (timer,) = timers(driver.list_servers(ListedServer(1), kind=ListKind.DISK))
-    assert 0 <= timer.due_us - driver.now_us < SETTINGS.must_ask_within_us / 5  # not all proxies at once
+    # Jitter spreads the calls of the proxies.
+    assert 0 <= timer.due_us - driver.now_us < SETTINGS.must_ask_within_us / 5
     driver.now_us = timer.due_us
     assert driver.handle(TimerFired(timer.token)) == [WatchList()]
     for _ in range(8):
@@ -548,7 +549,7 @@
 
 
 def test_a_server_with_a_start_time_in_the_future_can_be_used() -> None:
-    """With warm_after_us 0 the balancer divided by zero there, and failed the request."""
+    """With `warm_after_us` 0 the balancer divided by zero for such a server, and the request failed."""
     driver = Driver(replace(SETTINGS, warm_after_us=0), servers=0)
     driver.list_servers(ListedServer(1, started_us=driver.now_us + 1_000))
     assert [action.server for action in sends(driver.arrive()[1])] == [1]
@@ -595,7 +596,7 @@
 
 
 def test_a_class_without_late_worth_times_out_at_its_target_latency() -> None:
-    """Attempts that ran until the client gave up filled the servers' queues with work of no worth."""
+    """Attempts that ran until the client's timeout filled the servers' queues with work of no worth."""
     driver = Driver(replace(SETTINGS, classes=(replace(SAFE, late_worth=0.0), SAFE)))
     assert sends(driver.arrive(klass=0)[1])[0].timeout_us < SAFE.aim_us
     assert sends(driver.arrive(klass=1)[1])[0].timeout_us > SAFE.aim_us
@@ -611,7 +612,7 @@
 
 
 def test_a_server_with_a_lasting_low_listed_weight_leaves_the_subset() -> None:
-    """With a fixed rank, some servers idled all day beside overloaded ones."""
+    """With a fixed rank, some servers stayed idle while others were overloaded."""
     driver = Driver(replace(SETTINGS, proxies=40), servers=60)
     member = subset(driver.balancer, 0)[0]
     for weight, lists, kept in ((0.1, 1, True), (0.1, 20, False), (1.0, 40, True)):
@@ -621,7 +622,7 @@
 
 
 def test_a_cold_server_is_used_by_as_many_proxies_as_share_its_budget() -> None:
-    """A lower rank while cold meant that a third of the proxies with a part of its budget used it."""
+    """With a lower rank while cold, only a third of the proxies that had a share of its budget used it."""
     users = 0
     for proxy in range(200):
         driver = Driver(replace(COLD, proxies=200, proxy=proxy), servers=59)
@@ -653,7 +654,7 @@
 
 
 def test_an_attempt_in_flight_outweighs_a_fivefold_listed_weight() -> None:
-    """Listed weights are late and the same for all: all sent more to idle or just hung servers."""
+    """Listed weights are delayed and equal for all proxies: all sent more to idle or hung servers."""
     driver = Driver(servers=0)
     driver.list_servers(ListedServer(0, weight=1.0))
     name, _ = driver.arrive(klass=2)
@@ -677,7 +678,8 @@
             driver.end(name, sends(actions)[0].server, latency_us=latency_us)
             driver.now_us += 4_000_000
         refused = []
-        driver.balancer.shed_updated_us = driver.now_us  # an old answer has no effect: see test_shedding
+        # Shedding expires without recent answers: see test_shedding.
+        driver.balancer.shed_updated_us = driver.now_us
         for klass in (0, 1):
             name, actions = driver.arrive(klass=klass)
             refused.append(bool(finals(actions)))
@@ -688,7 +690,7 @@
 
 
 def test_no_hedge_or_retry_of_what_may_have_run_while_shedding() -> None:
-    """Retries and hedges of three hundred proxies doubled the work in an overload, which then never ended."""
+    """Retries and hedges of 300 proxies doubled the work during overload, which then never ended."""
     driver = Driver()
     driver.balancer.shed_low_value = SHED_STEP
     driver.balancer.random.seed(1)
--- a/tests/test_routes_module.py
+++ b/tests/test_routes_module.py
@@ -24,10 +24,8 @@
 from caperdrift.policy.proxy import MIN_SUBSET_SIZE
 from tests.helpers import SETTINGS, START_US, Driver, finals, sends
 
-ODD, EVEN = (
-    HostSelector(groups=frozenset({1})),
-    HostSelector(groups=frozenset({0})),
-)  # as the driver's servers are grouped
+# The driver puts server n into group n % 2.
+ODD, EVEN = HostSelector(groups=frozenset({1})), HostSelector(groups=frozenset({0}))
 REST = HostSelector(none_of=(ODD,))
 
 
@@ -155,9 +153,8 @@
     driver.arrive(route=1)
     (ranked,) = driver.balancer.ranked_by_selector.values()
     driver.arrive(route=2)
-    assert [id(r) for r in driver.balancer.ranked_by_selector.values()] == [
-        id(ranked)
-    ]  # equal hosts share one
+    # Equal selectors share one ranking.
+    assert [id(r) for r in driver.balancer.ranked_by_selector.values()] == [id(ranked)]
     driver.list_servers(ListedServer(50, group=1), kind=ListKind.DELTA)
     driver.arrive(route=1)
     assert len(driver.balancer.ranked_by_selector[ODD]) == len(ranked) + 1
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -61,11 +61,11 @@
     deadline_us: int
     attempts: list[AttemptRecord] = field(default_factory=list)
     answers: list[Action] = field(default_factory=list)
-    done: bool = False  # answered, served or given up by the client
+    done: bool = False  # answered, served or abandoned by the client
 
 
 class World:
-    """Carries out a balancer's actions and checks each against the rules."""
+    """Simulates servers and clients for one balancer and checks each of its actions against the rules."""
 
     def __init__(self, seed: int, rules: Settings = SETTINGS) -> None:
         self.rules = rules
@@ -119,7 +119,7 @@
         )
 
     def check_order(self, name: str, case: RequestRecord) -> None:
-        """In-order classes: earlier requests of the key are over, and its rest after them has passed."""
+        """In-order classes: earlier requests of the key have ended, and `key_rest_us` has passed since."""
         if case.key is None or not self.rules.classes[case.klass].in_order:
             return
         for other_name, other in self.cases.items():
@@ -178,7 +178,7 @@
         self.give(ServerList(ListKind.DELTA, (ListedServer(server, status, group=GROUP[server]),)))
 
     def advance(self, by_us: int) -> None:
-        """Advance the clock, stopping at each timer and each time-out."""
+        """Advances the clock and fires the timers and time-outs on the way."""
         end_us = self.now_us + by_us
         while True:
             due_times = [due for due, _ in self.timers] + [
--- a/tests/test_sharers.py
+++ b/tests/test_sharers.py
@@ -1,4 +1,4 @@
-"""The number of proxies that share a cold server's fall budget, as the proxies see each other."""
+"""The count of proxies that share a cold server's budget, as reported by membership."""
 
 from __future__ import annotations
 
@@ -26,9 +26,7 @@
     assert count_after(driver, 10, 6) == 16
     assert fall_budget_us(driver.balancer) == share_us / 2
     driver.now_us += 1
-    assert (
-        count_after(driver, 1, 0) == 16
-    )  # not known yet whether this one is cut off or the others have ended
+    assert count_after(driver, 1, 0) == 16  # this proxy may be partitioned, or the others may have ended
     driver.now_us += LOWER_COUNT_DELAY_US
     assert count_after(driver, 1, 0) == 1
 
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -1,4 +1,4 @@
-"""Load shedding follows the latencies of answers, and ends where there are no recent ones."""
+"""Load shedding follows the latencies of recent responses and expires without them."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     name, actions = driver.arrive(klass)
     sent = [action for action in actions if isinstance(action, Send)]
     assert len(sent) == 1
-    # While it is in flight the shed shares do not change; its answer lowers them.
+    # The shed shares do not change while it is in flight; its response lowers them.
     concurrent = [driver.arrive(klass)[1] for _ in range(100)]
     refused = sum(any(isinstance(action, Refuse) for action in actions) for actions in concurrent)
     assert refused >= 80
@@ -44,8 +44,8 @@
     """A request was refused (503) with no other in flight, after an answer of 1.1 ms where 0.4 ms is usual.
 
     Any answer of 2.75 times the baseline counted as overload and shed a tenth of the next requests, whatever
-    their target: any pause of a process is many times a fraction of a millisecond. It made
-    `test_a_request_may_be_split_at_every_byte` fail in 6 of 1,994 runs beside load, each time with
+    their target, although any pause of a process lasts many times a fraction of a millisecond. It made
+    `test_a_request_may_be_split_at_every_byte` fail in 6 of 1,994 runs under load, each time with
     `OK, 1034 us` or slightly more as the last answer, 140 us before, and `shed_high_value` at 0.1.
     """
     driver = Driver(servers=12)
--- a/tests/test_streamed_answers.py
+++ b/tests/test_streamed_answers.py
@@ -225,7 +225,7 @@
 
 @on_loop
 async def test_a_slow_response_of_unknown_length_is_streamed_at_once() -> None:
-    """Held back until 64 KiB had arrived, the response exceeded its deadline."""
+    """The response was held back until 64 KiB had arrived, and so exceeded its deadline."""
     may_send_rest = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -249,7 +249,7 @@
 
 @on_loop
 async def test_a_response_head_alone_is_not_forwarded() -> None:
-    """The host may have failed after the head, and the request can still be retried at another host."""
+    """If the host fails after the head, the request can still be retried at another host."""
     heads = 0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
--- a/tests/test_streamed_requests.py
+++ b/tests/test_streamed_requests.py
@@ -16,7 +16,7 @@
 
 
 class HashingHost:
-    """A host that accepts bodies in any framing and answers with their SHA-256."""
+    """A host that reads bodies in any framing and responds with their SHA-256."""
 
     def __init__(self) -> None:
         self.heads: list[dict[str, str]] = []
@@ -160,14 +160,16 @@
     async with raw_host(serve) as one, raw_host(serve) as two, running(configuration(one, two)) as gateway:
         client = await gateway.connect()
         client.send(request("transfer", BODY, content_length="1000000"))  # the rest is still unsent
-        assert (await client.answer()).status == 503  # never complete, so it has not been processed
+        assert (
+            await client.answer()
+        ).status == 503  # the host never had the complete request, so it has not run
         assert heads == 1
         client.close()
 
 
 @on_loop
 async def test_a_body_answered_early_is_read_and_the_connection_kept() -> None:
-    """The connection was closed while the client was still sending."""
+    """The connection was closed while the client was still sending its body."""
     async with running(configuration("127.0.0.1:1")) as gateway:
         client = await gateway.connect()
         data = request("transfer", BODY)
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -38,7 +38,7 @@
 
 @on_loop
 async def test_trailing_whitespace_of_header_values_is_stripped() -> None:
-    """Trailing whitespace made the class unknown and the budget invalid."""
+    """With trailing whitespace kept, the class was unknown and the budget invalid."""
     async with peer() as host, running(configuration(host)) as gateway:
         data = request("search", x_call_class="search \t", x_budget_ms="20000  ", x_call_cost="5 ")
         assert (await gateway.ask(data)).status == 200
@@ -97,7 +97,7 @@
 
 @on_loop
 async def test_memory_is_bounded_while_streamed_bodies_are_stalled(tmp_path: Path) -> None:
-    """40 bodies of 32 MB: together 40 times the memory limit of the process."""
+    """Streams 40 bodies of 32 MB, together 40 times the memory limit of the process."""
     started = 0
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -105,7 +105,7 @@
         head = await reader.readuntil(b"\r\n\r\n")
         started += 1
         if b"POST" in head:
-            await asyncio.Event().wait()  # reads no further
+            await asyncio.Event().wait()  # stops reading
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 32000000\r\n\r\n")
         while True:
             writer.write(BODY[:64_000])
@@ -170,7 +170,7 @@
 
 
 def test_a_response_that_begins_before_the_body_ends_is_not_counted_in_flight_again() -> None:
-    """At the end of the body, its server counted as silent until the response had ended."""
+    """From the end of the body to the end of the response, its server counted as unresponsive."""
     driver = Driver(servers=1)
     name, _ = driver.arrive(body_incomplete=True)
     driver.handle(StreamStarted(name, 0))
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""The wire: each line read and written, bad input named plainly, a scripted exchange with the adapter."""
+"""The simulator's line protocol: parsing, formatting, invalid input, and scripted runs of the adapter."""
 
 from __future__ import annotations
 
@@ -285,7 +285,7 @@
 
 
 def run_instances(instances: list[int], hash_seed: str) -> dict[str, list[str]]:
-    """Actions of each instance when these share one process under this hash seed."""
+    """Actions of each instance when these instances share one process with this hash seed."""
     lines = []
     for step in range(60):
         lines.append(f"begin_batch simTimeUs={1_000_000 + step * 20_000}")
