--- a/faultlab/__main__.py
+++ b/faultlab/__main__.py
@@ -1,7 +1,7 @@
-"""python -m faultlab EXPERIMENT [--help]
+"""Entry point of the fault lab: python -m faultlab EXPERIMENT [--help]
 
-Each experiment's module has `register(parts)`: it adds its own sub-command and arguments and sets `run`, a
-function of the parsed arguments that returns the exit code.
+The module of each experiment has a function `register(subcommands)`. It adds the experiment's subcommand with
+its arguments and sets the default `run`, a function from the parsed arguments to the exit code.
 """
 
 from __future__ import annotations
@@ -22,10 +22,11 @@
 
 
 def main(argv: list[str]) -> int:
+    """Parse the command line and run the experiment that it names."""
     parser = argparse.ArgumentParser(prog="python -m faultlab", description="Faults injected into gateways.")
-    parts = parser.add_subparsers(dest="experiment", required=True)
+    subcommands = parser.add_subparsers(dest="experiment", required=True)
     for experiment in EXPERIMENTS:
-        experiment.register(parts)
+        experiment.register(subcommands)
     arguments = parser.parse_args(argv)
     code: int = arguments.run(arguments)
     return code
--- a/faultlab/gateway_process.py
+++ b/faultlab/gateway_process.py
@@ -1,7 +1,7 @@
-"""Real gateway processes on loopback, a client with a bounded count of requests, and readiness by polling.
+"""Gateway processes on loopback, their configuration, and a client that sends a fixed number of requests.
 
-Every wait here is bounded: a process that never gets ready, or a request never answered, is a figure, not a
-hang.
+Every wait has a timeout: a process that never becomes ready, or a request that is never answered, shows up in
+the figures instead of blocking the experiment.
 """
 
 from __future__ import annotations
@@ -23,15 +23,18 @@
 READY_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: lab\r\n\r\n"
 OPERATOR_READY_REQUEST = b"GET /api/ready HTTP/1.1\r\nHost: lab\r\n\r\n"
 START_TIMEOUT_S = 10.0
-READY_CALL_TIMEOUT_S = 0.5  # for one call
+READY_CALL_TIMEOUT_S = 0.5  # of one readiness call
 POLL_S = 0.005
 CALL_TIMEOUT_S = 2.0
 _request_numbers = itertools.count()
 
 
 def configuration(name: str, port: int, discovery: str, endpoints: list[dict[str, Any]]) -> dict[str, Any]:
-    """A gateway with one class of each effect; the lab's requests are single-shot, so that a failure of a
-    host reaches the client and is counted."""
+    """A gateway's configuration with a `free` class, `search`, and a `single_shot` class, `transfer`.
+
+    The lab sends `transfer` requests: they are attempted once, so that a failure of a host reaches the client
+    and is counted.
+    """
     lane = {"aimUs": 500_000, "giveUpUs": 1_000_000, "lateValue": 0.5, "value": 1.0, "group": "all",
             "windowUs": 1_000_000}  # fmt: skip
     return {
@@ -54,26 +57,30 @@
 
 @dataclass
 class GatewayProcess:
-    """One `python -m cloverkeel` process of the lab, with its configuration file and state directory."""
+    """One `python -m cloverkeel` process, with its configuration file and its state directory."""
 
     name: str
     folder: Path
     config: dict[str, Any]
     state_dir: Path | None
-    listener_fd: int | None = None  # a listening socket's descriptor to inherit ($LB_ACCEPT_FD)
+    listener_fd: int | None = None  # descriptor of a listening socket that it inherits ($LB_ACCEPT_FD)
     process: asyncio.subprocess.Process | None = None
     log: list[str] = field(default_factory=list)
     log_reader: asyncio.Task[None] | None = None
     line_logged: asyncio.Event = field(default_factory=asyncio.Event)
-    root: Path = ROOT  # of the program that it runs
-    environment: dict[str, str] = field(default_factory=dict)  # variables beside the lab's own
+    root: Path = ROOT  # working directory: the source tree of the program that it runs
+    environment: dict[str, str] = field(default_factory=dict)  # variables in addition to those of the lab
 
     @property
     def port(self) -> int:
+        """The port on which it serves clients."""
         return int(self.config["listen"].rpartition(":")[2])
 
     async def start(self) -> float:
-        """Start the process; returns the seconds until it was ready (inf: it ended, or never in 10 s)."""
+        """Start the process and return the seconds until it was ready.
+
+        Returns inf if it exits first or is not ready within START_TIMEOUT_S.
+        """
         if self.listener_fd is not None and "operator" not in self.config:
             self.config = self.config | {"operator": f"127.0.0.1:{free_port()}"}
         file = self.folder / f"{self.name}.json"
@@ -84,7 +91,7 @@
             environment["LB_STATE_DIR"] = str(self.state_dir)
         if self.listener_fd is not None:
             environment["LB_ACCEPT_FD"] = str(self.listener_fd)
-        self.log = []  # of this process only
+        self.log = []  # lines of the new process only
         began = time.monotonic()
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "cloverkeel", cwd=self.root, env=environment,
@@ -99,10 +106,11 @@
         return float("inf")
 
     async def is_ready(self, process: asyncio.subprocess.Process) -> bool:
-        """Whether this very process says that it serves.
+        """Whether this process itself reports that it is ready.
 
-        An answer alone does not tell: another process may have the port, and it was taken for this one. On an
-        inherited socket the process before answers too, so the operators' address is asked, which is its own.
+        A response alone does not prove it: another process may have taken the port, and its answers were once
+        mistaken for those of this one. On an inherited socket the predecessor answers too, so the operator
+        address is asked instead, which each process has for itself.
         """
         port, call = self.port, READY_REQUEST
         if self.listener_fd is not None:
@@ -119,10 +127,11 @@
             self.line_logged = asyncio.Event()
 
     def event_lines(self, name: str) -> list[str]:
+        """The log lines of an event."""
         return [line for line in self.log if f"event={name} " in line + " "]
 
     async def wait_line(self, text: str, timeout_s: float = 10.0) -> str:
-        """The first line of its log that holds `text`, once it has come; TimeoutError if not in time."""
+        """Wait for a log line that contains `text` and return the first. Raises TimeoutError."""
         async with asyncio.timeout(timeout_s):
             while True:
                 for line in self.log:
@@ -131,6 +140,7 @@
                 await self.line_logged.wait()
 
     async def signal(self, signum: int) -> None:
+        """Send a signal if the process runs; after SIGKILL and SIGTERM wait until it has exited."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(signum)
             if signum in (signal.SIGKILL, signal.SIGTERM):
@@ -140,7 +150,7 @@
 
 
 async def wait_snapshot(directory: Path, after_unix_s: float, timeout_s: float = 10.0) -> None:
-    """Once the state file in `directory` holds a snapshot taken after `after_unix_s`."""
+    """Wait until the state file in `directory` has a snapshot from after `after_unix_s`, or TimeoutError."""
     from cloverkeel.fleet.state import read_snapshots
 
     async with asyncio.timeout(timeout_s):
@@ -149,7 +159,7 @@
 
 
 async def send_request(port: int, head: bytes, timeout_s: float = CALL_TIMEOUT_S) -> int:
-    """One request on a connection of its own; its status, or 0 where none came in time."""
+    """Send one request on a new connection; returns the status, or 0 if none came in time."""
     try:
         async with asyncio.timeout(timeout_s):
             reader, writer = await asyncio.open_connection("127.0.0.1", port)
@@ -164,27 +174,30 @@
 
 
 def transfer_request() -> bytes:
+    """A `transfer` (single-shot) request with an id of its own."""
     return (b"POST /transfer HTTP/1.1\r\nHost: lab\r\nX-Call-Id: lab-%d\r\nContent-Length: 0\r\n\r\n"
             % next(_request_numbers))  # fmt: skip
 
 
 @dataclass
 class Tally:
-    """What a client saw: answers by status (0: none came)."""
+    """Number of responses that a client got, by status; 0 stands for no response."""
 
     statuses: dict[int, int] = field(default_factory=dict)
 
     @property
     def sent(self) -> int:
+        """The number of requests sent."""
         return sum(self.statuses.values())
 
     @property
     def failed(self) -> int:
+        """The number of requests with another status than 200, or without a response."""
         return sum(n for status, n in self.statuses.items() if status != 200)
 
 
 async def send_traffic(port: int, count: int, rate_per_s: float) -> Tally:
-    """`count` single-shot requests at `rate_per_s`, each on its own connection: bounded in count and time."""
+    """Send `count` single-shot requests at `rate_per_s`, each on a connection of its own."""
     tally = Tally()
 
     async def one() -> None:
--- a/faultlab/listservice.py
+++ b/faultlab/listservice.py
@@ -1,8 +1,9 @@
-"""The list service with a capacity, above which calls wait, fail and slow it down further.
+"""A list service of limited capacity: above it calls queue up, fail, and may slow the service down further.
 
-`Capacity` is pure, time passed in. `ListService` speaks discovery's protocol as `cloverkeel.discovery` reads
-it, with one port for each caller, so that its log says who called and who was told what. As a process:
-`python -m faultlab.listservice SETTINGS`, commands on standard input (`faultlab.child`).
+`CapacityModel` and `Listing` are pure; the time is passed in. `ListService` speaks the discovery protocol
+that `cloverkeel.discovery` reads. It has one port for each caller, so that its log shows who called and who
+was sent what. As a process: `python -m faultlab.listservice SETTINGS`, commands on standard input
+(`faultlab.child`).
 """
 
 from __future__ import annotations
@@ -19,27 +20,26 @@
 from faultlab.standins import read_request, make_response
 
 MAX_HOLD_S = 60.0
-COLLAPSE_FACTOR = (
-    2.0  # a collapsing service with a full queue answers a third of what one without does: 1 / (1 + 2)
-)
+COLLAPSE_FACTOR = 2.0  # with a full queue a collapsing service answers 1 / (1 + 2) of its rate, a third
 
 
 class CapacityModel:
-    """Calls answered one after the other, `rate_per_s` of them; pure, times in seconds.
+    """A queue of calls that are served one at a time, `rate_per_s` of them; pure, times in seconds.
 
-    At most `queue` calls wait; one that waited over `patience_s` fails when its turn comes, at no cost. Where
-    it `collapses`, a call in front of a longer queue takes longer: the rate is divided by 1 + THRASH * the
-    queue's filled share. A caller that goes away frees its place; what it began is done all the same.
+    At most `queue` calls wait. A call that has waited longer than `patience_s` fails when its turn comes and
+    takes no service time. If the service `collapses`, a call takes longer the longer the queue is: the rate
+    is divided by 1 + COLLAPSE_FACTOR * the filled share of the queue. A caller that leaves frees its place in
+    the queue; a call that is being served is completed all the same.
     """
 
     def __init__(self, rate_per_s: float, queue: int, patience_s: float, collapses: bool) -> None:
         self.rate_per_s, self.queue, self.patience_s = rate_per_s, queue, patience_s
         self.collapses = collapses
-        self.waiting: deque[tuple[float, int]] = deque()  # (came at, call)
-        self.done_s = 0.0  # when the call at the front is answered
+        self.waiting: deque[tuple[float, int]] = deque()  # (arrival, call)
+        self.done_s = 0.0  # when the first call is completed
 
     def arrive(self, now_s: float, call: int) -> bool:
-        """Take a call; False where the queue is full and it fails at once."""
+        """Add a call to the queue; False if the queue is full, so that the call fails at once."""
         if len(self.waiting) >= self.queue:
             return False
         self.waiting.append((now_s, call))
@@ -52,20 +52,20 @@
         self.done_s = now_s + (1.0 + COLLAPSE_FACTOR * filled) / self.rate_per_s
 
     def cancel(self, call: int) -> bool:
-        """A waiting call's caller has gone away; False where the call is being answered already."""
+        """Remove a waiting call whose caller has left; False if it is being served or not in the queue."""
         for place, (_, other) in enumerate(self.waiting):
-            if other == call and place > 0:  # the first is being answered
+            if other == call and place > 0:  # the first is being served
                 del self.waiting[place]
                 return True
         return False
 
     @property
     def next_event_s(self) -> float | None:
-        """When `advance` has something to tell next; None where nothing waits."""
+        """When `advance` has a result next; None if no call waits."""
         return self.done_s if self.waiting else None
 
     def advance(self, now_s: float) -> list[tuple[int, bool]]:
-        """The calls that ended up to `now_s`, in order, and whether each is answered."""
+        """Complete calls up to `now_s`; returns them in order, each with whether it was answered."""
         ended: list[tuple[int, bool]] = []
         while self.waiting and self.done_s <= now_s:
             ended.append((self.waiting.popleft()[1], True))
@@ -78,46 +78,46 @@
 
 @dataclass(slots=True)
 class Listing:
-    """The hosts by name, and the index at which each last changed; pure."""
+    """The listed hosts by name, and the index at which each last changed; pure."""
 
     endpoints: dict[str, dict[str, Any]]
     index: int = 1
-    first_index: int = 1  # the first index of this service's life: what is older it does not know
+    first_index: int = 1  # index when the service started; it knows no changes from before
     changed_at_index: dict[str, int] | None = None
 
     def update(self, name: str, **fields: Any) -> int:
-        """Change a host; returns the new index."""
+        """Change fields of a host; returns the new index."""
         self.index += 1
         self.endpoints[name] = self.endpoints[name] | fields
         self.changed_at_index = (self.changed_at_index or {}) | {name: self.index}
         return self.index
 
     def restart(self, index: int) -> None:
-        """A service started anew: its index begins again and it has no changes to tell."""
+        """Restart the service: its index starts again at `index`, and it has no changes to report."""
         self.index = self.first_index = index
         self.changed_at_index = None
 
     def response(self, since: int | None) -> dict[str, Any]:
-        """The changes after `since`, or the whole list where that is unknown here."""
+        """The body of a response: the changes after `since`, or the full list if that index is unknown."""
         if since is None or not self.first_index <= since <= self.index:
             return {"index": self.index, "snapshot": True, "endpoints": list(self.endpoints.values())}
-        news = [
+        changes = [
             self.endpoints[name] for name, index in (self.changed_at_index or {}).items() if index > since
         ]
-        return {"index": self.index, "snapshot": False, "endpoints": news}
+        return {"index": self.index, "snapshot": False, "endpoints": changes}
 
 
 class ListService:
-    """The service on sockets: a port for each caller, and a log of calls, answers and changes."""
+    """The service on sockets: one port for each caller, and a log of calls and responses."""
 
     def __init__(self, listing: Listing, capacity: CapacityModel) -> None:
         self.listing, self.capacity = listing, capacity
         self.down = False
         self.slow_s = 0.0
-        self.calls: list[tuple[float, int, int]] = []  # (time, caller, from: -1 for the whole list)
+        self.calls: list[tuple[float, int, int]] = []  # (time, caller, `from` index or -1)
         self.responses: list[tuple[float, int, int]] = []  # (time, caller, index)
-        self.failed = 0  # calls turned away, or that waited too long
-        self.open_watches: dict[int, int] = {}  # the watches that wait now, by caller
+        self.failed = 0  # calls refused as the queue was full, or that waited too long
+        self.open_watches: dict[int, int] = {}  # number of watches held now, by caller
         self.changed = asyncio.Event()
         self.last_call = 0
         self.queued_calls: dict[int, tuple[asyncio.Future[bool], asyncio.StreamReader]] = {}
@@ -126,7 +126,7 @@
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self, callers: int) -> list[str]:
-        """Listen on a port for each caller; their addresses."""
+        """Listen on one port for each caller; returns the addresses."""
         addresses = []
         for caller in range(callers):
 
@@ -139,20 +139,23 @@
         return addresses
 
     def close(self) -> None:
+        """Stop listening and abort all connections."""
         for server in self.servers:
             server.close()
         self.reset_connections()
 
     def reset_connections(self) -> None:
+        """Abort all connections."""
         for writer in list(self.writers):
             writer.transport.abort()
 
     def wake_watches(self) -> None:
-        """Wake the watches: there is something newer."""
+        """Wake all held watches: the list has changed."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def serve(self, caller: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection of a caller."""
         self.writers.add(writer)
         try:
             while (request := await read_request(reader)) is not None:
@@ -161,7 +164,7 @@
                 hold_s = min(MAX_HOLD_S, int(query.get("hold_ms", ["0"])[0]) / 1000)
                 self.calls.append((time.monotonic(), caller, -1 if since is None else since))
                 if self.down:
-                    await reader.read()  # silent until the caller leaves
+                    await reader.read()  # send nothing until the caller leaves
                     return
                 if not await self.wait_turn(reader):
                     self.failed += 1
@@ -187,35 +190,40 @@
             writer.close()
 
     async def hold_watch(self, caller: int, reader: asyncio.StreamReader, hold_s: float) -> None:
-        """Wait for news, or until the caller leaves: it says nothing while it waits."""
+        """Hold a watch until the list changes, `hold_s` has passed, or the caller leaves.
+
+        A caller sends nothing while it waits, so that any byte or end of stream means that it left.
+        """
         self.open_watches[caller] = self.open_watches.get(caller, 0) + 1
-        ends = [asyncio.ensure_future(self.changed.wait()), asyncio.ensure_future(reader.read(1))]
+        waits = [asyncio.ensure_future(self.changed.wait()), asyncio.ensure_future(reader.read(1))]
         try:
-            await asyncio.wait(ends, timeout=hold_s, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(waits, timeout=hold_s, return_when=asyncio.FIRST_COMPLETED)
         finally:
             self.open_watches[caller] -= 1
-            for end in ends:
-                end.cancel()
-            await asyncio.gather(*ends, return_exceptions=True)
+            for wait in waits:
+                wait.cancel()
+            await asyncio.gather(*waits, return_exceptions=True)
 
     async def wait_turn(self, reader: asyncio.StreamReader) -> bool:
-        """Wait for the call's turn; False where it fails."""
+        """Queue a call and wait until it has been served; False if it fails."""
         self.last_call += 1
         number = self.last_call
         if not self.capacity.arrive(time.monotonic(), number):
             return False
-        turn: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self.queued_calls[number] = turn, reader
+        done: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        self.queued_calls[number] = done, reader
         self.schedule_advance()
-        return await turn
+        return await done
 
     def schedule_advance(self) -> None:
+        """Set the timer for the next result of the capacity model."""
         next_s = self.capacity.next_event_s
         if self.timer is None and next_s is not None:
             wait_s = max(0.0, next_s - time.monotonic())
             self.timer = asyncio.get_running_loop().call_later(wait_s, self.advance)
 
     def advance(self) -> None:
+        """Drop the calls of callers that have left and complete those that are due."""
         self.timer = None
         for number, (_, reader) in list(self.queued_calls.items()):
             if reader.at_eof() and self.capacity.cancel(number):
@@ -225,31 +233,32 @@
         self.schedule_advance()
 
     def finish_call(self, number: int, answered: bool) -> None:
-        turn, _ = self.queued_calls.pop(number)
-        if not turn.done():  # else its connection has been reset
-            turn.set_result(answered)
+        """Let the connection of a call go on with its result."""
+        done, _ = self.queued_calls.pop(number)
+        if not done.done():  # done already if its connection was reset
+            done.set_result(answered)
 
-    async def handle_command(self, do: str, order: dict[str, Any]) -> Any:
-        """One command of the lab; ValueError where it is none."""
+    async def handle_command(self, do: str, arguments: dict[str, Any]) -> Any:
+        """Execute one command of the lab. Raises ValueError for an unknown one."""
         match do:
             case "listen":
-                return await self.start(order["callers"])
+                return await self.start(arguments["callers"])
             case "hosts":
-                self.listing.endpoints = {entry["name"]: entry for entry in order["endpoints"]}
+                self.listing.endpoints = {entry["name"]: entry for entry in arguments["endpoints"]}
                 self.listing.index += 1
                 self.wake_watches()
                 return self.listing.index
             case "set":
-                index = self.listing.update(order["name"], **order["fields"])
+                index = self.listing.update(arguments["name"], **arguments["fields"])
                 self.wake_watches()
                 return [time.monotonic(), index]
             case "mode":
-                self.down, self.slow_s = order.get("down", False), order.get("slow_s", 0.0)
-                if "rate_per_s" in order:
-                    self.capacity.rate_per_s = order["rate_per_s"]
+                self.down, self.slow_s = arguments.get("down", False), arguments.get("slow_s", 0.0)
+                if "rate_per_s" in arguments:
+                    self.capacity.rate_per_s = arguments["rate_per_s"]
                 return None
             case "restart":
-                self.listing.restart(order["index"])
+                self.listing.restart(arguments["index"])
                 self.reset_connections()
                 return None
             case "watchers":
@@ -257,7 +266,7 @@
             case "log":
                 return {"calls": self.calls, "told": self.responses, "failed": self.failed}
             case _:
-                raise ValueError(f"no command of the list service: {do}")
+                raise ValueError(f"unknown command of the list service: {do}")
 
 
 async def _make_handler(settings: dict[str, Any]) -> child.Handler:
--- a/faultlab/member.py
+++ b/faultlab/member.py
@@ -1,17 +1,20 @@
-"""A light agent: membership alone in a process of its own, many to a machine.
+"""A process that runs membership only, so that one machine can run many members.
 
     python -m faultlab.member --name NAME --cluster JSON [--zone ZONE] [--incarnation N | --state-dir DIR]
 
-`--cluster` is the configuration's `cluster` object. Standard output has a JSON object a line, each with `t`,
-the monotonic time in seconds, which the processes of one machine share:
+`--cluster` is the `cluster` object of a configuration. Standard output has one JSON object on each line, with
+`t`, the monotonic time in seconds, which all processes of a machine share:
 
     {"event": "started", "address": ..., "incarnation": ...}
     {"event": "change", "member": ..., "status": ..., "incarnation": ..., "before": status or null}
     {"event": "state", "state": ...}          once it has joined, is alone, or its name is taken
 
-and answers to the commands on standard input, one a line: `counters` (with the state, the CPU seconds used
-and the core's health); `leave`: it leaves and ends. It ends with its standard input, so that none outlives
-the lab that started it.
+and the responses to the commands on standard input, one on each line:
+
+    counters    the counters, with the state, the CPU seconds used and the health score of the protocol core
+    leave       the member leaves the cluster and the process exits
+
+The process exits at the end of standard input, so that it does not outlive the lab that started it.
 """
 
 from __future__ import annotations
@@ -33,14 +36,15 @@
 
 
 def emit(event: str, **fields: object) -> None:
+    """Write one report to standard output."""
     print(json.dumps({"event": event, "t": time.monotonic()} | fields), flush=True)
 
 
 async def choose_incarnation(directory: str | None, given: int | None) -> int:
-    """The number given, else what a gateway would take: the store's counter, or the wall clock."""
+    """The incarnation given, else as a gateway chooses it: from the store's counter or the wall clock."""
     if given is not None:
         return given
-    from cloverkeel.fleet import state  # a member without a store does not pay for SQLite
+    from cloverkeel.fleet import state  # imported late: a member without a store does not load SQLite
     from cloverkeel.fleet.start import next_incarnation
 
     keeper = None
@@ -52,12 +56,14 @@
     return number
 
 
-def emit_change(rumour: MemberUpdate, before: MemberUpdate | None) -> None:
-    emit("change", member=rumour.name, status=rumour.status.value, incarnation=rumour.incarnation,
+def emit_change(update: MemberUpdate, before: MemberUpdate | None) -> None:
+    """Report that what this member knows of another has changed."""
+    emit("change", member=update.name, status=update.status.value, incarnation=update.incarnation,
         before=before.status.value if before is not None else None)  # fmt: skip
 
 
 def member_counters(membership: Membership) -> dict[str, Any]:
+    """The counters of membership, with the state, the CPU time used and the health score."""
     member = membership.member
     health = member.roster.health.score if member is not None else 0
     own = {"state": membership.state, "cpu_s": time.process_time(), "health": health}
@@ -65,6 +71,7 @@
 
 
 async def run(settings: ClusterSettings, name: str, zone: str, number: int) -> None:
+    """Be a member with incarnation `number` until the command `leave` or the end of standard input."""
     loop = asyncio.get_running_loop()
     reader = asyncio.StreamReader()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -73,22 +80,23 @@
     await membership.start()
     emit("started", address=membership.address, incarnation=number)
 
-    async def tell_state() -> None:
+    async def emit_state() -> None:
         await membership.joined.wait()
         emit("state", state=membership.state)
 
-    telling = loop.create_task(tell_state())
+    emitting = loop.create_task(emit_state())
     while line := (await reader.readline()).decode().strip():
         if line == "leave":
             await membership.leave()
             break
         if line == "counters":
             emit(line, answer=member_counters(membership))
-    telling.cancel()
+    emitting.cancel()
     membership.close()
 
 
 def main(argv: list[str]) -> int:
+    """Parse the command line and run the member; returns the exit code."""
     parser = argparse.ArgumentParser(prog="python -m faultlab.member")
     parser.add_argument("--name", required=True)
     parser.add_argument("--cluster", required=True, type=json.loads, help="the cluster object, as JSON")
--- a/faultlab/membership.py
+++ b/faultlab/membership.py
@@ -1,8 +1,9 @@
-"""The membership experiments: how soon all know of a kill, the load at rest, convergence after a heal, and
-whether a soak under loss and stops has false deaths.
+"""The membership experiments: kills, load at rest, partitions, and a soak under loss and stops.
 
-Real light members behind the lab's relay. Each returns plain figures; `command` prints them. Times are in
-seconds, from just before the fault until the last member's own report, by the clock that all share.
+They run `faultlab.member` processes behind the lab's relay. The figures are the time until all members know
+of a kill, the datagrams sent at rest, the time until all agree after a partition heals, and the false deaths
+of the soak. Times are in seconds, from just before the fault until the report of the last member, by the
+monotonic clock that all processes of a machine share.
 """
 
 from __future__ import annotations
@@ -24,14 +25,14 @@
 from faultlab.report import Subcommands, positive_int, report
 
 Figures = dict[str, Any]
-QUIET_PERIOD_S = 10.0  # two push-pull periods
+QUIET_PERIOD_S = 10.0  # duration of the measurement of the load at rest: two push-pull periods
 LOSS_RATE = 0.05
 STOP_S = 0.2
-STOP_GAP_S = (0.1, 0.6)  # between two stops
+STOP_GAP_S = (0.1, 0.6)  # between two stops, drawn evenly
 
 
 def summary(values: Sequence[float]) -> Figures:
-    """Median, 99th percentile (nearest rank) and maximum, with the number they are of."""
+    """Median, 99th percentile (nearest rank), maximum and number of values."""
     ordered = sorted(values)
     rank = max(0, math.ceil(0.99 * len(ordered)) - 1)
     return {
@@ -43,12 +44,12 @@
 
 
 async def measure_kills(size: int, number: int, seed: int) -> Figures:
-    """Kill one member after another, each started again; the load is taken at rest before the first."""
+    """Kill `number` members one after another and restart each; measure the load at rest before the first."""
     rng = random.Random(seed)
     known_s, agreed_s = [], []
-    false: list[DeathReport] = []
+    false_deaths: list[DeathReport] = []
     async with MemberFleet(size, seed) as fleet:
-        await asyncio.sleep(QUIET_PERIOD_S / 2)  # what a start brings is said
+        await asyncio.sleep(QUIET_PERIOD_S / 2)  # until the updates of the start have been sent
         before = sum(fleet.relay.sent_by_member.values())
         began_s = time.monotonic()
         await asyncio.sleep(QUIET_PERIOD_S)
@@ -63,20 +64,20 @@
             started_s = time.monotonic()
             await victim.start(fleet.settings)
             agreed_s.append(await fleet.wait_agreed(30.0) - started_s)
-            false += [death for death in fleet.deaths if death.member != victim.name]
+            false_deaths += [death for death in fleet.deaths if death.member != victim.name]
             fleet.deaths.clear()
         stalls = await fleet.counters(fleet.running())
     return {
         "known_s": summary(known_s), "started_again_s": summary(agreed_s), "datagrams_a_member_s": load,
-        "false_deaths": len(false), "falsely_dead": len({death.member for death in false}),
+        "false_deaths": len(false_deaths), "falsely_dead": len({death.member for death in false_deaths}),
         "lab_late_s": fleet.max_lag_s, "stalls": sum(c["stalls"] for c in stalls.values()),
     }  # fmt: skip
 
 
 async def measure_heals(size: int, rounds: int, seed: int) -> Figures:
-    """Part the members in two halves for longer than the suspicion time, then heal."""
+    """Partition the members into two halves for longer than the suspicion time, then heal, `rounds` times."""
     rng = random.Random(seed)
-    parted_s, healed_s = [], []
+    split_s, healed_s = [], []
     async with MemberFleet(size, seed) as fleet:
         names = list(fleet.members)
         for _ in range(rounds):
@@ -85,30 +86,32 @@
             west, east = names[: size // 2], names[size // 2 :]
             fleet.relay.cut(west, east)
             cut_s = time.monotonic()
-            sides = [([fleet.members[n] for n in one], other) for one, other in ((west, east), (east, west))]
-            parted_s.append(await fleet.wait_until(lambda s=sides: is_partitioned(fleet, s), 120.0) - cut_s)  # type: ignore[misc]
+            sides = [([fleet.members[n] for n in own], other) for own, other in ((west, east), (east, west))]
+            split_s.append(await fleet.wait_until(lambda s=sides: is_partitioned(fleet, s), 120.0) - cut_s)  # type: ignore[misc]
             fleet.relay.heal()
             began_s = time.monotonic()
             healed_s.append(await fleet.wait_agreed(60.0) - began_s)
-    return {"all_dead_s": summary(parted_s), "agreed_s": summary(healed_s)}
+    return {"all_dead_s": summary(split_s), "agreed_s": summary(healed_s)}
 
 
 def is_partitioned(fleet: MemberFleet, sides: list[tuple[list[MemberProcess], list[str]]]) -> bool:
-    """Whether each side holds all of the other dead."""
+    """Whether all members of each side report all of the other side dead."""
     return all(fleet.all_report(name, "dead", by) for by, others in sides for name in others)
 
 
 async def run_soak(size: int, hours: float, seed: int) -> Figures:
-    """`hours` member-hours under loss on every path, one member at a time stopped for STOP_S. All live, so
-    that every death reported is false."""
+    """Run for `hours` member-hours with loss on every path and one member at a time stopped for STOP_S.
+
+    No member exits, so that every death reported is false.
+    """
     rng = random.Random(seed)
     stops = 0
     async with MemberFleet(size, seed) as fleet:
         stalls = sum(c["stalls"] for c in (await fleet.counters(fleet.running())).values())
         fleet.relay.set_rule(Rule(drop=LOSS_RATE))
         began_s = time.monotonic()
-        until_s = began_s + hours * 3600.0 / size
-        while time.monotonic() < until_s:
+        ends_s = began_s + hours * 3600.0 / size
+        while time.monotonic() < ends_s:
             member = rng.choice(fleet.running())
             member.signal(signal.SIGSTOP)
             await asyncio.sleep(STOP_S)
@@ -138,7 +141,7 @@
 async def run(
     sizes: Sequence[int], killed: int, members: int, rounds: int, soak_hours: float, seed: int
 ) -> Figures:
-    """All of them, one after another; a count of 0 leaves an experiment out."""
+    """Run the experiments one after another; a count of 0 leaves an experiment out."""
     figures: Figures = {}
     if killed:
         for size in sizes:
@@ -159,47 +162,60 @@
 
 
 def size_list(text: str) -> list[int]:
-    """An argument that is one or more sizes of fleets, `5,20,50`."""
+    """Parse an argument that lists sizes of fleets, as in `5,20,50`. Raises ArgumentTypeError."""
     sizes = text.split(",")
     if any(not size.isdecimal() or int(size) < 2 for size in sizes):
-        raise argparse.ArgumentTypeError(f"{text!r} is no list of whole numbers of at least 2, as in 5,20,50")
+        raise argparse.ArgumentTypeError(
+            f"{text!r} is not a list of whole numbers of at least 2, as in 5,20,50"
+        )
     return [int(size) for size in sizes]
 
 
 def non_negative_int(text: str) -> int:
-    """An argument that is a whole number, 0 included."""
+    """Parse an argument that is a whole number of at least 0. Raises ArgumentTypeError."""
     return 0 if text == "0" else positive_int(text)
 
 
 def parse_hours(text: str) -> float:
+    """Parse an argument that is a number of hours. Raises ArgumentTypeError."""
     try:
         if 0.0 <= float(text) < math.inf:
             return float(text)
     except ValueError:
         pass
-    raise argparse.ArgumentTypeError(f"{text!r} is no number of hours of at least 0")
+    raise argparse.ArgumentTypeError(f"{text!r} is not a number of hours of at least 0")
 
 
-def register(parts: Subcommands) -> None:
-    """Add `membership` and its arguments to the lab's commands."""
-    lab = parts.add_parser("membership", help="kills, load at rest, partitions, a soak under loss and stops")
-    lab.add_argument(
-        "--sizes", type=size_list, default=[5, 20, 50], help="of fleets that lose members (5,20,50)"
+def register(subcommands: Subcommands) -> None:
+    """Add the subcommand `membership` and its arguments."""
+    parser = subcommands.add_parser(
+        "membership", help="kills, load at rest, partitions, a soak under loss and stops"
+    )
+    parser.add_argument(
+        "--sizes",
+        type=size_list,
+        default=[5, 20, 50],
+        help="of the fleets whose members are killed (default 5,20,50)",
+    )
+    parser.add_argument(
+        "--kills", type=non_negative_int, default=20, help="kills at each size (default 20; 0: none)"
+    )
+    parser.add_argument(
+        "--members", type=positive_int, default=20, help="members in the partitions and the soak (default 20)"
     )
-    lab.add_argument("--kills", type=non_negative_int, default=20, help="at each size (default 20; 0: none)")
-    lab.add_argument(
-        "--members", type=positive_int, default=20, help="in partitions and the soak (default 20)"
+    parser.add_argument(
+        "--rounds", type=non_negative_int, default=10, help="number of partitions (default 10; 0: none)"
     )
-    lab.add_argument("--rounds", type=non_negative_int, default=10, help="partitions (default 10; 0: none)")
-    lab.add_argument(
-        "--soak-hours", type=parse_hours, default=0.2, help="member-hours (default 0.2; 0: none)"
+    parser.add_argument(
+        "--soak-hours", type=parse_hours, default=0.2, help="member-hours of the soak (default 0.2; 0: none)"
     )
-    lab.add_argument("--seed", type=int, default=1)
-    lab.add_argument("--json", action="store_true", help="one JSON object instead of a table")
-    lab.set_defaults(run=command)
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--json", action="store_true", help="one JSON object instead of a table")
+    parser.set_defaults(run=command)
 
 
 def command(arguments: argparse.Namespace) -> int:
+    """Run the experiments and print their figures."""
     given = (arguments.sizes, arguments.kills, arguments.members, arguments.rounds, arguments.soak_hours)
     report(uvloop.run(run(*given, arguments.seed)), arguments.json)
     return 0
--- a/tests/test_lab_command.py
+++ b/tests/test_lab_command.py
@@ -1,4 +1,4 @@
-"""The lab's command line: every experiment has its place, and bad arguments get one clear line."""
+"""The lab's command line: each experiment has its subcommand, and bad arguments get one clear error line."""
 
 import pytest
 
@@ -27,10 +27,10 @@
 @pytest.mark.parametrize(
     ("words", "says"),
     [
-        (["--sizes", "5,x"], "--sizes: '5,x' is no list"),
-        (["--sizes", "1"], "--sizes: '1' is no list"),
+        (["--sizes", "5,x"], "--sizes: '5,x' is not a list"),
+        (["--sizes", "1"], "--sizes: '1' is not a list"),
         (["--kills", "-1"], "--kills: '-1' is not a whole number"),
-        (["--soak-hours", "nan"], "--soak-hours: 'nan' is no number of hours"),
+        (["--soak-hours", "nan"], "--soak-hours: 'nan' is not a number of hours"),
     ],
 )
 def test_a_fleet_that_cannot_be_is_named_and_refused(
--- a/tests/test_lab_messages.py
+++ b/tests/test_lab_messages.py
@@ -1,4 +1,4 @@
-"""The labs' messages: taken off a connection when they are whole, whichever way they come."""
+"""The lab's HTTP parser: a message is parsed once it is complete, however its bytes arrive."""
 
 from __future__ import annotations
 
--- a/tests/test_lab_starts.py
+++ b/tests/test_lab_starts.py
@@ -1,9 +1,9 @@
-"""A lab takes a gateway for started only when this very process serves at its address.
+"""The lab counts a gateway as started only when that very process serves at its address.
 
-Four fleets that started at once had 15 tests fail: the same port was chosen for two gateways, since a probe's
-port is free again before its owner binds it. The second ended at its bind (exit 1, "cannot listen on"), and
-the lab took the first one's answer at that port for the second's: `start` came back, and the fleet waited for
-a member that was not there (180 s, "'live': 4"). Configurations with one `listen` in two fleets showed it.
+Guards against two fleets that start at the same time and choose the same port: a port that was probed is free
+again until its owner binds it. The second gateway exited at its bind (exit code 1, "cannot listen on"), and
+the lab took the response of the first one at that port for the second's, so that the fleet waited 180 s for a
+member that was not there. Four fleets that started at once had 15 tests fail.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def with_foreign_gateway(folder: Path, steps: Callable[[GatewayProcess, Host], Awaitable[None]]) -> None:
-    """Run `steps` with a gateway that serves at its port, and a host that both may list."""
+    """Run `steps` with a gateway that already serves at its port, and a host that both may list."""
 
     async def run() -> None:
         host = Host("h0")
@@ -69,7 +69,7 @@
 
 
 def test_an_old_process_on_the_inherited_socket_is_no_start_of_the_new_one(tmp_path: Path) -> None:
-    """Both hold the socket; the old one answers there before the new one has begun."""
+    """Both processes have the socket, and the old one answers on it before the new one serves."""
 
     async def steps(foreign: GatewayProcess, host: Host) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -80,7 +80,9 @@
             new = GatewayProcess("new", tmp_path, dict(config), None, listener.fileno())
             try:
                 assert await old.start() < float("inf")
-                new.config["operator"] = f"127.0.0.1:{foreign.port}"  # it cannot start
+                new.config["operator"] = (
+                    f"127.0.0.1:{foreign.port}"  # taken, so that the new process cannot start
+                )
                 assert await new.start() == float("inf")
             finally:
                 await old.signal(9)
@@ -92,11 +94,11 @@
 def test_a_fleet_starts_a_gateway_whose_port_is_taken_at_another(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The crossing of the two fleets, forced: the first port is one at which a foreign gateway answers."""
+    """Forces the race of two fleets: at the first port that is chosen, a foreign gateway answers."""
 
     async def steps(foreign: GatewayProcess, host: Host) -> None:
-        given = itertools.chain([foreign.port], iter(free_port, None))
-        monkeypatch.setattr("faultlab.gateway_fleet.free_port", lambda: next(given))
+        ports_given = itertools.chain([foreign.port], iter(free_port, None))
+        monkeypatch.setattr("faultlab.gateway_fleet.free_port", lambda: next(ports_given))
         async with TransformsFleet(1, tmp_path, {}) as fleet:
             assert fleet.gateways["m0"].port != foreign.port
 
@@ -125,7 +127,10 @@
 
 
 def test_runs_beside_each_other_are_not_given_the_same_port(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Of five soaks beside each other one had another's gateway at its port, and one ended at its bind."""
+    """Guards against runs at the same time choosing the same port.
+
+    Of five soaks at once, one found another run's gateway at its port, and one gateway exited at its bind.
+    """
     code = (
         "import sys; from faultlab.ports import free_port; print(free_port(), flush=True); sys.stdin.read()"
     )
--- a/tests/test_membership_lab.py
+++ b/tests/test_membership_lab.py
@@ -1,5 +1,7 @@
-"""Membership's hard cases with real processes behind the lab's relay; most share one fleet, which each case
-leaves as it found it: all alive and agreed."""
+"""Membership under faults, with real processes behind the lab's relay.
+
+Most tests share one fleet. Each leaves it as it found it: all members alive and in agreement.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +41,7 @@
 
 @pytest.fixture
 def case(runner: asyncio.Runner, fleet: MemberFleet) -> Case:
-    """Runs a case on the shared fleet, and has it agreed again after it."""
+    """Runs the steps of a test on the shared fleet, then waits until its members agree again."""
 
     def run(steps: Callable[[MemberFleet], Awaitable[None]]) -> None:
         async def both() -> None:
@@ -56,7 +58,7 @@
 async def process(
     fleet: MemberFleet, place: RelayMember, name: str, settings: dict[str, Any], *words: str
 ) -> AsyncIterator[MemberProcess]:
-    """A further process, behind the fleet's relay and no part of the fleet."""
+    """A further process behind the fleet's relay that is not part of the fleet."""
     light = MemberProcess(name, place, fleet.changed, [])
     try:
         await light.start(fleet.settings | settings, *words)
@@ -103,7 +105,7 @@
         for _ in range(10):
             member = rng.choice(fleet.running())
             member.signal(signal.SIGSTOP)
-            await asyncio.sleep(0.2)  # the stop itself
+            await asyncio.sleep(0.2)  # how long the member is stopped
             member.signal(signal.SIGCONT)
             await fleet.counters([member])
         fleet.relay.set_rule(Rule())
@@ -135,8 +137,8 @@
         await fleet.wait_agreed(4 * SETTINGS["push_pull_s"])
         told = {
             death.reporter for death in fleet.deaths
-        }  # the joiner may hear late of deaths before the heal
-        assert told <= {"joiner"}  # nobody takes the other side's word for one
+        }  # the joiner may report deaths from before the heal late
+        assert told <= {"joiner"}  # no other member accepts a death from the other side
         joiner.send_command("leave")
         await joiner.wait_ended()
         await fleet.wait_until(lambda: fleet.all_report("joiner", "left"))
@@ -152,14 +154,15 @@
         member = fleet.members["m4"]
         member.signal(signal.SIGKILL)
         await member.wait_ended()
-        await member.start(fleet.settings, "--incarnation", str(2**50))  # its later self
+        await member.start(fleet.settings, "--incarnation", str(2**50))  # a process newer than the state file
         await fleet.wait_agreed()
         member.signal(signal.SIGKILL)
         await member.wait_ended()
         await fleet.wait_until(lambda: fleet.all_report("m4", "dead"))
         await member.start(fleet.settings, "--state-dir", str(tmp_path / "old"))
         await fleet.wait_until(lambda: bool(member.reports_of("started")))
-        # The store's first, or the clock's milliseconds where its disk took over a second: both are lower.
+        # The first number of the new store, or the clock in milliseconds if opening the store took over a
+        # second: both are lower than 2**50.
         assert member.reports_of("started")[0]["incarnation"] < 2**50
         await fleet.wait_agreed()
         assert fleet.members["m0"].view["m4"].incarnation > 2**50
@@ -180,7 +183,9 @@
             assert answer["state"] == "member" and not [
                 death for death in fleet.deaths if death.member == "m1"
             ]
-        assert all(m.view["m1"].incarnation < 2**60 for m in others)  # it had no claim to outrank
+        assert all(
+            m.view["m1"].incarnation < 2**60 for m in others
+        )  # nobody had to outrank the second process
 
     case(steps)
 
@@ -202,8 +207,11 @@
 
 
 def garbage() -> Iterator[bytes]:
-    """Random bytes of every size, real messages cut at every length and with a byte changed, other versions
-    and clusters: nothing a core may take."""
+    """Datagrams that the protocol core must reject.
+
+    Random bytes of every size, a real message cut at every length and with a byte added, and messages of
+    another version and another cluster.
+    """
     rng = random.Random(11)
     sender = MemberUpdate("stranger", "127.0.0.1:9", 1, Status.ALIVE)
     real = Codec(CLUSTER_NAME).encode(
@@ -232,7 +240,7 @@
                 for number, data in enumerate(garbage()):
                     out.sendto(data, address)
                     sent += 1
-                    if number % 25 == 24:  # within what the socket's buffer holds
+                    if number % 25 == 24:  # so that the socket's buffer does not overflow
                         while await dropped() < sent:
                             pass
             while await dropped() < sent:
@@ -246,7 +254,7 @@
                     pass
             writer.close()
         assert await dropped() == sent + 3
-        assert 1 <= len(member.log_lines("members.dropped")) - logged <= 30  # about one a second
+        assert 1 <= len(member.log_lines("members.dropped")) - logged <= 30  # about one per second
         assert "stranger" not in member.view and not fleet.deaths
 
     case(steps)
