--- a/faultlab/recovery/__init__.py
+++ b/faultlab/recovery/__init__.py
@@ -1,6 +1,6 @@
-"""The recovery experiments: kills during writes, power loss, damaged files, a full disk, two processes on one
-directory, and warm against cold starts of real gateways under steady traffic.
+"""Experiments on the recovery of saved state.
 
-Each returns plain figures; `command` prints them. Nothing here is scored against anything but the goals of
-docs/recovery.md.
+They cover kills during writes, power loss, damaged files, a full disk, two processes on one directory, and
+warm compared with cold starts of real gateways under steady traffic. Each returns its figures by name and
+`command` prints them; the goals are in docs/recovery.md.
 """
--- a/faultlab/recovery/command.py
+++ b/faultlab/recovery/command.py
@@ -1,4 +1,4 @@
-"""python -m faultlab recovery --processes 3 --rounds 50"""
+"""The command of the recovery experiments: python -m faultlab recovery --processes 3 --rounds 50"""
 
 from __future__ import annotations
 
@@ -16,6 +16,7 @@
 
 
 async def run(processes: int, rounds: int, seed: int, folder: Path) -> Figures:
+    """Run all experiments one after another; `folder` holds their files."""
     figures: Figures = {"processes": processes, "rounds": rounds, "seed": seed}
     figures |= await kill_writers(folder, rounds, processes, seed)
     figures |= await damaged_starts(folder, max(1, rounds // 10), seed)
@@ -29,17 +30,27 @@
     return figures
 
 
-def register(parts: Subcommands) -> None:
-    """Add `recovery` and its arguments to the lab's commands."""
-    lab = parts.add_parser("recovery", help="kills, power loss, damaged files, full disk, warm/cold starts")
-    lab.add_argument("--processes", type=positive_int, default=3, help="processes side by side (default 3)")
-    lab.add_argument("--rounds", type=positive_int, default=50, help="kills; a tenth as many damaged starts")
-    lab.add_argument("--seed", type=int, default=1)
-    lab.add_argument("--json", action="store_true", help="one JSON object instead of a table")
-    lab.set_defaults(run=command)
+def register(subcommands: Subcommands) -> None:
+    """Add the subcommand `recovery` and its arguments."""
+    parser = subcommands.add_parser(
+        "recovery", help="kills, power loss, damaged files, full disk, warm/cold starts"
+    )
+    parser.add_argument(
+        "--processes", type=positive_int, default=3, help="processes at the same time (default 3)"
+    )
+    parser.add_argument(
+        "--rounds",
+        type=positive_int,
+        default=50,
+        help="number of kills; a tenth as many starts on damaged files (default 50)",
+    )
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--json", action="store_true", help="one JSON object instead of a table")
+    parser.set_defaults(run=command)
 
 
 def command(arguments: argparse.Namespace) -> int:
+    """Run the experiments in a temporary folder and print their figures."""
     with tempfile.TemporaryDirectory(prefix="faultlab-") as folder:
         figures = run(arguments.processes, arguments.rounds, arguments.seed, Path(folder))
         report(asyncio.run(figures), arguments.json)
--- a/faultlab/recovery/damage.py
+++ b/faultlab/recovery/damage.py
@@ -1,4 +1,4 @@
-"""Gateways that start on damaged files."""
+"""Starts real gateways on damaged state files."""
 
 from __future__ import annotations
 
@@ -18,39 +18,39 @@
 
 
 def damage_functions(rng: random.Random) -> dict[str, Callable[[Path], None]]:
-    """Each damage, done to a directory that holds a good file."""
-    path = state.STATE_FILE
+    """The kinds of damage by name, each a function that damages the state file in a directory."""
+    file_name = state.STATE_FILE
 
     def truncate(at: Callable[[int], int]) -> Callable[[Path], None]:
-        def damage(d: Path) -> None:
-            size = (d / path).stat().st_size
-            os.truncate(d / path, at(size))
+        def damage(directory: Path) -> None:
+            size = (directory / file_name).stat().st_size
+            os.truncate(directory / file_name, at(size))
 
         return damage
 
-    def flip(d: Path) -> None:
-        data = bytearray((d / path).read_bytes())
+    def flip(directory: Path) -> None:
+        data = bytearray((directory / file_name).read_bytes())
         data[rng.randrange(len(data))] ^= 1 << rng.randrange(8)
-        (d / path).write_bytes(bytes(data))
+        (directory / file_name).write_bytes(bytes(data))
 
-    def torn_wal(d: Path) -> None:
-        wal = d / (path + "-wal")
+    def torn_wal(directory: Path) -> None:
+        wal = directory / (file_name + "-wal")
         size = wal.stat().st_size
         os.truncate(wal, rng.randrange(32, max(33, size - 1)))
 
-    def schema(d: Path) -> None:
-        with sqlite3.connect(d / path) as connection:
+    def schema(directory: Path) -> None:
+        with sqlite3.connect(directory / file_name) as connection:
             connection.execute("UPDATE meta SET value = '0' WHERE key = 'schema'")
 
     def replace_with(data: bytes) -> Callable[[Path], None]:
-        def damage(d: Path) -> None:
-            (d / path).write_bytes(data)
+        def damage(directory: Path) -> None:
+            (directory / file_name).write_bytes(data)
 
         return damage
 
-    def directory(d: Path) -> None:
-        (d / path).unlink()
-        (d / path).mkdir()
+    def replace_with_directory(directory: Path) -> None:
+        (directory / file_name).unlink()
+        (directory / file_name).mkdir()
 
     return {
         "truncated in the header": truncate(lambda size: rng.randrange(1, 100)),
@@ -61,13 +61,16 @@
         "old schema": schema,
         "not SQLite": replace_with(b"this is no database " * 300),
         "empty file": replace_with(b""),
-        "a directory in its place": directory,
+        "a directory in its place": replace_with_directory,
     }
 
 
 async def damaged_starts(folder: Path, rounds: int, seed: int) -> Figures:
-    """Real gateways started on damaged files: ready, and each damage seen, counted and logged once, or the
-    file's damage not reaching what is restored."""
+    """Start a gateway on each kind of damaged file and count what it does.
+
+    A gateway has to become ready. It has to notice, count and log a damage once, unless the damage does not
+    affect what is restored.
+    """
     rng = random.Random(seed)
     hosts = [Host(f"d{n}") for n in range(2)]
     for host in hosts:
--- a/faultlab/recovery/files.py
+++ b/faultlab/recovery/files.py
@@ -1,4 +1,4 @@
-"""State files of the recovery experiments: good ones, copies as after a power loss, and how they open."""
+"""State files of the recovery experiments: sound ones, copies as after a power loss, and how they open."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from cloverkeel.fleet import state
 from faultlab.recovery import writer
 
-Figures = dict[str, Any]  # by name, as an experiment prints them
+Figures = dict[str, Any]  # measured values by name, as an experiment prints them
 
 
 def copy_as_after_power_loss(source: Path, target: Path) -> None:
-    """What a disk could hold: the database file, then its WAL, each read at its own moment."""
+    """Copy what a disk could hold after a power loss: the database file and then its WAL, as read."""
     target.mkdir()
     for suffix in ("", "-wal"):
         with open(source / (state.STATE_FILE + suffix), "rb") as file:
@@ -25,13 +25,16 @@
 
 
 def open_copy(directory: Path) -> tuple[str, int]:
-    """How a start treats a copy: 'restored', 'cold' or 'moved aside', and the sequence it restored."""
+    """Open a copy as a start does; returns what came of it and the sequence number restored (-1: none).
+
+    What came of it is 'restored', 'cold', 'moved aside' or 'accepted wrong'.
+    """
     fd = state.Store.acquire_lock(str(directory))
     assert fd is not None
-    figures = state.StoreCounters()
-    store, found = state.Store.open(str(directory), fd, figures, time.time())
+    counters = state.StoreCounters()
+    store, found = state.Store.open(str(directory), fd, counters, time.time())
     store.close()
-    if figures.corrupt:
+    if counters.corrupt:
         return "moved aside", -1
     if not found:
         return "cold", -1
@@ -40,6 +43,7 @@
 
 
 def write_good_file(directory: Path, snapshots: int) -> None:
+    """Make a directory with a sound state file that has this number of snapshots."""
     directory.mkdir()
     fd = state.Store.acquire_lock(str(directory))
     assert fd is not None
@@ -51,7 +55,10 @@
 
 
 def write_file_with_wal(directory: Path) -> None:
-    """A good file whose newest snapshot is still in the WAL: copied while the writer holds it open."""
+    """Make a directory with a sound file whose newest snapshot is still in the WAL.
+
+    The file is copied while its writer has it open.
+    """
     source = directory.with_name(directory.name + "-source")
     write_good_file(source, 2)
     connection = sqlite3.connect(source / state.STATE_FILE, isolation_level=None)
--- a/faultlab/recovery/gateways.py
+++ b/faultlab/recovery/gateways.py
@@ -1,4 +1,4 @@
-"""Gateways and their state directories: shared, impossible to make, and written by a stopped process."""
+"""Gateways whose state directory is shared, cannot be created, or is written by a stopped process."""
 
 from __future__ import annotations
 
@@ -17,7 +17,10 @@
 
 
 async def two_gateways_one_directory(folder: Path) -> Figures:
-    """Two gateways named to one directory without an upgrade: the second says so once and runs without it."""
+    """Start two gateways on one directory without an upgrade: the second has to run without a store.
+
+    It has to log that once.
+    """
     hosts = [Host("t0")]
     await hosts[0].start()
     directory, listed = folder / "shared", [endpoint(hosts[0])]
@@ -41,8 +44,11 @@
 
 
 async def stop_while_writing(folder: Path, rounds: int, seed: int) -> Figures:
-    """A gateway SIGSTOPped at random moments of its writing, for up to half a second, then SIGCONTed: it goes
-    on writing, and the file is sound at each stop (read by another process meanwhile)."""
+    """Stop a gateway (SIGSTOP) at random moments while it writes, for up to half a second, and continue it.
+
+    The file, read by another process during the stop, has to be sound each time, and the gateway has to go on
+    writing afterwards.
+    """
     rng = random.Random(seed)
     host = Host("p0")
     await host.start()
@@ -71,8 +77,11 @@
 
 
 async def uncreatable_directory(folder: Path) -> Figures:
-    """A state directory that cannot be made (a file stands in its path): the gateway serves without a store.
-    (Write permissions do not bind a process of root, so a read-only directory is tried as a full disk.)"""
+    """Start a gateway whose state directory cannot be created: it has to serve without a store.
+
+    A file stands where a parent directory should be. Write permissions do not bind a process of root, so a
+    read-only directory cannot be tried; a full disk stands for it.
+    """
     host = Host("m0")
     await host.start()
     (folder / "a-file").write_bytes(b"")
--- a/faultlab/recovery/starts.py
+++ b/faultlab/recovery/starts.py
@@ -1,4 +1,4 @@
-"""What a start costs and what its state saves: warm against cold, and the checks of a file."""
+"""Measures what a start costs, what saved state improves after it, and what checking a file costs."""
 
 from __future__ import annotations
 
@@ -17,9 +17,11 @@
 
 
 async def compare_starts(folder: Path, processes: int, cycles: int) -> Figures:
-    """Gateways that learned a failing and a slow host, SIGKILLed and started again: with their state (warm),
-    with a new state directory (cold), and with none (no store). Requests failed in the first 5 s under
-    steady traffic, by start."""
+    """Compare failed requests in the first 5 s after a start, by kind of start, under steady traffic.
+
+    Gateways that have learned of a failing and a slow host are killed (SIGKILL) and started again: with their
+    state (warm), with a new state directory (cold), and without one (none).
+    """
     hosts = [Host("w-bad", status=503), Host("w-slow", delay_s=1.5), *(Host(f"w{n}") for n in range(3))]
     for host in hosts:
         await host.start()
@@ -28,14 +30,14 @@
     failed: dict[str, list[int]] = {"warm": [], "cold": [], "none": []}
     rate_per_s, window_s = 40.0, 5.0
 
-    async def one(number: int) -> None:
+    async def run_gateway(number: int) -> None:
         name = f"wc{number}"
         config = configuration(name, free_port(), discovery.address, discovery.endpoints)
         gateway = GatewayProcess(name, folder, config | {"state_snapshot_s": 0.5}, None)
         for cycle in range(cycles):
             gateway.state_dir = folder / f"{name}-state"
             await gateway.start()
-            await send_traffic(gateway.port, int(rate_per_s * 3), rate_per_s)  # learns: 3 s
+            await send_traffic(gateway.port, int(rate_per_s * 3), rate_per_s)  # 3 s to learn
             for start in ("warm", "cold", "none"):
                 await gateway.signal(signal.SIGKILL)
                 cold = folder / f"{name}-cold-{cycle}"
@@ -46,7 +48,7 @@
             await gateway.signal(signal.SIGKILL)
 
     try:
-        await asyncio.gather(*(one(n) for n in range(processes)))
+        await asyncio.gather(*(run_gateway(n) for n in range(processes)))
     finally:
         for host in hosts:
             host.close()
@@ -59,8 +61,11 @@
 
 
 async def start_costs(folder: Path, rounds: int) -> Figures:
-    """Seconds from exec to `/health/ready` after a SIGKILL, one start at a time: with no store, with a new
-    state directory, and with the state of the process before (median of `rounds` each)."""
+    """Seconds from exec to a positive `/health/ready`, the median of `rounds` starts, one at a time.
+
+    The starts are without a store, with a new state directory, and with the state of a process that was
+    killed (SIGKILL).
+    """
     host = Host("s0")
     await host.start()
     ready: dict[str, list[float]] = {"none": [], "cold": [], "warm": []}
@@ -71,7 +76,7 @@
                 config = configuration("cost", free_port(), "127.0.0.1:9", [endpoint(host)])
                 gateway = GatewayProcess("cost", folder, config | {"state_snapshot_s": 0.05}, directory)
                 ready[start].append(await gateway.start())
-                if start == "warm" and round_ == 0:  # a first snapshot for the next rounds to start from
+                if start == "warm" and round_ == 0:  # the next rounds start from this snapshot
                     await send_traffic(gateway.port, 10, 100.0)
                 await gateway.signal(signal.SIGKILL)
     finally:
@@ -81,7 +86,7 @@
 
 
 def check_costs(folder: Path, rounds: int) -> Figures:
-    """Milliseconds that `quick_check` and `integrity_check` take on a file of two snapshots (median)."""
+    """Milliseconds that `quick_check` and `integrity_check` take on a file of two snapshots, as medians."""
     directory = folder / "checks"
     write_good_file(directory, 2)
     costs: dict[str, float] = {}
--- a/faultlab/recovery/writer.py
+++ b/faultlab/recovery/writer.py
@@ -1,9 +1,10 @@
-"""A process that writes snapshots to a state directory as fast as it can, for the lab to kill, copy, starve.
+"""A process that writes snapshots to a state directory as fast as it can.
 
-Each snapshot is made from its sequence number alone (`synthetic`), so that whoever reads the file later can
-tell a snapshot that was written whole from anything else. Lines on standard output:
+The lab kills it, copies its files meanwhile, or limits their size. Each snapshot is made from its sequence
+number alone (`synthetic_snapshot`), so that a reader of the file can tell a completely written snapshot from
+anything else. Lines on standard output:
 
-    found SEQ        what this process found at its start (-1: nothing), after the store's own checks
+    found SEQ        the newest snapshot at the start (-1: none), after the store's own checks
     committed SEQ    a write that returned
     failed REASON    a write that raised
 """
@@ -18,10 +19,11 @@
 
 from cloverkeel.fleet import state
 
-SERVER_COUNT = 60  # enough that one snapshot spans pages of its own
+SERVER_COUNT = 60  # enough for one snapshot to fill several pages of the file
 
 
 def synthetic_snapshot(seq: int, taken_unix_s: float) -> state.Snapshot:
+    """The snapshot of a sequence number."""
     servers = tuple(
         LearnedServer(
             number, seq, 1.0 / (1 + (seq + number) % 9), 0.5,
@@ -35,12 +37,13 @@
 
 
 def sequence_number(snapshot: state.Snapshot) -> int:
-    """The number a snapshot was made from; -1 where it is not one that `synthetic` made."""
+    """The sequence number of a snapshot; -1 if `synthetic_snapshot` did not make it."""
     seq = int(snapshot.learned.smoothed_us[0]) - 1 if snapshot.learned.smoothed_us else -1
     return seq if snapshot == synthetic_snapshot(seq, snapshot.taken_unix_s) else -1
 
 
 def main(directory: str, count: int) -> int:
+    """Write `count` snapshots after the newest one found; returns the exit code."""
     fd = state.Store.acquire_lock(directory)
     if fd is None:
         print("locked", flush=True)
--- a/tests/test_state_lab.py
+++ b/tests/test_state_lab.py
@@ -74,7 +74,7 @@
         for host in hosts:
             await host.start()
         gateway = await learned(tmp_path, hosts)
-        listed = [endpoint(hosts[0]), endpoint(hosts[1], since_ms=5)]  # 1 started again, 2 is gone
+        listed = [endpoint(hosts[0]), endpoint(hosts[1], since_ms=5)]  # host 1 has restarted, host 2 is gone
         gateway.config["known"]["endpoints"] = listed
         await gateway.start()
         assert "restored 1 of 3 servers learned before" in await gateway.wait_line("servers learned before")
