--- a/faultlab/coldstart/__init__.py
+++ b/faultlab/coldstart/__init__.py
@@ -1,1 +1,4 @@
-"""A cold start of hundreds of gateways on one machine (docs/coldstart.md): `python -m faultlab coldstart`."""
+"""An experiment: the cold start of hundreds of gateways on one machine, `python -m faultlab coldstart`.
+
+See docs/coldstart.md.
+"""
--- a/faultlab/coldstart/client.py
+++ b/faultlab/coldstart/client.py
@@ -1,10 +1,10 @@
-"""The clients' front of a cold start: finds out which gateways are ready and sends each its steady part.
+"""The clients of a cold start: they poll the gateways for readiness and send requests to the ready ones.
 
-A process of the lab: `python -m faultlab.coldstart.client SETTINGS`, commands on standard input. Open loop:
-requests come at random moments of a rate that each ready gateway has from its first ready moment on, whatever
-becomes of the ones before, on connections that are kept. A gateway with `MOST_CONNECTIONS` busy costs the
-request (status 0); one that fails `FAILS_TO_LEAVE` in a row at the connection itself is asked for its
-readiness again.
+A child process of the lab: `python -m faultlab.coldstart.client SETTINGS`, commands on standard input. The
+load is open loop: requests are sent at random moments of a fixed rate, whatever becomes of earlier ones, on
+connections that are kept. A gateway gets requests from the moment at which it is ready. A request to a
+gateway that has MAX_CONNECTIONS busy fails at once (status 0). A gateway with FAILURES_BEFORE_POLL requests
+in a row without a response gets no more until it reports that it is ready again.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from faultlab.messages import parse_message
 
 POLL_S = 0.1
-REQUEST_BUDGET_S = 1.0  # as the requests' budget says
-RESPONSE_GRACE_S = 0.25  # for the answer beyond it
+REQUEST_BUDGET_S = 1.0  # time that the requests state in X-Budget-Ms
+RESPONSE_GRACE_S = 0.25  # the client waits for a response so much longer
 MAX_CONNECTIONS = 32
 FAILURES_BEFORE_POLL = 3
 GET_HEAD = (
@@ -36,7 +36,7 @@
 
 
 class GatewayConnection(asyncio.Protocol):
-    """One connection to a gateway: a request out at most, its status once the answer is whole."""
+    """One connection to a gateway, with at most one request at a time."""
 
     def __init__(self) -> None:
         self.response: asyncio.Future[int] | None = None
@@ -57,11 +57,15 @@
         self.resolve(0)
 
     def resolve(self, status: int) -> None:
+        """End the request with this status; 0 stands for a closed connection."""
         if self.response is not None and not self.response.done():
             self.response.set_result(status)
 
     async def send(self, head: bytes, timeout_s: float) -> int:
-        """One request; 0 where no answer came in time, or the connection ended (-1: it had ended before)."""
+        """Send one request and return the status of its response.
+
+        Returns 0 if none came in time or the connection was closed, -1 if it had been closed before.
+        """
         if self.transport.is_closing():
             return -1
         self.response = asyncio.get_running_loop().create_future()
@@ -74,21 +78,22 @@
 
 
 class LoadGenerator:
-    """All gateways as the clients see them."""
+    """All clients, with their connections and the readiness of each gateway."""
 
     def __init__(self, ports: list[int], rate_per_s: float, work_us: int, seed: int) -> None:
         self.ports, self.rate_per_s, self.work_us = ports, rate_per_s, work_us
         self.random = random.Random(seed)
-        self.ready_since_s: dict[int, float] = {}  # gateway: since when
+        self.ready_since_s: dict[int, float] = {}  # by gateway
         self.idle: dict[int, list[GatewayConnection]] = {}
         self.busy: dict[int, int] = {}
         self.failures: dict[int, int] = {}
-        self.results: list[tuple[float, int, int, float]] = []  # (sent, gateway, status, seconds taken)
+        self.results: list[tuple[float, int, int, float]] = []  # (sent at, gateway, status, seconds taken)
         self.sending = False
         self.sent_count = 0
         self.tasks = BackgroundTasks()
 
     async def connect(self, gateway: int, timeout_s: float) -> GatewayConnection | None:
+        """Open a connection; None if that fails or times out."""
         loop = asyncio.get_running_loop()
         try:
             async with asyncio.timeout(timeout_s):
@@ -97,7 +102,7 @@
             return None
 
     async def poll_readiness(self, gateway: int) -> None:
-        """Ask until it is ready."""
+        """Poll a gateway until it is ready."""
         while gateway not in self.ready_since_s:
             connection = await self.connect(gateway, 1.0)
             status = await connection.send(READY_REQUEST, 1.0) if connection is not None else 0
@@ -110,7 +115,7 @@
                 await asyncio.sleep(POLL_S * self.random.uniform(0.8, 1.2))
 
     async def send_requests(self) -> None:
-        """Draw the moments of all ready gateways' requests from one clock."""
+        """Send requests at random moments to random gateways, but none to a gateway that is not ready."""
         due_s = time.monotonic()
         while self.sending:
             due_s += self.random.expovariate(self.rate_per_s)
@@ -122,6 +127,7 @@
                 self.tasks.spawn(self.run_request(gateway))
 
     async def run_request(self, gateway: int) -> None:
+        """Send one request and record its result; poll the gateway again after repeated failures."""
         began_s = time.monotonic()
         status = await self.send_request(gateway)
         self.results.append((began_s, gateway, status, time.monotonic() - began_s))
@@ -133,6 +139,7 @@
             self.tasks.spawn(self.poll_readiness(gateway))
 
     async def send_request(self, gateway: int) -> int:
+        """Send one request, on an idle connection if there is one; returns the status, 0 if there is none."""
         self.sent_count += 1
         template = POST_HEAD if self.random.random() < POST_SHARE else GET_HEAD
         head = template % (call_id(gateway, self.sent_count).encode(), self.work_us)
@@ -156,30 +163,30 @@
         finally:
             self.busy[gateway] -= 1
 
-    async def handle_command(self, do: str, order: dict[str, Any]) -> Any:
-        """One command of the lab; ValueError where it is none."""
+    async def handle_command(self, do: str, arguments: dict[str, Any]) -> Any:
+        """Execute one command of the lab. Raises ValueError for an unknown one."""
         match do:
-            case "poll":  # these gateways, from now on
-                for gateway in order["gateways"]:
+            case "poll":  # poll these gateways until they are ready
+                for gateway in arguments["gateways"]:
                     self.ready_since_s.pop(gateway, None)
                     self.tasks.spawn(self.poll_readiness(gateway))
                 return None
             case "send":
-                if order["on"] and not self.sending:
+                if arguments["on"] and not self.sending:
                     self.tasks.spawn(self.send_requests())
-                self.sending = order["on"]
+                self.sending = arguments["on"]
                 return None
             case "ready":
                 return list(self.ready_since_s.items())
             case "log":
                 return self.results
             case _:
-                raise ValueError(f"no command of the clients: {do}")
+                raise ValueError(f"unknown command of the clients: {do}")
 
 
 async def _make_handler(settings: dict[str, Any]) -> child.Handler:
-    front = LoadGenerator(settings["ports"], settings["rate_per_s"], settings["work_us"], settings["seed"])
-    return front.handle_command
+    load = LoadGenerator(settings["ports"], settings["rate_per_s"], settings["work_us"], settings["seed"])
+    return load.handle_command
 
 
 if __name__ == "__main__":
--- a/faultlab/coldstart/command.py
+++ b/faultlab/coldstart/command.py
@@ -1,4 +1,4 @@
-"""`python -m faultlab coldstart`: its options, and its figures side by side."""
+"""The command `python -m faultlab coldstart`: its options and the tables of its figures."""
 
 from __future__ import annotations
 
@@ -22,49 +22,59 @@
 
 
 def name_list(known: tuple[str, ...]) -> Callable[[str], list[str]]:
-    """An argument that names some of `known`, or `all` of them."""
+    """An argument type: a comma-separated list of names among `known`, or `all`."""
 
-    def read(text: str) -> list[str]:
+    def parse(text: str) -> list[str]:
         names = list(known) if text == "all" else text.split(",")
         for name in names:
             if name not in known:
                 raise argparse.ArgumentTypeError(f"{name!r} is not among {', '.join(known)}")
         return names
 
-    return read
+    return parse
 
 
 def parse_sizes(text: str) -> list[int]:
+    """Parse a comma-separated list of whole numbers of at least 1. Raises ArgumentTypeError."""
     return [positive_int(size) for size in text.split(",")]
 
 
-def register(parts: Subcommands) -> None:
-    """Add `coldstart` and its arguments to the lab's commands."""
-    lab = parts.add_parser("coldstart", help="hundreds of gateways start at once, with `cluster` off and on")
-    lab.add_argument("--gateways", type=positive_int, default=200)
-    lab.add_argument("--hosts", type=positive_int, default=60)
-    lab.add_argument("--seed", type=int, default=1)
-    lab.add_argument(
-        "--rate", type=positive_int, default=int(Plan.rate_per_s), help="requests a second over all"
+def register(subcommands: Subcommands) -> None:
+    """Add the subcommand `coldstart` and its arguments."""
+    parser = subcommands.add_parser(
+        "coldstart", help="hundreds of gateways start at once, with `cluster` off and on"
+    )
+    parser.add_argument("--gateways", type=positive_int, default=200)
+    parser.add_argument("--hosts", type=positive_int, default=60)
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument(
+        "--rate",
+        type=positive_int,
+        default=int(Plan.rate_per_s),
+        help="requests per second over all gateways",
     )
     names = ", ".join(FAULTS)
-    lab.add_argument("--faults", type=name_list(tuple(FAULTS)), default=["none"],
-                     help=f"played one by one: {names}; or all")  # fmt: skip
+    parser.add_argument("--faults", type=name_list(tuple(FAULTS)), default=["none"],
+                     help=f"faults, run one after the other: {names}; or all")  # fmt: skip
     modes = tuple(experiment.MODES)
-    lab.add_argument("--modes", type=name_list(modes), default=list(modes), help="off, on or both")
-    lab.add_argument(
-        "--scale", type=parse_sizes, help="sizes of the fleet, in place of --gateways: 50,100,200"
+    parser.add_argument(
+        "--modes", type=name_list(modes), default=list(modes), help="with `cluster` off, on or both: off,on"
+    )
+    parser.add_argument(
+        "--scale", type=parse_sizes, help="sizes of the fleet instead of --gateways, as in 50,100,200"
+    )
+    parser.add_argument(
+        "--drains", type=positive_int, help="number of drains to run, each with a fault at a relay"
     )
-    lab.add_argument("--drains", type=positive_int, help="so many drains, each with a fault at a relay")
-    lab.add_argument("--json", action="store_true", help="one JSON object instead of a table")
-    lab.set_defaults(run=command)
+    parser.add_argument("--json", action="store_true", help="one JSON object instead of a table")
+    parser.set_defaults(run=command)
 
 
 def command(arguments: argparse.Namespace) -> int:
+    """Run the experiment in a temporary folder and print its figures."""
     plan = Plan(arguments.gateways, arguments.hosts, arguments.seed, rate_per_s=arguments.rate)
-    for package in (
-        COMPILED_PACKAGES
-    ):  # as the build does: else every gateway of hundreds compiles what was changed since
+    # Compile first, as the build does: else each of hundreds of gateways would compile changed files.
+    for package in COMPILED_PACKAGES:
         compileall.compile_dir(ROOT / package, quiet=2)
     with tempfile.TemporaryDirectory(prefix="faultlab-") as place:
         folder = Path(place)
@@ -82,7 +92,7 @@
 
 
 def format_plays(figures: dict[str, Any]) -> str:
-    """Each play a table, with a column for each mode."""
+    """Format the figures as one table for each fault, with a column for each mode."""
     alone = f"{figures['alone_99_s']:.2f} s, {figures['alone_cpu_ready_ms']:.0f} ms of processor each"
     texts = [f"start by the processor alone (99 %): {alone}"]
     texts += [f"\n{fault}\n{format_columns(plays)}" for fault, plays in figures["plays"].items()]
@@ -90,7 +100,7 @@
 
 
 def format_scale(figures: dict[str, Any], modes: list[str]) -> str:
-    """One table, with a column for each mode and size."""
+    """Format the figures as one table, with a column for each mode and size."""
     return format_columns({
         f"{size} {mode}": seen["plays"]["none"][mode] | {"alone_99_s": seen["alone_99_s"]}
         for mode in modes for size, seen in figures.items()
@@ -98,11 +108,11 @@
 
 
 def format_columns(columns: dict[str, dict[str, Any]]) -> str:
-    """Rows by name, columns by heading."""
+    """Format a table with a column for each heading and a row for each name."""
     names = list(dict.fromkeys(name for column in columns.values() for name in column))
     rows = [["", *columns]]
     rows += [[name, *(_format(column.get(name, "")) for column in columns.values())] for name in names]
-    widths = [max(len(row[place]) for row in rows) for place in range(len(rows[0]))]
+    widths = [max(len(row[column_number]) for row in rows) for column_number in range(len(rows[0]))]
     return "\n".join(
         "  ".join(
             cell.ljust(w) if not i else cell.rjust(w)
--- a/faultlab/coldstart/drains.py
+++ b/faultlab/coldstart/drains.py
@@ -1,4 +1,4 @@
-"""Drains with a relay killed, stopped or cut off meanwhile, many times in one fleet."""
+"""Repeated drains in one fleet, each while a relay is killed, stopped or cut off."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 from faultlab.coldstart.site import ColdStartSite
 
 FAULT_KINDS = ("kill", "stop", "cut")
-MAX_FAULT_DELAY_S = 0.02  # a fault comes within so long after word of the drain has left the service
-EXTRA_WATCH_S = 1.0  # the host is watched for so long beyond what the rule gives
+MAX_FAULT_DELAY_S = 0.02  # longest delay between the drain at the list service and the fault
+EXTRA_WATCH_S = 1.0  # time that the host is watched beyond the moment at which gateways have to stop sending
 RESTART_TIMEOUT_S = 10.0
-SETTLE_S = 1.2  # relays are chosen anew within it
+SETTLE_S = 1.2  # new relays are chosen within this time
 
 
 async def run(plan: Plan, folder: Path, rounds: int) -> dict[str, Any]:
-    """`rounds` drains, each with one fault at a relay; what came to drained hosts against the rule."""
+    """Run `rounds` drains, each with one fault at a relay, and count the requests that broke the rule."""
     site = ColdStartSite(plan, folder, shared=True)
     injected: Counter[str] = Counter()
-    struck: list[int] = []
+    victims: list[int] = []
     try:
         await site.set_up(relayed=True)
         await site.start_all()
@@ -33,26 +33,26 @@
         await asyncio.sleep(plan.warm_s)
         for number in range(rounds):
             kind = FAULT_KINDS[number % len(FAULT_KINDS)]
-            watching = await site.watchers()
-            if not watching:
+            relays = await site.watchers()
+            if not relays:
                 injected["no relay"] += 1
                 await asyncio.sleep(SETTLE_S)
                 continue
-            victim = site.random.choice(watching)
+            victim = site.random.choice(relays)
             await run_round(site, kind, victim)
             injected[kind] += 1
-            struck.append(victim)
-        return await collect_figures(site, injected, struck)
+            victims.append(victim)
+        return await collect_figures(site, injected, victims)
     finally:
         await site.close()
 
 
 async def run_round(site: ColdStartSite, kind: str, victim: int) -> None:
-    """One drain and its fault, then all as before."""
+    """Drain a host, apply the fault, then undo both."""
     assert site.relay is not None
     drain = await site.drain()
     wait_s = site.random.uniform(-MAX_FAULT_DELAY_S, MAX_FAULT_DELAY_S)
-    if wait_s > 0:  # else at once: before the relay's loop has turned, more often than not
+    if wait_s > 0:  # otherwise at once, mostly before the relay has handled the change
         await asyncio.sleep(wait_s)
     others = [f"gw-{n}" for n in range(site.plan.gateways) if n != victim]
     match kind:
@@ -76,13 +76,14 @@
     await asyncio.sleep(SETTLE_S)
 
 
-async def collect_figures(site: ColdStartSite, injected: Counter[str], struck: list[int]) -> dict[str, Any]:
+async def collect_figures(site: ColdStartSite, injected: Counter[str], victims: list[int]) -> dict[str, Any]:
+    """The figures of the run, with the requests that broke the drain rule by kind of fault."""
     service, hosts = await site.service.call("log"), await site.hosts.call("log")
     late: list[tuple[float, int]] = []
     broken: Counter[str] = Counter()
     last_s = []
     for drain, victim, kind in zip(
-        site.drains, struck, (FAULT_KINDS[n % 3] for n in range(len(struck))), strict=True
+        site.drains, victims, (FAULT_KINDS[n % 3] for n in range(len(victims))), strict=True
     ):
         sends = figures.late_sends(hosts["requests"], service["told"], drain, shared=True)
         if sends:
--- a/faultlab/coldstart/experiment.py
+++ b/faultlab/coldstart/experiment.py
@@ -1,4 +1,4 @@
-"""The plays of `python -m faultlab coldstart`: each with `cluster` off and on, the same seed."""
+"""The runs of `python -m faultlab coldstart`: each fault with `cluster` off and on, with the same seed."""
 
 from __future__ import annotations
 
@@ -17,8 +17,10 @@
 
 
 async def measure_cpu_bound_start(plan: Plan, folder: Path) -> dict[str, Any]:
-    """The start of the same gateways with a list at hand and nobody to ask: until 99 % are ready, the seconds
-    and the processor's milliseconds for each."""
+    """Measure how long the same gateways need to start when they have a list and need not ask for one.
+
+    Returns the seconds until 99 % are ready and the CPU milliseconds that each has used by then.
+    """
     site = ColdStartSite(plan, folder, shared=False)
     try:
         await site.set_up(known=True)
@@ -31,31 +33,35 @@
 
 
 async def play(plan: Plan, folder: Path, shared: bool, fault: str) -> dict[str, Any]:
-    """One cold start: until every gateway has had its first seconds of traffic, then the late part."""
-    parts = FAULTS[fault]
+    """Run one cold start with a fault.
+
+    Its `during_start` step begins with the start; its `after_start` step follows once each gateway has had
+    its first seconds of traffic.
+    """
+    steps = FAULTS[fault]
     site = ColdStartSite(plan, folder, shared)
-    early: asyncio.Task[None] | None = None
+    during_start: asyncio.Task[None] | None = None
     try:
-        await site.set_up(relayed=shared and parts.through_relay)
-        if parts.during_start is not None:
-            early = asyncio.ensure_future(parts.during_start(site))
+        await site.set_up(relayed=shared and steps.through_relay)
+        if steps.during_start is not None:
+            during_start = asyncio.ensure_future(steps.during_start(site))
         await site.start_all()
         await site.wait_ready(1.0)
         last_s = max(site.first_ready.values(), default=0.0)
         await asyncio.sleep(max(0.0, last_s + FIRST_TRAFFIC_S - time.monotonic()))
-        if early is not None:
-            await early
-        if parts.after_start is not None:
-            await parts.after_start(site)
+        if during_start is not None:
+            await during_start
+        if steps.after_start is not None:
+            await steps.after_start(site)
         return await site.collect_figures()
     finally:
-        if early is not None:
-            early.cancel()
+        if during_start is not None:
+            during_start.cancel()
         await site.close()
 
 
 async def run(plan: Plan, folder: Path, modes: list[str], faults: list[str]) -> dict[str, Any]:
-    """The figures by fault and mode, and the start that the processor alone needs."""
+    """The figures by fault and mode, and those of the start that is limited by the CPU only."""
     alone = await measure_cpu_bound_start(plan, folder / "alone")
     seen: dict[str, Any] = {**alone, "plays": {}}
     for fault in faults:
@@ -64,12 +70,15 @@
             plays[mode] = await play(plan, folder / f"{fault}-{mode}", MODES[mode], fault)
             plays[mode]["ready_99_to_alone"] = plays[mode]["ready_99_s"] / alone["alone_99_s"]
             plays[mode]["cpu_ready_to_alone"] = plays[mode]["cpu_ready_ms"] / alone["alone_cpu_ready_ms"]
-            print(f"coldstart: {plan.gateways} gateways, {fault}, {mode}: played", file=sys.stderr)
+            print(
+                f"coldstart: completed {plan.gateways} gateways, fault {fault}, cluster {mode}",
+                file=sys.stderr,
+            )
     return seen
 
 
 async def run_sizes(plan: Plan, folder: Path, modes: list[str], sizes: list[int]) -> dict[str, Any]:
-    """The start alone, in several sizes of the fleet, with the same hosts and the same traffic over all."""
+    """Run the start without faults at several fleet sizes, with the same hosts and the same total traffic."""
     return {
         str(size): await run(replace(plan, gateways=size), folder / str(size), modes, ["none"])
         for size in sizes
--- a/faultlab/coldstart/faults.py
+++ b/faultlab/coldstart/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a cold start, by name: what is done while the gateways start, and once all serve."""
+"""The faults of a cold start by name: what is done while the gateways start, and once all of them serve."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from faultlab.coldstart.site import FIRST_TRAFFIC_S, ColdStartSite
 
 DOWN_S = 8.0
-SLOW_S = 1.0  # on top of each answer
+SLOW_S = 1.0  # added to each response of the list service
 COLLAPSE_S = 20.0
-DRAIN_S = 4.0  # a host drains for so long: twice what the rule gives
+DRAIN_S = 4.0  # duration of a drain: twice the time within which gateways have to stop sending
 CUT_DELAY_S = 1.0
 SEEDS_DOWN_S = 5.0
 MASS_KILL_SHARE = 0.7
@@ -27,46 +27,53 @@
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """`early` begins with the gateways' start, `late` once each has had its first seconds of traffic."""
+    """The steps of a fault.
+
+    `during_start` begins with the start of the gateways, `after_start` once each has had its first seconds of
+    traffic.
+    """
 
     during_start: FaultStep | None = None
     after_start: FaultStep | None = None
-    through_relay: bool = False  # the members' paths lead through `faultlab.relay`
+    through_relay: bool = False  # member traffic goes through `faultlab.relay`
 
 
 async def drain_once(site: ColdStartSite) -> None:
-    """One drain and its end."""
+    """Drain one host and end the drain."""
     drain = await site.drain()
     await asyncio.sleep(DRAIN_S)
     await site.undrain(drain)
 
 
 async def service_down(site: ColdStartSite) -> None:
+    """The list service does not answer for DOWN_S."""
     await site.service.call("mode", down=True)
     await asyncio.sleep(DOWN_S)
     await site.service.call("mode")
 
 
 async def service_slow(site: ColdStartSite) -> None:
+    """The list service answers with a delay."""
     await site.service.call("mode", slow_s=SLOW_S)
 
 
 async def service_collapse(site: ColdStartSite) -> None:
+    """The list service has a fifth of its rate for COLLAPSE_S."""
     await site.service.call("mode", rate_per_s=site.plan.calls_per_s / 5)
     await asyncio.sleep(COLLAPSE_S)
     await site.service.call("mode", rate_per_s=site.plan.calls_per_s)
 
 
 async def service_restart(site: ColdStartSite) -> None:
-    """It begins at an index far below the one that all know, and tells of a drain soon after."""
-    await drain_three_times(site)  # some changes, so that the index has a way to fall
+    """The list service restarts at an index far below the one known, and reports a drain soon after."""
+    await drain_three_times(site)  # raises the index first, so that it can fall
     await site.service.call("restart", index=1)
     await asyncio.sleep(SETTLE_S)
     await drain_once(site)
 
 
 async def seeds_killed(site: ColdStartSite) -> None:
-    """The seeds die once one gateway in ten is ready, and are back after a while."""
+    """Kill the seeds once a tenth of the gateways are ready, and start them again after SEEDS_DOWN_S."""
     while len(await site.poll_ready()) < site.plan.gateways / 10:
         await asyncio.sleep(0.02)
     seeds = list(range(site.plan.seeds))
@@ -76,22 +83,22 @@
 
 
 async def mass_kill(site: ColdStartSite) -> None:
-    """Seven in ten die and start again at one moment."""
+    """Kill 70 % of the gateways and start them again at one moment."""
     count = round(MASS_KILL_SHARE * site.plan.gateways)
-    struck = sorted(site.random.sample(range(site.plan.gateways), count))
+    victims = sorted(site.random.sample(range(site.plan.gateways), count))
     began_s = time.monotonic()
-    await site.kill(struck)
-    await site.restart_gateways(struck)
-    await site.wait_ready_again(struck)
+    await site.kill(victims)
+    await site.restart_gateways(victims)
+    await site.wait_ready_again(victims)
     ready = await site.poll_ready()
-    again = {number: ready[number] for number in struck if number in ready}
+    again = {number: ready[number] for number in victims if number in ready}
     await asyncio.sleep(max(0.0, max(again.values(), default=began_s) + FIRST_TRAFFIC_S - time.monotonic()))
-    site.restart_record = (began_s, again, struck)
+    site.restart_record = (began_s, again, victims)
     await drain_once(site)
 
 
 async def zone_cut(site: ColdStartSite) -> None:
-    """Members of the last zone are cut from the others while all start, and until a drain has passed."""
+    """Cut the members of the last zone off from the others while all start, until `zone_heal`."""
     if site.relay is None:  # no members
         return
     await asyncio.sleep(CUT_DELAY_S)
@@ -100,6 +107,7 @@
 
 
 async def zone_heal(site: ColdStartSite) -> None:
+    """Drain a host while the zone is cut off, heal, and drain a host again."""
     await drain_once(site)
     if site.relay is not None:
         site.relay.heal()
@@ -108,12 +116,12 @@
 
 
 async def relay_stop(site: ColdStartSite) -> None:
-    """One that watches the service for others is SIGSTOPped with a drain in flight, three times."""
+    """Stop a relay (SIGSTOP) while a drain is being passed on, three times."""
     for _ in range(3):
-        watching = await site.watchers()
-        if not watching:
+        relays = await site.watchers()
+        if not relays:
             return
-        victim = site.random.choice(watching)
+        victim = site.random.choice(relays)
         drain = await site.drain()
         site.gateways.signal(victim, signal.SIGSTOP)
         await asyncio.sleep(DRAIN_S)
@@ -123,7 +131,7 @@
 
 
 async def bad_peer(site: ColdStartSite) -> None:
-    """A member that is a relay and tells bad lists from the first moment on."""
+    """Add a member that is a relay and sends bad lists from the start."""
     if not site.shared:
         return
     plan, cluster = site.plan, site.plan.cluster(site.seeds)
@@ -135,6 +143,7 @@
 
 
 async def drain_three_times(site: ColdStartSite) -> None:
+    """Drain a host three times, one drain after the other."""
     for _ in range(3):
         await drain_once(site)
 
--- a/faultlab/coldstart/figures.py
+++ b/faultlab/coldstart/figures.py
@@ -1,4 +1,4 @@
-"""The figures of a run, from what the list service, the hosts and the clients wrote down; pure.
+"""Computes the figures of a run from the logs of the list service, the hosts and the clients; pure.
 
 Times are seconds of one clock (`time.monotonic` of one machine).
 """
@@ -9,13 +9,13 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-STOP_SENDING_S = 2.0  # after word of a drain: nothing new to that host
-SLACK_S = 0.05  # on sockets each time limit is that much longer
+STOP_SENDING_S = 2.0  # time in which a gateway has to stop sending to a host after notification of its drain
+SLACK_S = 0.05  # tolerance on each time limit, for sockets
 
 
 @dataclass(slots=True, frozen=True)
 class Drain:
-    """One host's time of draining, and the list's index that tells of it."""
+    """The drain of one host, from `set_s` to `until_s`; `index` is the list's first index that has it."""
 
     host: int
     index: int
@@ -24,7 +24,7 @@
 
 
 def max_within(times: Iterable[float], window_s: float) -> int:
-    """The most moments that lie in any one window."""
+    """The largest number of times that lie within any one window."""
     ordered = sorted(times)
     most = first = 0
     for last, at in enumerate(ordered):
@@ -35,18 +35,18 @@
 
 
 def rate_per_host(events: Iterable[tuple[float, int]], from_s: float, until_s: float, hosts: int) -> float:
-    """The mean for each host and second of what came in that time."""
+    """The mean number of events per host and second in the interval."""
     return sum(from_s <= at < until_s for at, _ in events) / (hosts * max(1.0, until_s - from_s))
 
 
 def max_per_host_second(events: Iterable[tuple[float, int]]) -> int:
-    """The most that came to one host in one second of the clock."""
+    """The largest number of events at one host in one second of the clock."""
     counts = Counter((host, int(at)) for at, host in events)
     return max(counts.values(), default=0)
 
 
 def quantile(values: Sequence[float], share: float) -> float:
-    """The least value that so large a share lies at or under; inf for none."""
+    """The smallest value such that `share` of the values are at or below it; inf if there are no values."""
     ordered = sorted(values)
     return (
         ordered[min(len(ordered) - 1, max(0, -int(-share * len(ordered) // 1) - 1))]
@@ -55,10 +55,10 @@
     )
 
 
-def notified_s(told: Iterable[tuple[float, int, int]], drain: Drain, shared: bool) -> dict[int, float]:
-    """When each gateway was told of a drain; where lists are shared by peers, all with the first of them."""
+def notified_s(responses: Iterable[tuple[float, int, int]], drain: Drain, shared: bool) -> dict[int, float]:
+    """When each gateway was notified of a drain; with `shared`, all count as notified with the first."""
     first: dict[int, float] = {}
-    for at, caller, index in told:
+    for at, caller, index in responses:
         if index >= drain.index and drain.set_s <= at:
             first[caller] = min(at, first.get(caller, at))
     if not shared or not first:
@@ -68,37 +68,38 @@
 
 def late_sends(
     arrivals: Iterable[tuple[float, int, int]],
-    told: Sequence[tuple[float, int, int]],
+    responses: Sequence[tuple[float, int, int]],
     drain: Drain,
     shared: bool,
 ) -> list[tuple[float, int]]:
-    """The requests that came to a draining host against the rule: seconds after the word, and from whom."""
-    known = notified_s(told, drain, shared)
+    """The requests that broke the drain rule: seconds since the notification, and the sending gateway."""
+    notified = notified_s(responses, drain, shared)
     return [
-        (at - known[gateway], gateway) for at, host, gateway in arrivals
-        if host == drain.host and gateway in known
-        and known[gateway] + STOP_SENDING_S + SLACK_S < at < drain.until_s
+        (at - notified[gateway], gateway) for at, host, gateway in arrivals
+        if host == drain.host and gateway in notified
+        and notified[gateway] + STOP_SENDING_S + SLACK_S < at < drain.until_s
     ]  # fmt: skip
 
 
 def last_send_s(arrivals: Iterable[tuple[float, int, int]], drain: Drain) -> float:
-    """How long after the change the last request came to the host, whoever knew of it."""
+    """Seconds from the drain to the last request that reached the host during it, whether or not notified."""
     return max((at - drain.set_s for at, host, _ in arrivals
                 if host == drain.host and drain.set_s < at < drain.until_s), default=0.0)  # fmt: skip
 
 
 @dataclass(slots=True, frozen=True)
 class ResponseCounts:
-    """What the clients got in each gateway's first seconds after it was ready."""
+    """Counts of the clients' requests in the first seconds after each gateway was ready."""
 
     sent: int
-    failed: int  # no answer, or a failure
-    refused: int  # 429, 503
+    failed: int  # no response, or a status other than 200, 429 and 503
+    refused: int  # status 429 or 503
 
 
 def count_responses(
     results: Iterable[tuple[float, int, int, float]], ready: dict[int, float], span_s: float
 ) -> ResponseCounts:
+    """Count the requests that were sent to each gateway within `span_s` after it was ready."""
     sent = failed = refused = 0
     for at, gateway, status, _ in results:
         if gateway in ready and ready[gateway] <= at < ready[gateway] + span_s:
--- a/faultlab/coldstart/host_capacity.py
+++ b/faultlab/coldstart/host_capacity.py
@@ -1,8 +1,9 @@
-"""What one cold host can carry and when it falls; pure, times in seconds.
+"""Model of the capacity of a cold host, and of when it falls from overload; pure, times in seconds.
 
-A starting host has `start` of its capacity, which rises evenly to the whole within `warm_s`. While it is
-cold, the work that came within any `window_s` must stay under `multiple` times its present capacity times the
-window, with room for chance: N requests' worth may be N + 3 * sqrt(N) + 3.
+A starting host has the share `start` of its capacity, which rises linearly to all of it within `warm_s`.
+While it is cold, the work that arrives within any `window_s` has to stay below `multiple` times its present
+capacity times the window, or the host falls. Random variation is allowed for: where N requests may arrive,
+the limit is N + 3 * sqrt(N) + 3.
 """
 
 from __future__ import annotations
@@ -14,10 +15,10 @@
 
 @dataclass(slots=True)
 class HostCapacity:
-    """One host: its queue as work to be done one after the other, and the work of the last window.
+    """One host: its queue, which is served one request at a time, and the work of the last window.
 
-    `work_s` is what a request takes of a warm host. Work is counted in requests: a handshake or a probe is
-    part of one.
+    `work_s` is the time that a warm host takes for a request. Work is counted in requests: a handshake or a
+    probe is a fraction of one.
     """
 
     work_s: float
@@ -26,28 +27,29 @@
     multiple: float
     window_s: float
     started_s: float = 0.0
-    busy_until_s: float = 0.0  # when all that it has is done
+    busy_until_s: float = 0.0  # when the queue will be empty
     recent_work: deque[tuple[float, float]] = field(default_factory=deque)
     recent_total: float = 0.0
     falls: int = 0
 
     def restart(self, now_s: float) -> None:
+        """Start cold with an empty queue."""
         self.started_s = self.busy_until_s = now_s
         self.recent_work.clear()
         self.recent_total = 0.0
 
     def capacity_share(self, now_s: float) -> float:
-        """Its present share of a warm host's capacity."""
+        """The present capacity as a share of that of a warm host."""
         age = min(1.0, max(0.0, now_s - self.started_s) / self.warm_s) if self.warm_s else 1.0
         return self.start + (1.0 - self.start) * age
 
     def work_limit(self, now_s: float) -> float:
-        """The requests' worth of work that a window may hold now."""
-        whole = self.multiple * self.capacity_share(now_s) * self.window_s / self.work_s
-        return whole + 3.0 * math.sqrt(whole) + 3.0
+        """The work, in requests, that may arrive within one window now."""
+        expected = self.multiple * self.capacity_share(now_s) * self.window_s / self.work_s
+        return expected + 3.0 * math.sqrt(expected) + 3.0
 
     def add_work(self, now_s: float, requests: float) -> bool:
-        """Count work that has come; True where it pushes the host over. A warm one does not fall."""
+        """Count work that has arrived; True if it makes the host fall. A warm host does not fall."""
         self.recent_work.append((now_s, requests))
         self.recent_total += requests
         while self.recent_work[0][0] <= now_s - self.window_s:
@@ -60,7 +62,7 @@
         return True
 
     def completion_s(self, now_s: float, requests: float) -> float:
-        """When work that begins now in its turn is done."""
+        """Append work to the queue; returns when it is done."""
         self.busy_until_s = max(self.busy_until_s, now_s) + requests * self.work_s / self.capacity_share(
             now_s
         )
--- a/faultlab/coldstart/liar.py
+++ b/faultlab/coldstart/liar.py
@@ -1,8 +1,8 @@
-"""A member whose lists are bad: an old one, broken ones and an enormous one, in turn.
+"""A cluster member that sends bad lists: an old one, invalid ones and an enormous one, in turn.
 
-A process of the lab: `python -m faultlab.coldstart.liar SETTINGS`. It is in membership like any gateway, with
-a name that makes it a relay (`relay_name`), answers `list.get` and serves `list.feed`, and says on every feed
-that it has the way to the list service.
+A child process of the lab: `python -m faultlab.coldstart.liar SETTINGS`. It takes part in membership like a
+gateway, under a name that makes it a relay (`relay_name`). It answers `list.get`, serves `list.feed`, and
+claims on every feed to watch the list service itself.
 """
 
 from __future__ import annotations
@@ -25,18 +25,21 @@
 from faultlab import child
 
 SEND_INTERVAL_S = 0.2
-UNREACHED_INDEX = 1_000_000  # an index that the service does not reach
+UNREACHED_INDEX = 1_000_000  # an index that the service does not reach in a run
 
 
 def relay_name(cluster: str, members: list[Peer], relays: int, zone: str) -> str:
-    """A name that rendezvous hashing makes a relay among these members."""
+    """A name that rendezvous hashing chooses as a relay among these members."""
     names = (f"liar-{number}" for number in itertools.count())
     return next(n for n in names if n in choose_relays(cluster, [*members, Peer(n, zone)], relays))
 
 
 def bad_lists(entries: list[dict[str, Any]], oldest: int) -> Iterable[Any]:
-    """Lists without end: the one from the start, one of another digest, one with entries that are none, no
-    list at all, one of many megabytes."""
+    """An endless cycle of bad lists.
+
+    They are: the list from the start, one with a wrong digest, one with invalid entries, a value that is no
+    list, and one of many megabytes.
+    """
     digest = sum(map(entry_digest, entries)) % 2**64
     old = encode(ListUpdate(ListVersion(0, oldest), digest, None, tuple(entries)))
     ahead = [0, UNREACHED_INDEX]
@@ -49,31 +52,31 @@
 async def _make_handler(settings: dict[str, Any]) -> child.Handler:
     cluster = parse_cluster(settings["cluster"], settings["name"])
     membership = Membership(cluster, settings["name"], settings["zone"], time.time_ns() // 1_000_000)
-    membership.calls.frame_codec.max_bytes = 64 * MAX_FRAME_BYTES  # its own bound does not hold it back
-    told = bad_lists(settings["entries"], settings["oldest"])
-    lied = 0
+    membership.calls.frame_codec.max_bytes = 64 * MAX_FRAME_BYTES  # so that it can send the large list
+    lists = bad_lists(settings["entries"], settings["oldest"])
+    sent = 0
 
-    def lie() -> Any:
-        nonlocal lied
-        lied += 1
-        return next(iter(told))
+    def next_list() -> Any:
+        nonlocal sent
+        sent += 1
+        return next(iter(lists))
 
-    async def shout(feed: Feed) -> None:
+    async def send_lists(feed: Feed) -> None:
         while not feed.closed:
-            feed.send({"depth": 0, "list": lie()})
+            feed.send({"depth": 0, "list": next_list()})
             await asyncio.sleep(SEND_INTERVAL_S)
 
     tasks = BackgroundTasks()
-    membership.calls.serve(LIST_GET, lambda peer, body: {"list": lie()})
-    membership.calls.serve_feed(LIST_FEED, lambda feed, body: tasks.spawn(shout(feed)))
+    membership.calls.serve(LIST_GET, lambda peer, body: {"list": next_list()})
+    membership.calls.serve_feed(LIST_FEED, lambda feed, body: tasks.spawn(send_lists(feed)))
     await membership.start()
 
-    async def obey(do: str, order: dict[str, Any]) -> Any:
+    async def handle_command(do: str, arguments: dict[str, Any]) -> Any:
         if do != "lied":
-            raise ValueError(f"no command of a liar: {do}")
-        return lied
+            raise ValueError(f"unknown command of the lying member: {do}")
+        return sent
 
-    return obey
+    return handle_command
 
 
 if __name__ == "__main__":
--- a/faultlab/coldstart/processes.py
+++ b/faultlab/coldstart/processes.py
@@ -1,7 +1,8 @@
-"""Hundreds of gateway processes that start at one moment, and their ends.
+"""Starts hundreds of gateway processes at one moment, and stops them.
 
-All wait in a shell at one pipe, whose end lets them go; each takes that shell's process. They end with the
-lab (`setpriv --pdeathsig`, where the system has it), whatever ends that.
+Each process is first a shell that waits at a common pipe. Closing the pipe releases all shells, and each
+replaces itself by a gateway. Where the system has `setpriv --pdeathsig`, the kernel kills them when the lab
+exits for whatever reason.
 """
 
 from __future__ import annotations
@@ -20,45 +21,48 @@
 
 
 class GatewayProcesses:
-    """The processes by number; each has its configuration and its log in `folder`."""
+    """Gateway processes by number; `folder` has the configuration and the log of each."""
 
-    def __init__(self, folder: Path, files: list[dict[str, Any]]) -> None:
-        self.folder, self.configs = folder, files
+    def __init__(self, folder: Path, configs: list[dict[str, Any]]) -> None:
+        self.folder, self.configs = folder, configs
         self.processes: dict[int, subprocess.Popen[bytes]] = {}
-        keeper = shutil.which("setpriv")
-        tied = f"{keeper} --pdeathsig KILL " if keeper else ""
-        self.command = f'read _; exec {tied}"$0" -m cloverkeel </dev/null'
-        for number, file in enumerate(files):
-            (folder / f"{number}.json").write_text(json.dumps(file))
+        setpriv = shutil.which("setpriv")
+        prefix = f"{setpriv} --pdeathsig KILL " if setpriv else ""
+        self.command = f'read _; exec {prefix}"$0" -m cloverkeel </dev/null'
+        for number, config in enumerate(configs):
+            (folder / f"{number}.json").write_text(json.dumps(config))
 
     def spawn_waiting(self, numbers: list[int]) -> int:
-        """Have these wait at a pipe; the descriptor whose closing starts them."""
-        inner, outer = os.pipe()
+        """Start shells that wait at a pipe; returns the descriptor whose closing starts the gateways."""
+        read_end, write_end = os.pipe()
         for number in numbers:
             environment = os.environ | {"LB_CONFIG": str(self.folder / f"{number}.json")}
             environment.pop("LB_STATE_DIR", None)
             with open(self.folder / f"{number}.log", "ab") as log:
                 self.processes[number] = subprocess.Popen(
                     ["/bin/sh", "-c", self.command, sys.executable], cwd=ROOT, env=environment,
-                    stdin=inner, stdout=subprocess.DEVNULL, stderr=log,
+                    stdin=read_end, stdout=subprocess.DEVNULL, stderr=log,
                 )  # fmt: skip
-        os.close(inner)
-        return outer
+        os.close(read_end)
+        return write_end
 
     def signal(self, number: int, signum: int) -> None:
-        """Send a signal; a killed process has ended when this returns."""
+        """Send a signal; after SIGKILL wait until the process has exited."""
         process = self.processes[number]
         process.send_signal(signum)
         if signum == signal.SIGKILL:
             process.wait(10.0)
 
     def restart(self, numbers: list[int]) -> None:
+        """Start these gateways again, all at one moment."""
         os.close(self.spawn_waiting(numbers))
 
     def running(self) -> list[int]:
+        """The numbers of the processes that run."""
         return [number for number, process in self.processes.items() if process.poll() is None]
 
     def close(self) -> None:
+        """Kill all processes and wait for them."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
@@ -66,7 +70,7 @@
             process.wait(10.0)
 
     def memory_mb(self) -> float:
-        """Mean proportional set size of those that live, in MB."""
+        """Mean proportional set size of the running processes, in MB."""
         sizes = []
         for number in self.running():
             with contextlib.suppress(OSError):
@@ -77,7 +81,7 @@
         return sum(sizes) / len(sizes) if sizes else 0.0
 
     def cpu_s(self) -> float:
-        """Processor seconds of all that live, since their starts."""
+        """CPU seconds that the running processes have used in total."""
         ticks = 0
         for number in self.running():
             with contextlib.suppress(OSError):
@@ -87,7 +91,7 @@
         return ticks / os.sysconf("SC_CLK_TCK")
 
     def count_lines(self, text: str) -> int:
-        """The log lines of all that hold `text`."""
+        """How often `text` occurs in the logs of all processes."""
         count = 0
         for number in range(len(self.configs)):
             with contextlib.suppress(OSError):
--- a/faultlab/coldstart/settings.py
+++ b/faultlab/coldstart/settings.py
@@ -1,4 +1,4 @@
-"""What a cold start is made of: sizes, the hosts' figures, and a gateway's configuration."""
+"""The settings of a cold start: sizes, rates, the capacity of hosts, and the configuration of a gateway."""
 
 from __future__ import annotations
 
@@ -10,51 +10,52 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """One site. Rates are per second over all; the list service's `calls_per_s` is its whole capacity."""
+    """The settings of one site. Rates are per second over all gateways; times are in seconds."""
 
     gateways: int
     hosts: int
     seed: int
     rate_per_s: float = 240.0
-    cold_load: float = 0.6  # share of what the hosts can do at the start that the traffic asks for
-    failing_share: float = 0.1  # share of the hosts that answer every request with an error
-    max_host_connections: int = 48  # connections
-    start_capacity: float = 0.33
-    warm_s: float = 9.0
-    fall_multiple: float = 2.5
-    fall_s: float = 1.5
-    calls_per_s: float = 120.0  # 200 gateways that each watch for 3 to 5 s need up to half of it
-    queue: int = 240
-    patience_s: float = 3.0
-    relays: int = 3
-    list_calls_per_s: float = 20.0  # of the service, for all members that have to fall back
-    probe_interval_s: float = 1.0  # five times the default: one machine's processor carries all members
+    cold_load: float = 0.6  # the traffic as a share of the hosts' capacity at the start
+    failing_share: float = 0.1  # share of the hosts that answer each request with an error
+    max_host_connections: int = 48  # a host rejects requests on further ones
+    start_capacity: float = 0.33  # share of its capacity that a host has at its start
+    warm_s: float = 9.0  # time from a host's start until it has all of its capacity
+    fall_multiple: float = 2.5  # a cold host falls at more than this multiple of its capacity
+    fall_s: float = 1.5  # within a window of this length
+    calls_per_s: float = 120.0  # of the list service; 200 gateways with watches of 3 to 5 s need up to half
+    queue: int = 240  # calls that may wait at the list service
+    patience_s: float = 3.0  # a call that has waited longer there fails
+    relays: int = 3  # members that watch the list service for all
+    list_calls_per_s: float = 20.0  # calls at the list service allowed to all members that fall back to it
+    probe_interval_s: float = 1.0  # five times the default, as all members share one machine's CPU
     seeds: int = 3
 
     @property
     def work_s(self) -> float:
-        """What a request takes of a warm host."""
+        """The time that a warm host takes for a request."""
         return self.cold_load * self.hosts * self.start_capacity / self.rate_per_s
 
     def zone(self, number: int) -> str:
+        """The zone of a gateway or host."""
         return ZONES[number % len(ZONES)]
 
     def is_failing(self, host: int) -> bool:
-        """The failing hosts lie evenly among the others."""
+        """Whether a host is one of the failing ones, which are spread evenly over the numbers."""
         return self.failing_share > 0 and host % round(1 / self.failing_share) == 0
 
     def host_capacity(self) -> dict[str, float]:
-        """The figures of `fall.HostAccount`."""
+        """The arguments of `host_capacity.HostCapacity`, as JSON."""
         return {"work_s": self.work_s, "start": self.start_capacity, "warm_s": self.warm_s,
                 "multiple": self.fall_multiple, "window_s": self.fall_s}  # fmt: skip
 
     def endpoint(self, host: int, address: str, since_ms: int) -> dict[str, Any]:
-        """One host as the list service gives it."""
+        """The entry of a host in the list."""
         return {"name": f"host-{host}", "address": address, "zone": self.zone(host), "type": "m",
                 "group": host % 3, "status": "SERVING", "weight": 1.0, "since_ms": since_ms}  # fmt: skip
 
     def cluster(self, seeds: list[str]) -> dict[str, Any]:
-        """What all members' `cluster` objects have in common; the first few are seeds."""
+        """The `cluster` object without the fields that differ between members."""
         return {"name": "coldstart", "seeds": seeds, "relays": self.relays,
                 "list_calls_per_s": self.list_calls_per_s, "probe_interval_s": self.probe_interval_s,
                 "probe_timeout_s": self.probe_interval_s / 2}  # fmt: skip
@@ -62,7 +63,7 @@
     def configuration(
         self, gateway: int, port: int, discovery: str, cluster: dict[str, Any] | None
     ) -> dict[str, Any]:
-        """A gateway's file; no `cluster` object where that is off."""
+        """The configuration of a gateway, without a `cluster` object if `cluster` is None."""
         lane = {"aimUs": 500_000, "giveUpUs": 1_000_000, "lateValue": 0.5, "value": 1.0, "group": "all",
                 "windowUs": 1_000_000}  # fmt: skip
         caps = {"maxAttempts": 3, "mayCancel": True, "connectTimeoutUs": 500_000, "keepaliveUs": 60_000_000,
--- a/faultlab/coldstart/site.py
+++ b/faultlab/coldstart/site.py
@@ -1,4 +1,4 @@
-"""One site that comes up: its list service, hosts, clients and gateways, and what was seen of them."""
+"""One site that starts cold: its list service, hosts, clients and gateways, and the figures of the run."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class ColdStartSite:
-    """One play; `shared` where the gateways form a cluster."""
+    """All parts of one run; with `shared` the gateways form a cluster and share lists."""
 
     def __init__(self, plan: Plan, folder: Path, shared: bool) -> None:
         self.plan, self.folder, self.shared = plan, folder, shared
@@ -36,15 +36,18 @@
         self.seeds: list[str] = []
         self.relay: Relay | None = None
         self.restart_record: tuple[float, dict[int, float], list[int]] | None = (
-            None  # a second start: began, ready, who
+            None  # a second start: when it began, when each was ready, which gateways
         )
         self.began_s = 0.0
-        self.cpu_ready_s = 0.0  # what all have used when 99 % are ready
+        self.cpu_ready_s = 0.0  # CPU time of all gateways when 99 % were ready
         self.load_average = os.getloadavg()[0]
 
     async def set_up(self, known: bool = False, relayed: bool = False) -> None:
-        """Have all at hand but for the gateways' start; `known`: with the list in their files, and no
-        service; `relayed`: with a relay on the members' paths."""
+        """Start everything except the gateways.
+
+        With `known` their configurations have the list, and there is no list service for them. With `relayed`
+        the traffic of the members goes through a relay.
+        """
         plan = self.plan
         self.folder.mkdir(parents=True, exist_ok=True)
         hosts = [{"name": f"host-{n}", "fails": plan.is_failing(n)} for n in range(plan.hosts)]
@@ -53,10 +56,10 @@
                    "seed": plan.seed}  # fmt: skip
         service = {"rate_per_s": plan.calls_per_s, "queue": plan.queue, "patience_s": plan.patience_s,
                    "collapses": True}  # fmt: skip
-        at_hosts = {"hosts": hosts, "account": plan.host_capacity(), "cap": plan.max_host_connections}
+        host_settings = {"hosts": hosts, "account": plan.host_capacity(), "cap": plan.max_host_connections}
         for module, settings in (
             ("faultlab.listservice", service),
-            ("faultlab.coldstart.hosts", at_hosts),
+            ("faultlab.coldstart.hosts", host_settings),
             ("faultlab.coldstart.client", clients),
         ):
             self.children.append(await Child.start(module, settings))
@@ -77,24 +80,25 @@
         self.gate = self.gateways.spawn_waiting(list(range(plan.gateways)))
 
     def cluster_configs(self, ports: list[int]) -> list[dict[str, Any]]:
-        """Each gateway's `cluster` object: the first few are the seeds, at ports known ahead."""
+        """The `cluster` object of each gateway; the first few are the seeds, whose ports are chosen ahead."""
         self.seeds = [f"127.0.0.1:{port}" for port in ports]
         binds = [*self.seeds, *["127.0.0.1:0"] * self.plan.gateways]
         return [self.plan.cluster(self.seeds) | {"bind": bind} for bind in binds[: self.plan.gateways]]
 
     async def relayed_cluster_configs(self) -> list[dict[str, Any]]:
-        """The same, with each member behind the relay."""
+        """The same, with each member reached through the relay."""
         self.relay = Relay(self.plan.seed)
         places = [await self.relay.add_member(f"gw-{n}") for n in range(self.plan.gateways)]
         cluster = self.plan.cluster([place.advertise for place in places[: self.plan.seeds]])
         return [cluster | {"bind": place.bind, "advertise": place.advertise} for place in places]
 
     def endpoints(self) -> list[dict[str, Any]]:
+        """The entries of all hosts in the list; all have started now."""
         since_ms = int(time.time() * 1000)
         return [self.plan.endpoint(n, address, since_ms) for n, address in enumerate(self.addresses)]
 
     async def start_all(self) -> None:
-        """The power is back: hosts and gateways start."""
+        """Start hosts and gateways at one moment, as when power returns, and the clients' traffic."""
         await self.hosts.call("restart")
         await self.service.call("hosts", endpoints=self.endpoints())
         self.began_s = time.monotonic()
@@ -103,12 +107,13 @@
         await self.clients.call("send", on=True)
 
     async def start_gateways_only(self) -> None:
-        """The gateways start, and nobody sends."""
+        """Start the gateways without any traffic."""
         self.began_s = time.monotonic()
         os.close(self.gate)
         await self.clients.call("poll", gateways=list(range(self.plan.gateways)))
 
     async def close(self) -> None:
+        """Kill the gateways and close the relay and the child processes."""
         self.gateways.close()
         if self.relay is not None:
             await self.relay.close()
@@ -116,14 +121,14 @@
             await child.close()
 
     async def poll_ready(self) -> dict[int, float]:
-        """Since when each gateway that is ready now has been so; remembers each one's first moment."""
+        """Since when each gateway that is ready now has been ready; records the first time of each."""
         now = {gateway: since_s for gateway, since_s in await self.clients.call("ready")}
         for gateway, since_s in now.items():
             self.first_ready.setdefault(gateway, since_s)
         return now
 
     async def wait_ready(self, share: float, timeout_s: float = START_TIMEOUT_S) -> bool:
-        """Wait until so large a share has been ready once; False where it is not in time."""
+        """Wait until `share` of the gateways have been ready once; False on a timeout."""
         end_s = time.monotonic() + timeout_s
         while time.monotonic() < end_s:
             await self.poll_ready()
@@ -136,7 +141,7 @@
         return False
 
     async def wait_ready_again(self, numbers: list[int], timeout_s: float = START_TIMEOUT_S) -> bool:
-        """Wait until these are ready now; False where they are not in time."""
+        """Wait until these gateways are ready at the same time; False on a timeout."""
         end_s = time.monotonic() + timeout_s
         while time.monotonic() < end_s:
             if (await self.poll_ready()).keys() >= set(numbers):
@@ -145,41 +150,43 @@
         return False
 
     def ready_s(self, share: float) -> float:
-        """When so large a share had been ready once, in seconds from the start; inf: never."""
+        """Seconds from the start until `share` of the gateways had been ready once; inf if never."""
         return start_duration_s(self.began_s, self.first_ready, self.plan.gateways, share)
 
     async def drain(self) -> Drain:
-        """Have the list service say that a host drains, one that is in use if any; `undrain` ends it."""
+        """Let a host drain in the list service, one that is in use if there is any; `undrain` ends it."""
         used = await self.hosts.call("used", after_s=time.monotonic() - 1.0)
         host = self.random.choice(used or range(self.plan.hosts))
         set_s, index = await self.service.call("set", name=f"host-{host}", fields={"status": "DRAINING"})
         return Drain(host, index, set_s, float("inf"))
 
     async def undrain(self, drain: Drain) -> None:
+        """End a drain and record it."""
         until_s = time.monotonic()
         await self.service.call("set", name=f"host-{drain.host}", fields={"status": "SERVING"})
         self.drains.append(Drain(drain.host, drain.index, drain.set_s, until_s))
 
     async def watchers(self) -> list[int]:
-        """The gateways that hold a watch at the list service: with `shared`, its relays."""
+        """The gateways that have a watch at the list service; with `shared`, these are the relays."""
         watching: list[int] = await self.service.call("watchers")
         return watching
 
     async def kill(self, numbers: list[int]) -> None:
-        """SIGKILL these at one moment."""
+        """Kill these gateways (SIGKILL) at one moment."""
         for number in numbers:
             self.gateways.processes[number].send_signal(signal.SIGKILL)
         for number in numbers:
             self.gateways.signal(number, signal.SIGKILL)
 
     async def restart_gateways(self, numbers: list[int]) -> None:
+        """Start these gateways again, and poll them for readiness."""
         self.gateways.restart(numbers)
         await self.clients.call("poll", gateways=numbers)
 
     def start_figures(
         self, began_s: float, ready: dict[int, float], count: int, calls: list[float], results: Any
     ) -> dict[str, Any]:
-        """What one start of `count` gateways cost."""
+        """The figures of one start of `count` gateways: readiness, list calls and requests."""
         early = [at for at in calls if began_s <= at < began_s + FIRST_TRAFFIC_S]
         start = [at for at in calls if began_s <= at < max(ready.values(), default=began_s) + FIRST_TRAFFIC_S]
         seen = figures.count_responses(results, ready, FIRST_TRAFFIC_S)
@@ -196,7 +203,7 @@
         }
 
     async def collect_figures(self) -> dict[str, Any]:
-        """What was seen, as one flat object."""
+        """Collect the figures of the run in one flat object."""
         plan = self.plan
         memory_mb, cpu_s = self.gateways.memory_mb(), self.gateways.cpu_s()
         await self.poll_ready()
@@ -206,8 +213,8 @@
         calls = [at for at, _, _ in service["calls"]]
         first_s = min(self.first_ready.values(), default=self.began_s)
         started_s = max(self.first_ready.values(), default=self.began_s) + FIRST_TRAFFIC_S
-        told, arrivals = service["told"], hosts["requests"]
-        late = [figures.late_sends(arrivals, told, drain, self.shared) for drain in self.drains]
+        responses, arrivals = service["told"], hosts["requests"]
+        late = [figures.late_sends(arrivals, responses, drain, self.shared) for drain in self.drains]
         seen: dict[str, Any] = {
             "gateways": plan.gateways,
             "load_before": self.load_average,
@@ -235,13 +242,13 @@
             "tracebacks": self.gateways.count_lines("Traceback"),
         }
         if self.restart_record is not None:
-            began_s, ready, struck = self.restart_record
-            again = self.start_figures(began_s, ready, len(struck), calls, results)
-            seen |= {f"again_{name}": value for name, value in again.items()}
+            began_s, ready, victims = self.restart_record
+            again_figures = self.start_figures(began_s, ready, len(victims), calls, results)
+            seen |= {f"again_{name}": value for name, value in again_figures.items()}
         return seen
 
 
 def start_duration_s(began_s: float, ready: dict[int, float], count: int, share: float) -> float:
-    """When so large a share of `count` gateways was ready, in seconds from the start; inf: never."""
+    """Seconds from the start until `share` of `count` gateways was ready; inf if never."""
     starts = [at - began_s for at in ready.values()]
     return figures.quantile(starts + [float("inf")] * (count - len(starts)), share)
--- a/tests/test_coldstart_lab.py
+++ b/tests/test_coldstart_lab.py
@@ -1,4 +1,4 @@
-"""The cold start's lab: its pure parts, and a small fleet of real processes that comes up."""
+"""The cold-start experiment: its pure parts, and a start of a small fleet of real processes."""
 
 from __future__ import annotations
 
@@ -105,7 +105,9 @@
 def test_a_hosts_budget_is_of_a_window_that_moves_on() -> None:
     cold = account()
     cold.restart(100.0)
-    assert not any(cold.add_work(100.0 + number * 0.05, 1.0) for number in range(100))  # 20 a second, for 5 s
+    assert not any(
+        cold.add_work(100.0 + number * 0.05, 1.0) for number in range(100)
+    )  # 20 per second, for 5 s
 
 
 def test_work_takes_longer_at_a_colder_host_and_waits_its_turn() -> None:
@@ -144,7 +146,7 @@
 
 
 async def small_fleet(folder: Path) -> dict[str, Any]:
-    """Six gateways in a cluster come up, a host drains, and one that watches for the others is killed."""
+    """Start six gateways in a cluster, drain a host, and kill a relay; returns the figures."""
     site = ColdStartSite(
         Plan(
             gateways=6, hosts=6, seed=5, rate_per_s=120, list_calls_per_s=4.0, failing_share=0.0, warm_s=1.0
