--- a/faultlab/soak/__init__.py
+++ b/faultlab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A seeded soak: real gateways, hosts, clients and discovery under faults, judged by the platform's rules."""
+"""A seeded soak test: real gateways, hosts, clients and discovery under faults, checked against the rules."""
--- a/faultlab/soak/clients.py
+++ b/faultlab/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the soak: they keep using open connections, leave, and send again where one closes under it."""
+"""Clients of the soak: they reuse connections, may leave early, and retry when a connection is closed."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from faultlab.soak.records import ExchangeEnd, Exchange, Records
 from faultlab.soak.settings import CLASS_SHARES, CLASSES, Settings
 
-ABANDONED_SHARE = 0.05  # of the requests, whose client closes its connection before the answer
-RESPONSE_GRACE_S = 1.5  # after a request's time: nothing more is waited for
-KEY_COUNT = 50  # that requests are about
-MAX_CONNECTIONS = 40  # to one gateway
+ABANDONED_SHARE = 0.05  # share of the requests whose client closes its connection before the response
+RESPONSE_GRACE_S = 1.5  # time that a client waits beyond the deadline of a request
+KEY_COUNT = 50  # number of different paths that requests are for
+MAX_CONNECTIONS = 40  # busy ones to one gateway
 COMMON_HEAD = b"HTTP/1.1\r\nHost: l\r\nX-Call-Id: %s\r\nX-Budget-Ms: %d\r\nX-Call-Cost: %d\r\n"
 REQUEST_HEADS = {
     "search": b"GET /search/%d " + COMMON_HEAD + b"\r\n",
@@ -26,7 +26,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One connection to a gateway: a request out at most."""
+    """One connection to a gateway, with at most one request at a time."""
 
     def __init__(self) -> None:
         self.response: asyncio.Future[int] | None = None
@@ -53,12 +53,13 @@
         self.resolve(0)
 
     def resolve(self, status: int) -> None:
+        """End the request with this status; 0 stands for a closed connection."""
         if self.response is not None and not self.response.done():
             self.response.set_result(status)
 
 
 class LoadGenerator:
-    """All clients, by the gateway that they send to."""
+    """All clients of the soak, and their connections by gateway."""
 
     def __init__(
         self,
@@ -70,7 +71,7 @@
         self.settings, self.records, self.ports = settings, records, ports
         self.random = random.Random(f"clients {settings.seed}")
         self.run_numbers = [0] * len(ports)
-        self.accepting = [False] * len(ports)  # those that the front sends new connections to
+        self.accepting = [False] * len(ports)  # whether new connections go to the gateway
         self.idle: list[list[ClientConnection]] = [[] for _ in ports]
         self.busy = [0] * len(ports)
         self.silent_transports: list[asyncio.BaseTransport] = []
@@ -80,11 +81,11 @@
         self.tasks = BackgroundTasks(on_failure)
 
     async def run(self) -> None:
-        """Send at the settings' rate, in random moments, until `ended`."""
+        """Send requests at the rate of the settings, at random moments, until `stopping`."""
         due_s = time.monotonic()
         while not self.stopping:
-            boost = 5.0 if time.monotonic() < self.burst_until_s else 1.0
-            due_s += self.random.expovariate(self.settings.rate_per_s * boost)
+            rate_factor = 5.0 if time.monotonic() < self.burst_until_s else 1.0
+            due_s += self.random.expovariate(self.settings.rate_per_s * rate_factor)
             await asyncio.sleep(max(0.0, due_s - time.monotonic()))
             gateway = self.random.randrange(len(self.ports))
             klass = self.random.choices(CLASSES, CLASS_SHARES)[0]
@@ -92,6 +93,7 @@
             self.tasks.spawn(self.run_request(gateway, klass, leaves_s))
 
     async def finish(self) -> None:
+        """Wait for all requests to end, then close all connections."""
         self.stopping = True
         await self.tasks.wait()
         for connection in (each for idle in self.idle for each in idle):
@@ -99,6 +101,7 @@
         self.close_silent_connections()
 
     async def connect(self, gateway: int) -> ClientConnection | None:
+        """Open a connection; None if the gateway takes none now, or connecting fails or times out."""
         if not self.accepting[gateway]:
             return None
         loop = asyncio.get_running_loop()
@@ -109,7 +112,10 @@
             return None
 
     async def run_request(self, gateway: int, klass: str, leaves_s: float | None) -> None:
-        """One request, on a kept connection where there is one; once more where that closes under it."""
+        """Send one request, on an idle connection if there is one.
+
+        If the connection is closed without a response, retry once, unless the request has reached a host.
+        """
         if self.busy[gateway] >= MAX_CONNECTIONS:
             return
         self.busy[gateway] += 1
@@ -117,10 +123,10 @@
             idle = [each for each in self.idle[gateway] if not each.closed]
             self.idle[gateway] = idle
             connection = idle.pop() if idle else await self.connect(gateway)
-            for is_repeat in (False, True):
+            for is_client_retry in (False, True):
                 if connection is None or connection.closed:
                     return
-                exchange = await self.send_request(connection, gateway, klass, leaves_s, is_repeat)
+                exchange = await self.send_request(connection, gateway, klass, leaves_s, is_client_retry)
                 if exchange.end is ExchangeEnd.ANSWERED and not connection.closed:
                     self.idle[gateway].append(connection)
                 if exchange.end is not ExchangeEnd.CLOSED or exchange.id in self.records.arrivals:
@@ -130,27 +136,32 @@
             self.busy[gateway] -= 1
 
     async def send_request(
-        self, connection: ClientConnection, gateway: int, klass: str, leaves_s: float | None, is_repeat: bool
+        self,
+        connection: ClientConnection,
+        gateway: int,
+        klass: str,
+        leaves_s: float | None,
+        is_client_retry: bool,
     ) -> Exchange:
-        """Send one request, and wait for its end. Its id is new, also where it is sent once more."""
+        """Send one request and wait until it ends. Each try has an id of its own."""
         self.sent_count += 1
         id_ = f"{gateway:02x}{self.sent_count:014x}"
         now_s, budget_s = time.monotonic(), self.settings.deadline_s
         exchange = Exchange(
-            id_, klass, gateway, self.run_numbers[gateway], now_s, now_s + budget_s, is_repeat
+            id_, klass, gateway, self.run_numbers[gateway], now_s, now_s + budget_s, is_client_retry
         )
         self.records.exchanges.append(exchange)
         connection.response = asyncio.get_running_loop().create_future()
-        figures = (
+        fields = (
             self.sent_count % KEY_COUNT,
             id_.encode(),
             int(budget_s * 1000),
             int(self.settings.work_s * 1e6),
         )
-        connection.transport.write(REQUEST_HEADS[klass] % figures)
-        patience_s = budget_s + RESPONSE_GRACE_S if leaves_s is None else leaves_s
+        connection.transport.write(REQUEST_HEADS[klass] % fields)
+        timeout_s = budget_s + RESPONSE_GRACE_S if leaves_s is None else leaves_s
         try:
-            exchange.status = await asyncio.wait_for(connection.response, patience_s)
+            exchange.status = await asyncio.wait_for(connection.response, timeout_s)
             exchange.end = ExchangeEnd.ANSWERED if exchange.status else ExchangeEnd.CLOSED
         except TimeoutError:
             exchange.end = ExchangeEnd.NO_RESPONSE if leaves_s is None else ExchangeEnd.CLIENT_LEFT
@@ -160,7 +171,7 @@
         return exchange
 
     async def open_silent_connections(self, gateway: int, count: int) -> None:
-        """Open connections that send nothing."""
+        """Open up to `count` connections that send nothing, until one fails."""
         loop = asyncio.get_running_loop()
         for _ in range(count):
             try:
@@ -171,6 +182,7 @@
             self.silent_transports.append(made[0])
 
     def close_silent_connections(self) -> None:
+        """Close the connections that send nothing."""
         for transport in self.silent_transports:
             transport.close()
         self.silent_transports.clear()
--- a/faultlab/soak/command.py
+++ b/faultlab/soak/command.py
@@ -1,4 +1,4 @@
-"""python -m faultlab soak --seeds 1-3 --minutes 1"""
+"""The command of the soak: python -m faultlab soak --seeds 1-3 --minutes 1"""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 from faultlab.soak.settings import draw_settings
 from faultlab.soak.site import Result, SoakSite
 
-EVENTS_BEFORE_S = (
-    10.0  # events that are printed with a broken rule: a drain may count as known only 6 s later
-)
+# A violation is printed with the events from EVENTS_BEFORE_S before it (a drain may count as known only 6 s
+# after it began) to EVENTS_AFTER_S after it.
+EVENTS_BEFORE_S = 10.0
 EVENTS_AFTER_S = 1.5
-MAX_PRINTED = 10  # broken rules of a seed that are printed
+MAX_PRINTED = 10  # violations of a seed that are printed
 
 
 def parse_seeds(text: str) -> range:
-    """`7`, or `3-9` with both ends. Raises ArgumentTypeError for anything else."""
+    """Parse one seed, `7`, or a range that includes both ends, `3-9`. Raises ArgumentTypeError."""
     first, _, last = text.partition("-")
     try:
         found = range(int(first), int(last or first) + 1)
@@ -34,7 +34,7 @@
 
 
 def parse_minutes(text: str) -> float:
-    """Raises ArgumentTypeError for what is no time from 0.1 to 60 minutes."""
+    """Parse a number of minutes from 0.1 to 60. Raises ArgumentTypeError."""
     try:
         value = float(text)
     except ValueError:
@@ -45,14 +45,17 @@
 
 
 async def run_seed(seed: int, duration_s: float) -> Result:
-    """One seed, in a folder of its own."""
+    """Run one seed in a temporary folder."""
     with tempfile.TemporaryDirectory() as folder:
         async with SoakSite(draw_settings(seed, duration_s), Path(folder)) as site:
             return await site.run()
 
 
-def print_result(result: Result, length: float) -> None:
-    """One line for the seed; each broken rule with the events around it and the command that replays it."""
+def print_result(result: Result, minutes: float) -> None:
+    """Print one line for the seed, then its first violations, each with the events around it.
+
+    After violations the command that replays the seed is printed too.
+    """
     counts = result.counts
     print(
         f"seed {result.seed}: {counts['requests']} requests, {counts['served']} served, "
@@ -61,26 +64,27 @@
         f"{len(result.violations)} broken",
         flush=True,
     )
-    for broken in result.violations[:MAX_PRINTED]:
-        print_violation(result, broken)
+    for violation in result.violations[:MAX_PRINTED]:
+        print_violation(result, violation)
     if result.violations:
-        print(f"  replay: python -m faultlab soak --seeds {result.seed} --minutes {length:g}")
+        print(f"  replay: python -m faultlab soak --seeds {result.seed} --minutes {minutes:g}")
 
 
-def print_violation(result: Result, broken: Violation) -> None:
-    print(f"  {broken.rule} at {broken.at_s - result.began_s:.2f} s: {broken.detail}")
+def print_violation(result: Result, violation: Violation) -> None:
+    """Print one violation and the events around it."""
+    print(f"  {violation.rule} at {violation.at_s - result.began_s:.2f} s: {violation.detail}")
     for at_s, text in result.events:
-        if broken.at_s - EVENTS_BEFORE_S <= at_s <= broken.at_s + EVENTS_AFTER_S:
+        if violation.at_s - EVENTS_BEFORE_S <= at_s <= violation.at_s + EVENTS_AFTER_S:
             print(f"    {at_s - result.began_s:7.2f} s  {text}")
 
 
 def total_figures(results: list[Result]) -> dict[str, Any]:
-    """The last line of `--json`."""
+    """The figures over all seeds, which the last line of the output has."""
     counts: Counter[str] = Counter()
     rules: Counter[str] = Counter()
     for result in results:
         counts += result.counts
-        rules += Counter(broken.rule for broken in result.violations)
+        rules += Counter(violation.rule for violation in result.violations)
     return {
         "seeds": len(results), "requests": counts["requests"], "kills": counts["kills"],
         "signals": counts["signals"], "broken": sum(rules.values()), "rules": dict(rules),
@@ -92,7 +96,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Play the seeds one after the other; 1 where a rule was broken."""
+    """Run the seeds one after the other; returns exit code 1 if a rule was broken."""
     results = []
     for seed in arguments.seeds:
         result = asyncio.run(run_seed(seed, arguments.minutes * 60.0))
@@ -103,10 +107,14 @@
     return 1 if figures["broken"] else 0
 
 
-def register(parts: Any) -> None:
-    """Add `soak` to the lab's commands."""
-    parser = parts.add_parser("soak", help="seeded faults on real processes, judged by the platform's rules")
+def register(subcommands: Any) -> None:
+    """Add the subcommand `soak` and its arguments."""
+    parser = subcommands.add_parser(
+        "soak", help="seeded faults on real processes, judged by the platform's rules"
+    )
     parser.add_argument("--seeds", type=parse_seeds, default=parse_seeds("1"), metavar="A-B|N")
-    parser.add_argument("--minutes", type=parse_minutes, default=1.0, metavar="M", help="for each seed")
+    parser.add_argument(
+        "--minutes", type=parse_minutes, default=1.0, metavar="M", help="duration of each seed (default 1)"
+    )
     parser.add_argument("--json", action="store_true", help="the last line is one JSON object")
     parser.set_defaults(run=run)
--- a/faultlab/soak/discovery.py
+++ b/faultlab/soak/discovery.py
@@ -1,7 +1,7 @@
-"""Discovery as each gateway sees it: an agent of its own, which may be silent, refused or late.
+"""Discovery as each gateway sees it: an agent that may be silent, refuse connections or answer late.
 
-It follows PROTOCOL's page: the whole list, or a watch that waits for a newer version. Its outages and the
-watches that it gets are written down for `notification`.
+An agent follows PROTOCOL's page: it sends the full list, or holds a watch until there is a newer version. It
+records its outages and the watches that it gets for `notification`.
 """
 
 from __future__ import annotations
@@ -19,55 +19,60 @@
 from faultlab.standins import read_request, make_response
 
 MAX_HOLD_S = 20.0
-LATE_DELAY_S = 0.8  # an answer that is late
+LATE_DELAY_S = 0.8  # delay of a late response
 
 
 class Registry:
-    """The list that all agents tell of, and who is told of each change."""
+    """The list of hosts that all agents serve; wakes them when it changes."""
 
-    def __init__(self, listed: Callable[[], list[dict[str, Any]]]) -> None:
-        self.list_hosts = listed
+    def __init__(self, list_hosts: Callable[[], list[dict[str, Any]]]) -> None:
+        self.list_hosts = list_hosts
         self.index = 1
         self.changed = asyncio.Event()
 
     def publish_change(self) -> None:
+        """Give the list a new index and wake the watches."""
         self.index += 1
         self.changed.set()
         self.changed = asyncio.Event()
 
     def snapshot(self) -> dict[str, Any]:
+        """The body of a response: the full list."""
         return {"index": self.index, "snapshot": True, "endpoints": self.list_hosts()}
 
 
 class DiscoveryAgent:
-    """One gateway's way to discovery.
+    """The discovery address of one gateway.
 
-    `life` tells which of the gateway's processes runs; `on_written` gets that and each list as it is written.
+    `run_number` returns the number of the gateway's process that runs now. `on_written` is called with that
+    number and with each list when it is written to a connection.
     """
 
     def __init__(
         self,
         registry: Registry,
-        life: Callable[[], int],
+        run_number: Callable[[], int],
         on_written: Callable[[int, dict[str, Any]], None],
     ) -> None:
-        self.registry, self.run_number, self.on_written = registry, life, on_written
+        self.registry, self.run_number, self.on_written = registry, run_number, on_written
         self.record = DiscoveryAddress(float("-inf"))
         self.silent_until_s = self.late_until_s = 0.0
         self.is_retired = False
         self.server: asyncio.Server | None = None
-        self.port = free_port()  # of its own also while it refuses: the system lends it to nobody
+        self.port = free_port()  # reserved also while connections are refused: outside the ephemeral range
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
+        """Start listening."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", self.port)
 
     @property
     def address(self) -> str:
+        """The address that the gateway's configuration names."""
         return f"127.0.0.1:{self.port}"
 
     def close(self) -> None:
-        """Take no new connections and end the open ones."""
+        """Stop listening and close all connections."""
         if self.server is not None:
             self.server.close()
             self.server = None
@@ -75,12 +80,12 @@
             writer.close()
 
     def retire(self) -> None:
-        """Close for good: the gateway asks at another address."""
+        """Close for good: the gateway has moved to another address."""
         self.is_retired = True
         self.close()
 
     async def refuse_connections(self, seconds: float) -> None:
-        """Be refused for so long, at the same address after."""
+        """Refuse connections for some seconds, then listen at the same address again."""
         outage = Outage(time.monotonic(), float("inf"), is_silent=False)
         self.record.outages.append(outage)
         self.close()
@@ -90,35 +95,38 @@
         outage.until_s = time.monotonic()
 
     def go_silent(self, seconds: float) -> None:
+        """Send no responses for some seconds."""
         now_s = time.monotonic()
         self.silent_until_s = max(self.silent_until_s, now_s + seconds)
         self.record.outages.append(Outage(now_s, self.silent_until_s, is_silent=True))
 
     def answer_late(self, seconds: float) -> None:
+        """Delay responses by LATE_DELAY_S for some seconds."""
         self.late_until_s = time.monotonic() + seconds
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Serve one connection of the gateway."""
         self.writers.add(writer)
-        life = self.run_number()
+        run_number = self.run_number()
         with contextlib.suppress(OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             while (request := await read_request(reader)) is not None:
                 query = parse_qs(urlsplit(request[0]).query)
                 hold_s = int(query.get("hold_ms", ["0"])[0]) / 1000
-                watch = Watch(life, time.monotonic(), hold_s)
+                watch = Watch(run_number, time.monotonic(), hold_s)
                 self.record.watches.append(watch)
                 await self.wait_newer(int(query.get("from", ["0"])[0]), hold_s)
                 watch.until_s = time.monotonic()
                 if writer.is_closing():
-                    break  # nothing is told on a connection that was ended meanwhile
+                    break  # the connection was closed during the wait, so nothing is sent
                 snapshot = self.registry.snapshot()
                 writer.write(make_response(200, json.dumps(snapshot).encode(), "OK"))
-                self.on_written(life, snapshot)
+                self.on_written(run_number, snapshot)
                 await writer.drain()
         self.writers.discard(writer)
         writer.close()
 
     async def wait_newer(self, known: int, hold_s: float) -> None:
-        """Until there is something newer, the wait is over, and this agent speaks."""
+        """Wait until there is a version newer than `known` or the hold is over, then while late or silent."""
         until_s = time.monotonic() + min(hold_s, MAX_HOLD_S)
         while self.registry.index <= known and (left_s := until_s - time.monotonic()) > 0:
             changed = self.registry.changed
--- a/faultlab/soak/hosts.py
+++ b/faultlab/soak/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts of the soak: they do work, fail, hang, close, drain and return cold, and write down what came."""
+"""Hosts of the soak: they work, fail, hang, close connections, drain, return cold, and record requests."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 
 OK_RESPONSE, ERROR_RESPONSE = make_response(200, b"ok", "OK"), make_response(500, b"failed")
 REJECTED_RESPONSE = b"HTTP/1.1 503 X\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
-MAX_QUEUE_S = 0.5  # work that waits longer is turned away
+MAX_QUEUE_S = 0.5  # a request that would wait longer is rejected
 
 
 @dataclass(eq=False)
 class SoakHost:
-    """One host and how it stands."""
+    """One host with its state and its connections."""
 
     number: int
     capacity: HostCapacity
@@ -31,26 +31,29 @@
     status: str = "SERVING"
     hangs_until_s: float = 0.0
     errors_until_s: float = 0.0
-    cold_start: HostChange | None = None  # since it came back cold
-    recent_requests: deque[tuple[float, str]] = field(default_factory=deque)  # of the last window
+    cold_start: HostChange | None = None  # its last cold start; None before the first
+    recent_requests: deque[tuple[float, str]] = field(default_factory=deque)  # (time, id), last window
     connections: set[HostConnection] = field(default_factory=set)
     server: asyncio.Server | None = None
 
     async def start(self) -> None:
+        """Start listening."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(lambda: HostConnection(self), "127.0.0.1", 0, backlog=1024)
 
     @property
     def address(self) -> str:
+        """The address at which it listens, HOST:PORT."""
         assert self.server is not None
         return f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
 
     def endpoint(self) -> dict[str, Any]:
+        """Its entry in the list."""
         return {"name": f"h{self.number}", "address": self.address, "zone": "a", "type": "m", "group": 0,
                 "status": self.status, "weight": 1.0, "since_ms": self.since_ms}  # fmt: skip
 
     def restart(self) -> None:
-        """It comes back cold; what it had is gone."""
+        """Come back cold: work and connections from before are lost."""
         self.cold_start = HostChange(self.number, time.monotonic())
         self.since_ms = int(time.time() * 1000)
         self.status = "SERVING"
@@ -59,16 +62,18 @@
         self.reset_connections()
 
     def reset_connections(self) -> None:
+        """Abort all connections."""
         for connection in tuple(self.connections):
             connection.transport.abort()
 
     def close_idle_connections(self) -> None:
+        """Close the connections that have no request."""
         for connection in tuple(self.connections):
             if not connection.busy and not connection.data:
                 connection.transport.close()
 
     def add_request(self, now_s: float, work: float, id_: str) -> None:
-        """Count what came; write a fall down with its window."""
+        """Count a request; record a fall with the requests of its window."""
         self.recent_requests.append((now_s, id_))
         while self.recent_requests[0][0] <= now_s - self.settings.fall_s:
             self.recent_requests.popleft()
@@ -79,7 +84,7 @@
 
 
 class HostConnection(asyncio.Protocol):
-    """One connection to a host: one request at a time."""
+    """One connection to a host, with one request at a time."""
 
     def __init__(self, host: SoakHost) -> None:
         self.host = host
@@ -102,6 +107,7 @@
             self.on_request(message)
 
     def on_request(self, request: Message) -> None:
+        """Record a request, and answer it as the state of the host says."""
         now_s, host = time.monotonic(), self.host
         id_ = request.headers.get(b"x-call-id", b"").decode("latin-1")
         budget_s = int(request.headers.get(b"x-budget-ms", b"0")) / 1000
@@ -121,6 +127,7 @@
             asyncio.get_running_loop().call_later(done_s - now_s, self.respond, OK_RESPONSE)
 
     def respond(self, data: bytes) -> None:
+        """Send a response, unless the connection is closing."""
         self.busy = False
         if not self.transport.is_closing():
             self.transport.write(data)
--- a/faultlab/soak/records.py
+++ b/faultlab/soak/records.py
@@ -1,4 +1,4 @@
-"""What clients, hosts and discovery saw, as the judge takes it. All times by one monotonic clock, in s."""
+"""The records of a soak, from which `judge` finds violations. Times are in seconds of one monotonic clock."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ExchangeEnd(Enum):
-    """How a client's request ended."""
+    """How a request ended for its client."""
 
     ANSWERED = "answered"
     CLOSED = "the connection ended with no whole answer"
@@ -18,15 +18,15 @@
 
 @dataclass(slots=True)
 class Exchange:
-    """One request as its client saw it, on one connection."""
+    """One try of a request on one connection, as its client saw it."""
 
     id: str
     klass: str
     gateway: int
-    run_number: int  # of that gateway's processes
+    run_number: int  # number of the gateway's process
     sent_s: float
     deadline_s: float
-    is_client_retry: bool = False  # sent once more, as its connection closed under it
+    is_client_retry: bool = False  # sent again as the connection of the first try was closed
     end: ExchangeEnd = ExchangeEnd.NO_RESPONSE
     ended_s: float = 0.0
     status: int = 0
@@ -38,25 +38,28 @@
 
     id: str
     host: int
-    first_byte_s: float  # its first byte
+    first_byte_s: float  # when its first byte came
     last_byte_s: float
     budget_s: float
-    may_have_run: bool = True  # False: turned away, which never ran
+    may_have_run: bool = True  # False: the host rejected it, so that it cannot have run
 
 
 @dataclass(slots=True)
 class HostChange:
-    """A host that drains or has started, since discovery has it; `written_s` by (gateway, life)."""
+    """A host that drains or has started; `since_s` is when discovery had the change.
+
+    `written_s` is when the first list with the change was written, by (gateway, run number).
+    """
 
     host: int
     since_s: float
     until_s: float = float("inf")
-    written_s: dict[tuple[int, int], float] = field(default_factory=dict)  # first in a list for that process
+    written_s: dict[tuple[int, int], float] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Fall:
-    """A cold host that got more than it bears, and the requests of that window: when each came, its id."""
+    """A cold host that got more work than it can take, with (time, id) of the requests of that window."""
 
     at_s: float
     start: HostChange
@@ -65,7 +68,7 @@
 
 @dataclass(slots=True)
 class Outage:
-    """A time in which discovery says nothing at an address, or refuses connections there."""
+    """A period in which discovery is silent at an address or refuses connections there."""
 
     since_s: float
     until_s: float
@@ -74,7 +77,7 @@
 
 @dataclass(slots=True)
 class Watch:
-    """A call for a newer list from one process of the gateway, until it is answered or broken."""
+    """A watch of one process of a gateway, until it is answered or its connection ends."""
 
     run_number: int
     since_s: float
@@ -84,14 +87,14 @@
 
 @dataclass(slots=True)
 class DiscoveryAddress:
-    """One address of discovery, which a gateway asks since a SIGHUP or from its first process on."""
+    """One discovery address of a gateway, used since a SIGHUP or, for the first one, from the start."""
 
     since_s: float
-    outages: list[Outage] = field(default_factory=list)  # in order
+    outages: list[Outage] = field(default_factory=list)  # in order of time
     watches: list[Watch] = field(default_factory=list)
 
     def reachable_s(self, from_s: float) -> float:
-        """The first moment from then on that no outage covers."""
+        """The first moment at or after `from_s` that is in no outage."""
         for outage in self.outages:
             if outage.since_s <= from_s < outage.until_s:
                 from_s = outage.until_s
@@ -100,7 +103,7 @@
 
 @dataclass(slots=True)
 class ProcessRun:
-    """One process of a gateway."""
+    """One process of a gateway, from its start to its exit."""
 
     gateway: int
     number: int
@@ -113,12 +116,12 @@
 
 @dataclass(slots=True)
 class LabDelays:
-    """By how much the lab itself ran late: no time that it saw is surer than that."""
+    """Delays of the lab's own event loop, which limit the accuracy of all times that it records."""
 
-    samples: list[tuple[float, float]] = field(default_factory=list)  # when, by how much; in order
+    samples: list[tuple[float, float]] = field(default_factory=list)  # (time, delay), in order of time
 
     def max_near(self, at_s: float, within_s: float = 0.5) -> float:
-        """The greatest delay of the lab near a moment."""
+        """The longest delay within `within_s` of a moment."""
         index = bisect_left(self.samples, (at_s - within_s, 0.0))
         greatest = 0.0
         while index < len(self.samples) and self.samples[index][0] <= at_s + within_s:
@@ -129,7 +132,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that was broken."""
+    """A rule that was broken, when and how."""
 
     at_s: float
     rule: str
@@ -138,14 +141,14 @@
 
 @dataclass
 class Records:
-    """All of one soak."""
+    """All records of one soak."""
 
     exchanges: list[Exchange] = field(default_factory=list)
-    arrivals: dict[str, list[Arrival]] = field(default_factory=dict)  # by request
+    arrivals: dict[str, list[Arrival]] = field(default_factory=dict)  # by request id
     drains: list[HostChange] = field(default_factory=list)
     falls: list[Fall] = field(default_factory=list)
-    addresses: dict[int, list[DiscoveryAddress]] = field(default_factory=dict)  # by gateway, in order
+    addresses: dict[int, list[DiscoveryAddress]] = field(default_factory=dict)  # by gateway, in order of use
     runs: dict[tuple[int, int], ProcessRun] = field(default_factory=dict)
     lab_delays: LabDelays = field(default_factory=LabDelays)
-    violations: list[Violation] = field(default_factory=list)  # seen at once, not by the judge
+    violations: list[Violation] = field(default_factory=list)  # found while the soak runs, not by the judge
     events: list[tuple[float, str]] = field(default_factory=list)
--- a/faultlab/soak/schedule.py
+++ b/faultlab/soak/schedule.py
@@ -1,4 +1,4 @@
-"""What happens in one soak, and when: drawn from the seed alone, before anything starts."""
+"""The schedule of events of one soak, drawn from the seed alone before anything starts."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 from faultlab.soak.settings import Settings
 
-QUIET_START_S = 2.0  # of quiet after the start
-GATEWAY_GAP_S = (1.5, 4.0)  # between two events of that kind, evenly drawn
+QUIET_START_S = 2.0  # time without events after the start
+GATEWAY_GAP_S = (1.5, 4.0)  # between two events of this group, drawn evenly; the same for the others
 HOST_GAP_S = (1.0, 3.0)
 DISCOVERY_GAP_S = (6.0, 12.0)
 CROWD_GAP_S = (2.0, 5.0)
-DRAIN_IN_OUTAGE_SHARE = 0.5  # share of discovery's outages in whose first second a host begins to drain
+DRAIN_IN_OUTAGE_SHARE = 0.5  # share of discovery outages in whose first second a host begins to drain
 
 
 class EventKind(Enum):
-    """What may happen."""
+    """The kinds of events."""
 
     RESTART = "SIGTERM, SIGKILL at the earliest moment"
     RELOAD_RESTART = "SIGHUP, then SIGTERM at once, SIGKILL"
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True)
 class ScheduledEvent:
-    """One event: `target` is a gateway's or a host's number, `seconds` how long it lasts."""
+    """One event: `target` is the number of a gateway or host, `seconds` how long the event lasts."""
 
     at_s: float
     kind: EventKind
@@ -68,15 +68,15 @@
 def schedule(settings: Settings) -> list[ScheduledEvent]:
     """All events of a soak, in order of time."""
     rng = random.Random(f"schedule {settings.seed}")
-    lines = [
+    groups = [
         (GATEWAY_KINDS, GATEWAY_GAP_S, settings.gateways),
         (HOST_KINDS, HOST_GAP_S, settings.hosts),
         (DISCOVERY_KINDS, DISCOVERY_GAP_S, settings.gateways),
     ]
     if settings.crowd:
-        lines.append((CROWD_KINDS, CROWD_GAP_S, settings.gateways))
+        groups.append((CROWD_KINDS, CROWD_GAP_S, settings.gateways))
     planned = []
-    for kinds, gap_s, targets in lines:
+    for kinds, gap_s, targets in groups:
         at_s = QUIET_START_S + rng.uniform(*gap_s)
         while at_s < settings.duration_s:
             planned.append(
--- a/faultlab/soak/settings.py
+++ b/faultlab/soak/settings.py
@@ -1,4 +1,4 @@
-"""What one soak is made of: sizes, deadlines and limits, and a gateway's configuration file."""
+"""The settings of one soak: sizes, deadlines and limits, and the configuration of a gateway."""
 
 from __future__ import annotations
 
@@ -12,46 +12,46 @@
 CLASSES = ("search", "hold", "transfer")
 EFFECTS = {"search": "free", "hold": "guarded", "transfer": "single_shot"}
 CLASS_SHARES = (0.6, 0.2, 0.2)
-DESCRIPTOR_LIMIT = 256  # descriptors of a gateway
-KILL_MARGIN_S = 0.7  # beyond the longest deadline, after SIGTERM (PROTOCOL)
-MAX_COUNTED_DEADLINE_S = 3.0  # a longer deadline counts as this (PROTOCOL)
-CROWD_SEED_INTERVAL = 3  # one seed in so many has a crowd
+DESCRIPTOR_LIMIT = 256  # file descriptors of a gateway
+KILL_MARGIN_S = 0.7  # the earliest SIGKILL after SIGTERM is the longest deadline plus this (PROTOCOL)
+MAX_COUNTED_DEADLINE_S = 3.0  # a longer deadline is counted as this for SIGKILL (PROTOCOL)
+CROWD_SEED_INTERVAL = 3  # every third seed has idle clients that use up a gateway's descriptors
 
 
 @dataclass(frozen=True)
 class Settings:
-    """One seed's site. Times in seconds, rates per second over all gateways."""
+    """The settings of one seed. Times are in seconds, rates per second over all gateways."""
 
     seed: int
     duration_s: float
     gateways: int = 3
     hosts: int = 6
     rate_per_s: float = 90.0
-    aim_s: float = 0.3
+    aim_s: float = 0.3  # target latency
     deadline_s: float = 1.0
-    window_s: float = 1.0  # of a keyed request's repeats
-    stop_sending_s: float = 1.0  # after a drain was told
-    work_s: float = 0.03  # of a request, for a warm host
-    start_capacity: float = 0.15
-    warm_s: float = 6.0
-    fall_multiple: float = 1.2
-    fall_s: float = 1.0
-    pushed: bool = True
-    crowd: bool = False
+    window_s: float = 1.0  # deduplication window of keyed requests
+    stop_sending_s: float = 1.0  # time that a gateway may still send to a host after it knows of the drain
+    work_s: float = 0.03  # time that a warm host takes for a request
+    start_capacity: float = 0.15  # share of its capacity that a host has at its start
+    warm_s: float = 6.0  # time from a host's start until it has all of its capacity
+    fall_multiple: float = 1.2  # a cold host falls at more than this multiple of its capacity
+    fall_s: float = 1.0  # within a window of this length
+    pushed: bool = True  # discovery pushes lists; else gateways ask for them
+    crowd: bool = False  # idle clients use up descriptors
 
     @property
     def kill_after_s(self) -> float:
-        """The earliest moment of SIGKILL after SIGTERM."""
+        """The time from SIGTERM to the earliest SIGKILL."""
         return min(MAX_COUNTED_DEADLINE_S, self.deadline_s) + KILL_MARGIN_S
 
     def host_capacity(self) -> HostCapacity:
-        """What one host can carry."""
+        """The capacity model of one host."""
         return HostCapacity(self.work_s, self.start_capacity, self.warm_s, self.fall_multiple, self.fall_s)
 
     def configuration(
         self, gateway: int, port: int, discovery: str, known: list[dict[str, Any]]
     ) -> dict[str, Any]:
-        """A gateway's file."""
+        """The configuration of a gateway."""
         file = configuration(f"g{gateway}", port, discovery, known)
         lane = {"aimUs": int(self.aim_s * 1e6), "giveUpUs": int(self.deadline_s * 1e6), "lateValue": 0.2,
                 "value": 1.0, "group": "all", "windowUs": int(self.window_s * 1e6)}  # fmt: skip
@@ -73,7 +73,7 @@
 
 
 def draw_settings(seed: int, duration_s: float) -> Settings:
-    """The settings of one seed."""
+    """Draw the settings of a seed."""
     rng = random.Random(f"settings {seed}")
     return Settings(
         seed, duration_s,
--- a/faultlab/soak/site.py
+++ b/faultlab/soak/site.py
@@ -1,4 +1,4 @@
-"""One seed played from start to end: all parts, the events of its schedule, and what came of it."""
+"""Runs one seed: starts all parts, applies the scheduled events and collects the result."""
 
 from __future__ import annotations
 
@@ -21,36 +21,36 @@
 from faultlab.soak.schedule import EventKind, ScheduledEvent, schedule
 from faultlab.soak.settings import DESCRIPTOR_LIMIT, Settings
 
-ACCEPT_S = 0.3  # new connections come for so long after SIGTERM (PROTOCOL)
-OLD_AGENT_KEPT_S = 1.5  # the old address of discovery is kept so long after SIGHUP (TERMS)
+ACCEPT_S = 0.3  # time after SIGTERM in which clients still open connections (PROTOCOL)
+OLD_AGENT_KEPT_S = 1.5  # time after SIGHUP for which the old discovery address is served (TERMS)
 DRAIN_S = 4.0
-# Away for longer than the rules give a gateway to know of the drain, behind the longest outage, and to stop
-# sending: whoever goes on is seen.
+# A host stays deleted for longer than a gateway may take, after the longest outage, to know of the drain and
+# to stop sending, so that a gateway that goes on sending is noticed.
 DELETED_S = 8.0
 LAG_POLL_S = 0.005
-MIN_LAG_S = 0.002  # a shorter delay is not kept
+MIN_LAG_S = 0.002  # shorter delays are not recorded
 MONITOR_INTERVAL_S = 1.0
 FIRST_MINUTE_S = 60.0
-IDLE_CLIENT_COUNT = DESCRIPTOR_LIMIT  # more than a gateway has descriptors
+IDLE_CLIENT_COUNT = DESCRIPTOR_LIMIT  # enough to use up a gateway's descriptors
 BURST_S = 1.0
 
 
 @dataclass
 class Result:
-    """What one seed came to."""
+    """The result of one seed."""
 
     seed: int
     violations: list[Violation] = field(default_factory=list)
     events: list[tuple[float, str]] = field(default_factory=list)
-    counts: Counter[str] = field(default_factory=Counter)  # requests, answered, refused, kills, signals
+    counts: Counter[str] = field(default_factory=Counter)  # by name, as `command` prints them
     longest_stop_s: float = 0.0
-    memory_kb: tuple[int, int] = (0, 0)  # the most of a gateway after the first minute, and at the end
+    memory_kb: tuple[int, int] = (0, 0)  # maximum over the gateways after the first minute, and at the end
     descriptors: tuple[int, int] = (0, 0)
     began_s: float = 0.0
 
 
 class SoakSite:
-    """`async with Site(settings, folder) as site: result = await site.play()`."""
+    """All parts of one seed: `async with SoakSite(settings, folder) as site: result = await site.run()`."""
 
     def __init__(self, settings: Settings, folder: Path) -> None:
         self.settings = settings
@@ -64,36 +64,38 @@
         self.gateways = [
             ManagedGateway(number, settings, self.records, folder) for number in range(settings.gateways)
         ]
-        self.agents: dict[int, DiscoveryAgent] = {}  # in use, by gateway
+        self.agents: dict[int, DiscoveryAgent] = {}  # the one in use, by gateway
         for number in range(settings.gateways):
             self.set_agent(number, self.make_agent(number))
         ports = [process.port for process in self.gateways]
         self.clients = LoadGenerator(settings, self.records, ports, self.on_failure)
-        self.drains: dict[int, HostChange] = {}  # under way, by host
+        self.drains: dict[int, HostChange] = {}  # those in progress, by host
         self.tasks = BackgroundTasks(self.on_failure)
         self.began_s = 0.0
 
     def make_agent(self, gateway: int) -> DiscoveryAgent:
+        """A new discovery agent for a gateway; it is not started."""
         process = self.gateways[gateway]
         return DiscoveryAgent(self.registry, lambda: process.run_count, partial(self.on_written, gateway))
 
     def set_agent(self, gateway: int, agent: DiscoveryAgent) -> None:
-        """The gateway asks at this address from now on."""
+        """Record that the gateway uses this agent from now on."""
         self.agents[gateway] = agent
         self.records.addresses.setdefault(gateway, []).append(agent.record)
 
     def list_hosts(self) -> list[dict[str, Any]]:
+        """The entries of the list that discovery serves."""
         return [host.endpoint() for host in self.hosts if host.status != "DELETED"]
 
-    def on_written(self, gateway: int, life: int, snapshot: dict[str, Any]) -> None:
-        """A whole list was written to a process: what it says is known there from now on."""
+    def on_written(self, gateway: int, run_number: int, snapshot: dict[str, Any]) -> None:
+        """Record that a full list was written to a process, which knows its changes from now on."""
         now_s, listed = time.monotonic(), {entry["name"]: entry for entry in snapshot["endpoints"]}
         for host in self.hosts:
             entry = listed.get(f"h{host.number}")
             if host.cold_start is not None and entry is not None and entry["since_ms"] == host.since_ms:
-                host.cold_start.written_s.setdefault((gateway, life), now_s)
+                host.cold_start.written_s.setdefault((gateway, run_number), now_s)
         for drain in self.drains.values():
-            drain.written_s.setdefault((gateway, life), now_s)
+            drain.written_s.setdefault((gateway, run_number), now_s)
 
     async def __aenter__(self) -> Self:
         for host in self.hosts:
@@ -105,7 +107,7 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        # Those that start a process are waited for: it is then made and can be ended, or was never made.
+        # Wait for tasks that are starting a process: it then exists and can be killed, or was never created.
         self.tasks.cancel()
         await self.tasks.wait()
         for process in self.gateways:
@@ -119,31 +121,32 @@
             host.reset_connections()
 
     async def start_gateway(self, gateway: int) -> None:
-        """Start a process; clients come once it is ready."""
+        """Start a gateway's process; clients connect to it once it is ready."""
         process = self.gateways[gateway]
         self.clients.run_numbers[gateway] = process.run_count + 1
         await process.start(self.agents[gateway].address, self.list_hosts())
         self.clients.accepting[gateway] = True
 
     def on_failure(self, error: BaseException) -> None:
-        """The lab itself failed: an event of the schedule or a client did not do what it should."""
+        """Record a failure of the lab itself, in an event of the schedule or a client, as a violation."""
         where = traceback.extract_tb(error.__traceback__)[-1]
-        what = f"{type(error).__name__}: {error} ({Path(where.filename).name}:{where.lineno})"
-        self.records.violations.append(Violation(time.monotonic(), "lab", what))
+        detail = f"{type(error).__name__}: {error} ({Path(where.filename).name}:{where.lineno})"
+        self.records.violations.append(Violation(time.monotonic(), "lab", detail))
 
     def record_event(self, text: str) -> None:
+        """Record what happens now, to be printed with violations."""
         self.records.events.append((time.monotonic(), text))
 
     async def run(self) -> Result:
-        """The whole schedule; what the rules say of it."""
+        """Run the whole schedule and check the records; returns the result."""
         result = Result(self.settings.seed, began_s=self.began_s)
         self.tasks.spawn(self.measure_lag())
         self.tasks.spawn(self.monitor(result))
         sending = asyncio.get_running_loop().create_task(self.clients.run())
-        for planned in schedule(self.settings):
-            await asyncio.sleep(max(0.0, self.began_s + planned.at_s - time.monotonic()))
-            self.record_event(f"{planned.kind.name} {planned.target} for {planned.seconds:.1f} s")
-            self.tasks.spawn(self.apply_event(planned))
+        for event in schedule(self.settings):
+            await asyncio.sleep(max(0.0, self.began_s + event.at_s - time.monotonic()))
+            self.record_event(f"{event.kind.name} {event.target} for {event.seconds:.1f} s")
+            self.tasks.spawn(self.apply_event(event))
         await asyncio.sleep(max(0.0, self.began_s + self.settings.duration_s - time.monotonic()))
         result.memory_kb = result.memory_kb[0], self.max_memory_kb()
         result.descriptors = result.descriptors[0], self.max_descriptors()
@@ -154,6 +157,7 @@
         return result
 
     def fill_result(self, result: Result) -> None:
+        """Fill in the violations, events and counts of the run."""
         for process in self.gateways:
             process.check_log()
         result.violations = Judge(self.settings, self.records).violations()
@@ -168,7 +172,7 @@
         result.longest_stop_s = max((process.longest_stop_s for process in self.gateways), default=0.0)
 
     async def measure_lag(self) -> None:
-        """How late this loop itself is: the judge allows for it."""
+        """Record the delays of this event loop, for which the judge allows."""
         last_s = time.monotonic()
         while True:
             await asyncio.sleep(LAG_POLL_S)
@@ -179,6 +183,7 @@
             last_s = now_s
 
     async def monitor(self, result: Result) -> None:
+        """Check the gateways at intervals, and note their resources after the first minute."""
         while True:
             await asyncio.sleep(MONITOR_INTERVAL_S)
             for process in self.gateways:
@@ -188,19 +193,19 @@
                 result.descriptors = self.max_descriptors(), 0
 
     def max_memory_kb(self) -> int:
-        """Of one gateway; 0 where none runs."""
+        """The largest resident memory of a gateway in kB; 0 if none runs."""
         return max((process.memory_kb() for process in self.gateways), default=0)
 
     def max_descriptors(self) -> int:
-        """Of one gateway; 0 where none runs."""
+        """The largest number of open descriptors of a gateway; 0 if none runs."""
         return max((process.descriptors() for process in self.gateways), default=0)
 
     # Events
 
-    async def apply_event(self, planned: ScheduledEvent) -> None:
-        """Carry out one event of the schedule."""
-        target, seconds = planned.target, planned.seconds
-        match planned.kind:
+    async def apply_event(self, event: ScheduledEvent) -> None:
+        """Apply one event of the schedule."""
+        target, seconds = event.target, event.seconds
+        match event.kind:
             case (
                 EventKind.RESTART
                 | EventKind.RELOAD_RESTART
@@ -210,7 +215,7 @@
             ):
                 if not self.gateways[target].lock.locked():
                     async with self.gateways[target].lock:
-                        await self.run_signals(target, planned.kind)
+                        await self.run_signals(target, event.kind)
             case EventKind.DRAIN:
                 await self.drain(target)
             case EventKind.SILENT:
@@ -226,9 +231,10 @@
             case EventKind.BURST:
                 self.clients.burst_until_s = time.monotonic() + BURST_S
             case _:
-                self.disturb_host(self.hosts[target], planned.kind, seconds)
+                self.disturb_host(self.hosts[target], event.kind, seconds)
 
     def disturb_host(self, host: SoakHost, kind: EventKind, seconds: float) -> None:
+        """Make a host hang or answer errors for some seconds, or close connections."""
         until_s = time.monotonic() + seconds
         if kind is EventKind.HANG:
             host.hangs_until_s = until_s
@@ -240,7 +246,7 @@
             host.reset_connections()
 
     async def drain(self, number: int) -> None:
-        """A host drains, is gone, and comes back cold."""
+        """Drain a host, delete it from the list, and bring it back cold."""
         if number in self.drains:
             return
         host = self.hosts[number]
@@ -256,10 +262,10 @@
         del self.drains[number]
         host.restart()
         self.registry.publish_change()
-        self.clients.burst_until_s = time.monotonic() + BURST_S  # a burst meets it while it is cold
+        self.clients.burst_until_s = time.monotonic() + BURST_S  # a burst of requests while the host is cold
 
     async def run_signals(self, gateway: int, kind: EventKind) -> None:
-        """One series of signals to one gateway, and its start anew where it ends."""
+        """Send one series of signals to a gateway, and start it again if they end it."""
         process = self.gateways[gateway]
         if process.process.returncode is not None:
             return
@@ -279,6 +285,7 @@
         await self.start_gateway(gateway)
 
     async def stop_gateway(self, gateway: int, kind: EventKind) -> None:
+        """Stop a gateway by SIGTERM, then SIGHUP for RESTART_RELOAD, and SIGKILL if it takes too long."""
         process = self.gateways[gateway]
         process.send_sigterm()
         self.counts["signals"] += 1
@@ -290,12 +297,13 @@
         self.counts["kills"] += process.current_run.sigkill_s < float("inf")
         self.clients.accepting[gateway] = False
 
-    def stop_connecting(self, gateway: int, life: int) -> None:
-        if self.gateways[gateway].run_count == life:
+    def stop_connecting(self, gateway: int, run_number: int) -> None:
+        """Stop new connections to a gateway, unless another process runs it by now."""
+        if self.gateways[gateway].run_count == run_number:
             self.clients.accepting[gateway] = False
 
     async def move_discovery(self, gateway: int) -> None:
-        """A new configuration that names discovery at another address, and SIGHUP."""
+        """Write a configuration with discovery at another address, and send SIGHUP."""
         process, old = self.gateways[gateway], self.agents[gateway]
         await process.wait_sighup_allowed()
         agent = self.make_agent(gateway)
--- a/tests/test_soak_lab.py
+++ b/tests/test_soak_lab.py
@@ -1,4 +1,4 @@
-"""The soak's rules, each on records that break it and on such that do not; and three seeds played short."""
+"""The rules of the soak, each on records that break it and on records that do not, and three short seeds."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
 
 
 def rules(
-    *exchanges: Exchange, arrivals: list[Arrival] | None = None, life: ProcessRun | None = None
+    *exchanges: Exchange, arrivals: list[Arrival] | None = None, run: ProcessRun | None = None
 ) -> set[str]:
-    """The rules that these records break."""
-    records = Records(list(exchanges), runs={(0, 1): life or ProcessRun(0, 1, 0.0, ready_s=1.0)})
+    """The names of the rules that these records break."""
+    records = Records(list(exchanges), runs={(0, 1): run or ProcessRun(0, 1, 0.0, ready_s=1.0)})
     for arrival in arrivals or ():
         records.arrivals.setdefault(arrival.id, []).append(arrival)
     records.drains.append(HostChange(7, 50.0, written_s={(0, 1): 50.0}))
-    return {broken.rule for broken in Judge(SETTINGS, records).violations()}
+    return {violation.rule for violation in Judge(SETTINGS, records).violations()}
 
 
 @pytest.mark.parametrize(
@@ -81,13 +81,13 @@
 
 @pytest.mark.parametrize(("sent_s", "broken"), [(100.0, set()), (100.9, {"lost"})])
 def test_what_sigkill_finds_is_owed_if_it_came_late_after_sigterm(sent_s: float, broken: set[str]) -> None:
-    life = ProcessRun(0, 1, 0.0, ready_s=1.0, sigterm_s=100.0, sigkill_s=101.7)
+    run = ProcessRun(0, 1, 0.0, ready_s=1.0, sigterm_s=100.0, sigkill_s=101.7)
     late = replace(CLOSED, sent_s=sent_s, deadline_s=sent_s + 1.0, ended_s=101.7)
-    assert rules(late, arrivals=[replace(FIRST, first_byte_s=sent_s, budget_s=1.0)], life=life) == broken
+    assert rules(late, arrivals=[replace(FIRST, first_byte_s=sent_s, budget_s=1.0)], run=run) == broken
 
 
 def test_a_process_that_is_not_ready_in_time_is_found() -> None:
-    assert rules(life=ProcessRun(0, 1, 0.0, ready_s=10.1)) == {"ready"}
+    assert rules(run=ProcessRun(0, 1, 0.0, ready_s=10.1)) == {"ready"}
 
 
 SILENT = Outage(20.0, 23.0, is_silent=True)
@@ -99,18 +99,18 @@
     ("since_s", "outages", "watches", "moved_s", "asked_s", "pushed_s"),
     [
         (10.0, [], [], None, 16.0, 10.0),
-        (3.0, [], [], None, 11.0, 5.0),  # before the process began
-        (19.0, [REFUSED], [], None, 25.0, 19.0),  # an outage that comes later puts nothing off
+        (3.0, [], [], None, 11.0, 5.0),  # before the process started
+        (19.0, [REFUSED], [], None, 25.0, 19.0),  # a later outage delays nothing
         (21.0, [REFUSED], [], None, 29.0, 23.0),
         (21.0, [SILENT], [WATCH], None, 26.0, 23.0),
         (21.0, [SILENT], [replace(WATCH, hold_s=6.0)], None, 27.0, 23.0),
         (21.0, [SILENT], [replace(WATCH, until_s=19.5)], None, 29.0, 23.0),
-        (21.0, [SILENT], [replace(WATCH, life=2)], None, 29.0, 23.0),
+        (21.0, [SILENT], [replace(WATCH, run=2)], None, 29.0, 23.0),
         (26.0, [SILENT], [WATCH], None, 32.0, 26.0),
         (29.0, [], [], 30.0, 34.0, 29.0),
         (31.0, [], [], 30.0, 34.0, 34.0),
         (35.0, [], [], 30.0, 41.0, 35.0),
-        (21.0, [SILENT], [], 22.0, 26.0, 26.0),  # asked at another address before the outage was over
+        (21.0, [SILENT], [], 22.0, 26.0, 26.0),  # moved to another address before the outage ended
     ],
 )
 def test_a_change_counts_as_known_by_the_rules_of_its_time(
@@ -121,7 +121,10 @@
     asked_s: float,
     pushed_s: float,
 ) -> None:
-    """One process, begun at 5 s; the drains before an agent's last outage were judged too laxly."""
+    """One process, started at 5 s.
+
+    Guards against counting a change as known too late: drains before the last outage of an agent once were.
+    """
     addresses = [DiscoveryAddress(float("-inf"), outages, watches)]
     if moved_s is not None:
         addresses.append(DiscoveryAddress(moved_s))
@@ -172,14 +175,14 @@
 def test_a_process_that_the_system_has_not_made_yet_has_no_figures(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A seed that ended while a killed process was being started again broke off with an AssertionError."""
+    """Guards against an AssertionError at the end of a seed while a killed process is being started again."""
 
-    async def crossing() -> None:
-        being_made = asyncio.Event()
+    async def end_while_starting() -> None:
+        starting = asyncio.Event()
 
         async def start(gateway: GatewayProcess) -> float:
-            being_made.set()
-            await asyncio.Event().wait()  # until it is cancelled
+            starting.set()
+            await asyncio.Event().wait()  # until this task is cancelled
             return 0.0
 
         monkeypatch.setattr(GatewayProcess, "start", start)
@@ -187,18 +190,18 @@
             process = ManagedGateway(0, SETTINGS, site.records, tmp_path)
             site.gateways.append(process)
             site.tasks.spawn(process.start("127.0.0.1:1", []))
-            await being_made.wait()
+            await starting.wait()
             process.check_process()
             assert (process.pid, process.memory_kb(), process.descriptors()) == (None, 0, 0)
         assert not site.tasks and not site.records.violations
 
-    asyncio.run(crossing())
+    asyncio.run(end_while_starting())
 
 
 def test_an_event_that_does_not_happen_fails_its_seed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What its task raised was seen by nobody, and the seed went on without the event."""
+    """Guards against an event's task that raises unnoticed, with the seed going on without the event."""
 
     async def fail(*_: object) -> None:
         raise OSError("address already in use")
@@ -213,10 +216,10 @@
     monkeypatch.setattr(
         "faultlab.soak.site.schedule", lambda _: [ScheduledEvent(0.0, EventKind.DRAIN, 0, 1.0)]
     )
-    rules = {broken.rule for broken in asyncio.run(play()).violations}
+    rules = {violation.rule for violation in asyncio.run(play()).violations}
     assert rules == {"lab"}
 
 
 def test_short_seeds_break_no_rule(capsys: pytest.CaptureFixture[str]) -> None:
-    """Three seeds, the last with a crowd: more of them, and longer, by hand."""
+    """Three seeds, the last with a crowd of idle clients. Longer and more seeds are run by hand."""
     assert main(["soak", "--seeds", "1-3", "--minutes", "0.4", "--json"]) == 0, capsys.readouterr().out
