--- a/faultlab/child.py
+++ b/faultlab/child.py
@@ -17,8 +17,8 @@
 
 import uvloop
 
-ANSWER_TIMEOUT_S = 30.0
-NICENESS = -10
+ANSWER_TIMEOUT_S = 30.0  # for the response to one command
+NICENESS = -10  # of children: above the priority of the gateways
 MAX_LINE_BYTES = 64 * 1024 * 1024  # a response may hold the log of a whole run
 
 Handler = Callable[[str, dict[str, Any]], Awaitable[Any]]
--- a/faultlab/coldstart/drains.py
+++ b/faultlab/coldstart/drains.py
@@ -15,7 +15,7 @@
 
 FAULT_KINDS = ("kill", "stop", "cut")
 MAX_FAULT_DELAY_S = 0.02  # longest delay between the drain at the list service and the fault
-EXTRA_WATCH_S = 1.0  # time that the host is watched beyond the moment at which gateways have to stop sending
+EXTRA_WATCH_S = 1.0  # time that the host is watched after the gateways have to stop sending
 RESTART_TIMEOUT_S = 10.0
 SETTLE_S = 1.2  # new relays are chosen within this time
 
--- a/faultlab/coldstart/faults.py
+++ b/faultlab/coldstart/faults.py
@@ -13,14 +13,14 @@
 from faultlab.coldstart.liar import relay_name
 from faultlab.coldstart.site import FIRST_TRAFFIC_S, ColdStartSite
 
-DOWN_S = 8.0
+DOWN_S = 8.0  # the list service does not answer
 SLOW_S = 1.0  # added to each response of the list service
-COLLAPSE_S = 20.0
+COLLAPSE_S = 20.0  # the list service is short of capacity
 DRAIN_S = 4.0  # duration of a drain: twice the time within which gateways have to stop sending
-CUT_DELAY_S = 1.0
-SEEDS_DOWN_S = 5.0
-MASS_KILL_SHARE = 0.7
-SETTLE_S = 1.0
+CUT_DELAY_S = 1.0  # from the start to the partition
+SEEDS_DOWN_S = 5.0  # from the kill of the seeds to their restart
+MASS_KILL_SHARE = 0.7  # share of the gateways that are killed at once
+SETTLE_S = 1.0  # between the end of a fault and the next step
 
 FaultStep = Callable[[ColdStartSite], Awaitable[None]]
 
--- a/faultlab/coldstart/site.py
+++ b/faultlab/coldstart/site.py
@@ -18,8 +18,8 @@
 from faultlab.ports import free_port, free_ports
 from faultlab.relay import Relay
 
-FIRST_TRAFFIC_S = 10.0
-START_TIMEOUT_S = 60.0
+FIRST_TRAFFIC_S = 10.0  # first traffic of each gateway: what the figures of a start cover
+START_TIMEOUT_S = 60.0  # for all gateways of a start to be ready
 POLL_S = 0.05
 
 
@@ -31,7 +31,7 @@
         self.random = random.Random(plan.seed)
         self.children: list[Child] = []
         self.gateways = GatewayProcesses(folder, [])
-        self.first_ready: dict[int, float] = {}
+        self.first_ready: dict[int, float] = {}  # when each gateway was ready for the first time
         self.drains: list[Drain] = []
         self.seeds: list[str] = []
         self.relay: Relay | None = None
--- a/faultlab/member_fleet.py
+++ b/faultlab/member_fleet.py
@@ -20,7 +20,7 @@
 
 CLUSTER_NAME = "lab"
 SEED_COUNT = 3
-LAG_POLL_S = 0.02
+LAG_POLL_S = 0.02  # interval at which the delay of the event loop is measured
 JOIN_TIMEOUT_S = 60.0  # for a whole fleet to start and agree on its members, on a busy machine
 
 
--- a/faultlab/membership.py
+++ b/faultlab/membership.py
@@ -26,8 +26,8 @@
 
 Figures = dict[str, Any]
 QUIET_PERIOD_S = 10.0  # duration of the measurement of the load at rest: two push-pull periods
-LOSS_RATE = 0.05
-STOP_S = 0.2
+LOSS_RATE = 0.05  # share of the datagrams that the relay drops in the soak
+STOP_S = 0.2  # a member of the soak is stopped (SIGSTOP) for this time
 STOP_GAP_S = (0.1, 0.6)  # between two stops, drawn evenly
 
 
--- a/faultlab/soak/clients.py
+++ b/faultlab/soak/clients.py
@@ -176,10 +176,12 @@
         for _ in range(count):
             try:
                 async with asyncio.timeout(1.0):
-                    made = await loop.create_connection(asyncio.Protocol, "127.0.0.1", self.ports[gateway])
+                    connected = await loop.create_connection(
+                        asyncio.Protocol, "127.0.0.1", self.ports[gateway]
+                    )
             except (OSError, TimeoutError):
                 return
-            self.silent_transports.append(made[0])
+            self.silent_transports.append(connected[0])
 
     def close_silent_connections(self) -> None:
         """Close the connections that send nothing."""
--- a/faultlab/soak/records.py
+++ b/faultlab/soak/records.py
@@ -11,9 +11,9 @@
     """How a request ended for its client."""
 
     ANSWERED = "answered"
-    CLOSED = "the connection ended with no whole answer"
+    CLOSED = "the connection was closed without a complete response"
     CLIENT_LEFT = "the client left"
-    NO_RESPONSE = "nothing came"
+    NO_RESPONSE = "no response came"
 
 
 @dataclass(slots=True)
--- a/faultlab/soak/schedule.py
+++ b/faultlab/soak/schedule.py
@@ -29,7 +29,7 @@
     RESET = "a host resets all its connections"
     ERRORS = "a host answers 500"
     DRAIN = "a host drains, is deleted, and returns cold"
-    SILENT = "discovery says nothing"
+    SILENT = "discovery sends no responses"
     REFUSED = "discovery refuses connections"
     LATE = "discovery answers late"
     IDLE_CLIENTS = "idle clients fill descriptors"
--- a/tests/test_coldstart_lab.py
+++ b/tests/test_coldstart_lab.py
@@ -74,7 +74,7 @@
     assert full.next_event_s == pytest.approx(60.1, abs=0.03)
 
 
-def test_a_caller_that_leaves_frees_its_place_but_not_what_has_begun() -> None:
+def test_a_caller_that_leaves_frees_its_place_in_the_queue_but_a_served_call_is_completed() -> None:
     capacity = CapacityModel(10.0, queue=10, patience_s=60.0, collapses=False)
     for call in range(3):
         capacity.arrive(0.0, call)
@@ -82,7 +82,7 @@
     assert [call for call, _ in capacity.advance(10.0)] == [0, 2]
 
 
-def test_the_listing_tells_changes_to_those_that_know_it_and_all_to_others() -> None:
+def test_the_listing_sends_changes_for_a_known_index_and_the_full_list_otherwise() -> None:
     listing = Listing({"h1": ENTRY, "h2": ENTRY}, index=5, first_index=5)
     listing.update("h1", status="DRAINING")
     assert listing.response(5) == {"index": 6, "snapshot": False, "endpoints": [{"status": "DRAINING"}]}
@@ -92,7 +92,7 @@
     assert listing.response(6) == {"index": 1, "snapshot": True, "endpoints": [{"status": "DRAINING"}, ENTRY]}
 
 
-def test_a_cold_host_falls_at_more_than_its_budget_of_a_window_and_a_warm_one_never() -> None:
+def test_a_cold_host_falls_above_the_work_limit_of_a_window_and_a_warm_one_never() -> None:
     cold, warm = account(), account()
     cold.restart(100.0)
     bound = math.floor(cold.work_limit(100.0))
@@ -102,7 +102,7 @@
     assert not any(warm.add_work(100.0, 1.0) for _ in range(1000))
 
 
-def test_a_hosts_budget_is_of_a_window_that_moves_on() -> None:
+def test_the_work_limit_of_a_host_is_for_a_sliding_window() -> None:
     cold = account()
     cold.restart(100.0)
     assert not any(
@@ -110,7 +110,7 @@
     )  # 20 per second, for 5 s
 
 
-def test_work_takes_longer_at_a_colder_host_and_waits_its_turn() -> None:
+def test_work_takes_longer_at_a_colder_host_and_is_queued() -> None:
     host = account()
     host.restart(100.0)
     assert host.completion_s(100.0, 1.0) == pytest.approx(100.1)
@@ -118,19 +118,19 @@
     assert host.completion_s(110.0, 1.0) == pytest.approx(110.05)
 
 
-def test_most_within_is_of_any_window() -> None:
+def test_max_within_counts_the_fullest_window() -> None:
     assert figures.max_within([0.0, 0.09, 0.12, 0.15, 0.3], 0.1) == 3
     assert figures.max_within([], 0.1) == 0
     assert figures.quantile([3.0, 1.0, 2.0], 0.5) == 2.0 and figures.quantile([], 0.5) == math.inf
 
 
-def test_late_sends_count_from_each_gateways_own_word_or_from_the_first_where_lists_are_shared() -> None:
+def test_late_sends_count_from_a_gateways_own_notification_or_from_the_first_with_shared_lists() -> None:
     drain = Drain(host=7, index=4, set_s=10.0, until_s=20.0)
-    told = [(9.0, 0, 3), (10.1, 0, 4), (12.0, 1, 5)]
+    responses = [(9.0, 0, 3), (10.1, 0, 4), (12.0, 1, 5)]
     arrivals = [(12.0, 7, 0), (12.2, 7, 0), (13.0, 7, 1), (13.0, 8, 0), (13.0, 7, 2), (20.5, 7, 0)]
-    by_itself = figures.late_sends(arrivals, told, drain, shared=False)
-    assert [gateway for _, gateway in by_itself] == [0]
-    shared = figures.late_sends(arrivals, told, drain, shared=True)
+    unshared = figures.late_sends(arrivals, responses, drain, shared=False)
+    assert [gateway for _, gateway in unshared] == [0]
+    shared = figures.late_sends(arrivals, responses, drain, shared=True)
     assert [gateway for _, gateway in shared] == [0, 1, 2]
     assert figures.last_send_s(arrivals, drain) == pytest.approx(3.0)
 
@@ -139,7 +139,9 @@
     ("option", "value"),
     [("--faults", "nonsense"), ("--modes", "sideways"), ("--scale", "50,many"), ("--drains", "0")],
 )
-def test_what_cannot_be_played_is_named(option: str, value: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_invalid_option_value_is_named(
+    option: str, value: str, capsys: pytest.CaptureFixture[str]
+) -> None:
     with pytest.raises(SystemExit):
         main(["coldstart", option, value])
     assert f"{option}: {value.rpartition(',')[2]!r} is not " in capsys.readouterr().err
@@ -170,22 +172,24 @@
         await site.close()
 
 
-def test_a_small_fleet_comes_up_by_its_relays_and_keeps_a_drain_though_one_is_killed(tmp_path: Path) -> None:
+def test_a_small_fleet_starts_through_its_relays_and_keeps_to_a_drain_when_one_is_killed(
+    tmp_path: Path,
+) -> None:
     seen = uvloop.run(small_fleet(tmp_path))
     assert seen["ready"] == 6 and seen["tracebacks"] == 0
     assert seen["list_calls_whole"] < 6
     assert seen["drains"] == 1 and seen["drains_broken"] == 0
 
 
-def test_a_liar_gets_a_name_that_makes_it_a_relay() -> None:
+def test_the_lying_member_gets_a_name_that_makes_it_a_relay() -> None:
     members = [Peer(f"gw-{n}", "abc"[n % 3]) for n in range(40)]
     name = relay_name("coldstart", members, 3, "a")
     assert name in choose_relays("coldstart", [*members, Peer(name, "a")], 3)
 
 
-def test_of_a_liars_lists_the_old_one_alone_is_a_list() -> None:
-    told = bad_lists([{"name": "host-0", "status": "SERVING"}], oldest=1)
-    old, broken, no_entries, no_list, enormous = (next(iter(told)) for _ in range(5))
+def test_only_the_old_one_of_the_bad_lists_is_valid() -> None:
+    lists = bad_lists([{"name": "host-0", "status": "SERVING"}], oldest=1)
+    old, broken, no_entries, no_list, enormous = (next(iter(lists)) for _ in range(5))
     held = HeldList()
     assert held.apply(decode(old)) is ApplyResult.NEW and held.version == ListVersion(0, 1)
     with pytest.raises(ValueError):
--- a/tests/test_lab_command.py
+++ b/tests/test_lab_command.py
@@ -33,7 +33,7 @@
         (["--soak-hours", "nan"], "--soak-hours: 'nan' is not a number of hours"),
     ],
 )
-def test_a_fleet_that_cannot_be_is_named_and_refused(
+def test_an_invalid_fleet_argument_is_named_and_refused(
     words: list[str], says: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     with pytest.raises(SystemExit):
--- a/tests/test_lab_messages.py
+++ b/tests/test_lab_messages.py
@@ -8,7 +8,7 @@
 ANSWER = b"HTTP/1.1 503 X\r\nConnection: close\r\n\r\n"
 
 
-def test_a_message_is_taken_once_its_body_is_whole_and_what_is_behind_it_stays() -> None:
+def test_a_message_is_parsed_once_its_body_is_complete_and_the_bytes_after_it_are_kept() -> None:
     for size in range(len(REQUEST)):
         assert parse_message(REQUEST[:size]) == (None, REQUEST[:size])
     message, rest = parse_message(REQUEST + ANSWER)
@@ -16,7 +16,7 @@
     assert message.headers[b"x-call-id"] == b"0a" and rest == ANSWER
 
 
-def test_an_answer_tells_its_status_and_whether_its_connection_ends() -> None:
+def test_a_response_has_its_status_and_whether_it_closes_the_connection() -> None:
     message, rest = parse_message(ANSWER)
     assert message == Message(b"HTTP/1.1 503 X", {b"connection": b"close"}) and rest == b""
     assert message.status == 503 and message.closes_connection
--- a/tests/test_lab_starts.py
+++ b/tests/test_lab_starts.py
@@ -45,7 +45,7 @@
     asyncio.run(run())
 
 
-def test_another_gateway_that_answers_at_the_port_is_no_start(tmp_path: Path) -> None:
+def test_another_gateway_that_answers_at_the_port_does_not_count_as_a_start(tmp_path: Path) -> None:
     async def steps(foreign: GatewayProcess, host: Host) -> None:
         config = configuration("late", foreign.port, "127.0.0.1:9", [endpoint(host)])
         late = GatewayProcess("late", tmp_path, config, None)
@@ -57,7 +57,7 @@
     with_foreign_gateway(tmp_path, steps)
 
 
-def test_a_gateway_whose_operators_port_is_taken_says_so_and_ends(tmp_path: Path) -> None:
+def test_a_gateway_whose_operator_port_is_taken_logs_it_and_exits(tmp_path: Path) -> None:
     async def steps(foreign: GatewayProcess, host: Host) -> None:
         config = configuration("late", free_port(), "127.0.0.1:9", [endpoint(host)])
         late = GatewayProcess("late", tmp_path, config | {"operator": f"127.0.0.1:{foreign.port}"}, None)
@@ -68,7 +68,9 @@
     with_foreign_gateway(tmp_path, steps)
 
 
-def test_an_old_process_on_the_inherited_socket_is_no_start_of_the_new_one(tmp_path: Path) -> None:
+def test_an_old_process_on_the_inherited_socket_does_not_count_as_a_start_of_the_new_one(
+    tmp_path: Path,
+) -> None:
     """Both processes have the socket, and the old one answers on it before the new one serves."""
 
     async def steps(foreign: GatewayProcess, host: Host) -> None:
@@ -91,7 +93,7 @@
     with_foreign_gateway(tmp_path, steps)
 
 
-def test_a_fleet_starts_a_gateway_whose_port_is_taken_at_another(
+def test_a_fleet_starts_a_gateway_at_another_port_if_its_port_is_taken(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Forces the race of two fleets: at the first port that is chosen, a foreign gateway answers."""
@@ -118,7 +120,7 @@
     assert "exit code 1" in said and "cannot listen on" in said
 
 
-def test_a_run_gives_a_port_once_and_none_that_the_system_lends() -> None:
+def test_a_run_allocates_a_port_once_and_none_of_the_ephemeral_range() -> None:
     given = free_ports(500)
     lent = int(Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split()[0])
     assert len(set(given)) == 500 and max(given) < lent
@@ -126,7 +128,7 @@
         datagram.bind(("127.0.0.1", given[0]))
 
 
-def test_runs_beside_each_other_are_not_given_the_same_port(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_runs_at_the_same_time_do_not_get_the_same_port(monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against runs at the same time choosing the same port.
 
     Of five soaks at once, one found another run's gateway at its port, and one gateway exited at its bind.
@@ -149,7 +151,7 @@
 
 
 @pytest.mark.parametrize("host", ["127.0.0.1", "127.64.0.9"])
-def test_the_process_that_listens_is_told_from_others(host: str) -> None:
+def test_the_process_that_listens_is_distinguished_from_others(host: str) -> None:
     with socket.create_server((host, free_port(host))) as server:
         port = server.getsockname()[1]
         assert listens(os.getpid(), port, host)
--- a/tests/test_membership_lab.py
+++ b/tests/test_membership_lab.py
@@ -28,15 +28,15 @@
 
 @pytest.fixture(scope="module")
 def runner() -> Iterator[asyncio.Runner]:
-    with asyncio.Runner() as made:
-        yield made
+    with asyncio.Runner() as new_runner:
+        yield new_runner
 
 
 @pytest.fixture(scope="module")
 def fleet(runner: asyncio.Runner) -> Iterator[MemberFleet]:
-    made = runner.run(MemberFleet(7, seed=5, settings=SETTINGS).__aenter__())
-    yield made
-    runner.run(made.close())
+    new_fleet = runner.run(MemberFleet(7, seed=5, settings=SETTINGS).__aenter__())
+    yield new_fleet
+    runner.run(new_fleet.close())
 
 
 @pytest.fixture
@@ -59,13 +59,13 @@
     fleet: MemberFleet, place: RelayMember, name: str, settings: dict[str, Any], *words: str
 ) -> AsyncIterator[MemberProcess]:
     """A further process behind the fleet's relay that is not part of the fleet."""
-    light = MemberProcess(name, place, fleet.changed, [])
+    member = MemberProcess(name, place, fleet.changed, [])
     try:
-        await light.start(fleet.settings | settings, *words)
-        yield light
+        await member.start(fleet.settings | settings, *words)
+        yield member
     finally:
-        light.signal(signal.SIGKILL)
-        await light.wait_ended()
+        member.signal(signal.SIGKILL)
+        await member.wait_ended()
 
 
 def test_a_killed_member_is_dead_to_all_others_and_comes_back_with_a_higher_incarnation(case: Case) -> None:
@@ -98,7 +98,7 @@
     case(steps)
 
 
-def test_loss_on_all_paths_and_stops_of_a_fifth_of_a_second_kill_nobody(case: Case) -> None:
+def test_loss_on_all_paths_and_stops_of_a_fifth_of_a_second_cause_no_death(case: Case) -> None:
     async def steps(fleet: MemberFleet) -> None:
         fleet.relay.set_rule(Rule(drop=0.05, duplicate=0.05, reorder=0.05, delay_s=(0.0, 0.005)))
         rng = random.Random(3)
@@ -114,7 +114,7 @@
     case(steps)
 
 
-def test_parted_sides_hold_each_other_dead_and_agree_after_the_heal_with_one_that_joined_meanwhile(
+def test_partitioned_sides_report_each_other_dead_and_agree_after_the_heal_also_with_a_new_member(
     case: Case,
 ) -> None:
     async def steps(fleet: MemberFleet) -> None:
@@ -135,10 +135,10 @@
         fleet.relay.heal()
         fleet.deaths.clear()
         await fleet.wait_agreed(4 * SETTINGS["push_pull_s"])
-        told = {
+        reporters = {
             death.reporter for death in fleet.deaths
         }  # the joiner may report deaths from before the heal late
-        assert told <= {"joiner"}  # no other member accepts a death from the other side
+        assert reporters <= {"joiner"}  # no other member accepts a death from the other side
         joiner.send_command("leave")
         await joiner.wait_ended()
         await fleet.wait_until(lambda: fleet.all_report("joiner", "left"))
@@ -147,7 +147,7 @@
     case(steps)
 
 
-def test_a_member_that_starts_from_an_old_state_file_outranks_what_its_later_self_said(
+def test_a_member_that_starts_from_an_old_state_file_outranks_its_later_incarnation(
     case: Case, tmp_path: Path
 ) -> None:
     async def steps(fleet: MemberFleet) -> None:
@@ -170,7 +170,7 @@
     case(steps)
 
 
-def test_a_second_process_of_a_name_runs_without_membership_and_the_first_is_not_touched(case: Case) -> None:
+def test_a_second_process_of_a_name_runs_without_membership_and_the_first_is_not_affected(case: Case) -> None:
     async def steps(fleet: MemberFleet) -> None:
         others = [m for m in fleet.running() if m.name != "m1"]
         place = await fleet.relay.add_member("twin")
--- a/tests/test_soak_lab.py
+++ b/tests/test_soak_lab.py
@@ -73,20 +73,22 @@
         (LEFT, [FIRST], set()),
     ],
 )  # fmt: skip
-def test_a_rule_is_broken_by_just_what_breaks_it(
+def test_each_rule_is_broken_only_by_records_that_break_it(
     exchange: Exchange, arrivals: list[Arrival], broken: set[str]
 ) -> None:
     assert rules(exchange, arrivals=arrivals) == broken
 
 
 @pytest.mark.parametrize(("sent_s", "broken"), [(100.0, set()), (100.9, {"lost"})])
-def test_what_sigkill_finds_is_owed_if_it_came_late_after_sigterm(sent_s: float, broken: set[str]) -> None:
+def test_a_request_open_at_sigkill_is_lost_if_sent_late_after_sigterm(
+    sent_s: float, broken: set[str]
+) -> None:
     run = ProcessRun(0, 1, 0.0, ready_s=1.0, sigterm_s=100.0, sigkill_s=101.7)
     late = replace(CLOSED, sent_s=sent_s, deadline_s=sent_s + 1.0, ended_s=101.7)
     assert rules(late, arrivals=[replace(FIRST, first_byte_s=sent_s, budget_s=1.0)], run=run) == broken
 
 
-def test_a_process_that_is_not_ready_in_time_is_found() -> None:
+def test_a_process_that_is_ready_too_late_is_a_violation() -> None:
     assert rules(run=ProcessRun(0, 1, 0.0, ready_s=10.1)) == {"ready"}
 
 
@@ -136,7 +138,7 @@
     assert NotificationClock(records, pushed=False).known_s(change, 0, 1) == since_s + 0.1
 
 
-def test_an_outage_of_the_new_address_puts_off_what_is_known_after_a_sighup() -> None:
+def test_an_outage_of_the_new_address_delays_when_a_change_is_known_after_a_sighup() -> None:
     moved = DiscoveryAddress(19.0, [SILENT])
     records = Records(runs={(0, 1): ProcessRun(0, 1, 5.0)}, addresses={0: [DiscoveryAddress(0.0), moved]})
     assert NotificationClock(records, pushed=False).known_s(HostChange(7, 21.0), 0, 1) == 27.0
@@ -155,13 +157,13 @@
     assert {each.rule for each in Judge(SETTINGS, records).violations()} == broken
 
 
-def test_a_seed_draws_the_same_schedule_again_and_all_kinds_come() -> None:
+def test_a_seed_always_draws_the_same_schedule_and_all_kinds_occur() -> None:
     assert schedule(draw_settings(5, 60.0)) == schedule(draw_settings(5, 60.0))
     kinds = {planned.kind for seed in range(6) for planned in schedule(draw_settings(seed, 60.0))}
     assert kinds == set(EventKind)
 
 
-def test_the_last_line_has_the_figures_that_are_asked_for() -> None:
+def test_the_last_line_has_the_required_figures() -> None:
     assert {"seeds", "requests", "kills", "signals", "broken"} <= total_figures([Result(1)]).keys()
 
 
@@ -172,7 +174,7 @@
     assert ended.value.code == 2 and "not a" in capsys.readouterr().err
 
 
-def test_a_process_that_the_system_has_not_made_yet_has_no_figures(
+def test_a_process_that_the_system_has_not_created_yet_has_no_figures(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against an AssertionError at the end of a seed while a killed process is being started again."""
@@ -198,9 +200,7 @@
     asyncio.run(end_while_starting())
 
 
-def test_an_event_that_does_not_happen_fails_its_seed(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_an_event_that_raises_fails_its_seed(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against an event's task that raises unnoticed, with the seed going on without the event."""
 
     async def fail(*_: object) -> None:
