--- a/faultlab/relay/__init__.py
+++ b/faultlab/relay/__init__.py
@@ -1,10 +1,10 @@
-"""A relay of datagrams and streams between members on one machine, which loses, delays, doubles, reorders and
-cuts by rule and seed.
+"""A relay of datagrams and streams between members on one machine. It drops, delays, duplicates, reorders and
+partitions traffic by rules, with random draws from a seed.
 
-Every member binds an address on a loopback host of its own and tells others the relay's address for it
-(`cluster.advertise`); who sent a datagram or opened a stream is known by the host it comes from, so members
-open their streams from the host that they bind. Datagrams go on from the relay's socket for their sender, so
-that a receiver sees its advertised address. It runs in the lab's event loop.
+Every member binds an address on a loopback host of its own and advertises the relay's address for it
+(`cluster.advertise`). The relay identifies the sender of a datagram or stream by its source host, so members
+open their streams from the host that they bind. A datagram is forwarded from the relay's socket for its
+sender, so the receiver sees the sender's advertised address. The relay runs in the lab's event loop.
 """
 
 from __future__ import annotations
@@ -23,13 +23,13 @@
 
 __all__ = ["Relay", "RelayMember", "Rule"]
 
-FIRST_HOST = int(IPv4Address("127.64.0.0"))  # the first of the members' own hosts; each relay takes the next
+FIRST_HOST = int(IPv4Address("127.64.0.0"))  # base of the members' own hosts; each member takes the next one
 _host_numbers = itertools.count(1)
 
 
 @dataclass(slots=True)
 class RelayMember:
-    """A member's place behind the relay: the address it binds and the one it advertises, both `host:port`."""
+    """A member behind the relay, with the address that it binds and the one that it advertises."""
 
     name: str
     host: str
@@ -48,22 +48,23 @@
 
 
 class Relay:
-    """Places by name, the rules between them, and counts of what passed (`counts["sent"]` by sender too)."""
+    """The members by name, the rules and cuts between them, and counts of the relayed traffic."""
 
     def __init__(self, seed: int = 1) -> None:
         self.rules = Rules(seed)
         self.members: dict[str, RelayMember] = {}
         self.by_host: dict[str, RelayMember] = {}
-        self.counts: Counter[str] = Counter()  # sent, lost, passed, strangers; streams, bytes
-        self.sent_by_member: Counter[str] = Counter()  # datagrams by the member that sent them
-        self.cuts_changed = asyncio.Event()  # replaced at each change of the rules
-        # What becomes of a stream's next piece, from one member to another; None: it passes as it is.
+        # Keys: lost, passed, refused (datagrams); streams, bytes; strangers (both: from an unknown sender).
+        self.counts: Counter[str] = Counter()
+        self.sent_by_member: Counter[str] = Counter()  # datagrams, by sending member
+        self.cuts_changed = asyncio.Event()  # set, and replaced by a new event, at each cut and heal
+        # Called as (source, target, data) for each chunk of a stream; returns the bytes to forward.
         self.mangle: Callable[[str, str, bytes], bytes] | None = None
 
     async def add_member(self, name: str) -> RelayMember:
-        """A place for member `name`, with a host and ports of its own. Raises ValueError for a name known."""
+        """Add member `name`, with a host and ports of its own. Raises ValueError if the name is in use."""
         if name in self.members:
-            raise ValueError(f"{name} has its place already")
+            raise ValueError(f"member {name} is already behind the relay")
         host = str(IPv4Address(FIRST_HOST + next(_host_numbers)))
         loop = asyncio.get_running_loop()
         relay_port = free_port()
@@ -72,40 +73,41 @@
         )
         streams = StreamPort(self, name)
         await streams.start(relay_port)
-        place = RelayMember(name, host, free_port(host), relay_port, datagrams, streams)
-        self.members[name] = self.by_host[host] = place
-        return place
+        member = RelayMember(name, host, free_port(host), relay_port, datagrams, streams)
+        self.members[name] = self.by_host[host] = member
+        return member
 
     def set_rule(
         self, rule: Rule, sources: Iterable[str] | None = None, targets: Iterable[str] | None = None
     ) -> None:
-        """`Rules.set`, at once for all that passes from now on."""
+        """`Rules.set_rule`, for all traffic from now on."""
         self.rules.set_rule(rule, sources, targets)
 
     def cut(self, sources: Iterable[str], targets: Iterable[str], one_way: bool = False) -> None:
-        """`Rules.cut`: datagrams are lost, also those on their way; streams stand still and new ones get no
-        answer, as on a network that has fallen silent, and all go on where they stood after `heal`."""
+        """`Rules.cut`: datagrams are lost, including delayed ones not yet forwarded. Streams stall and new
+        ones get no answer, as on a silent network; all continue where they stopped after `heal`."""
         self.rules.cut(sources, targets, one_way)
         self._notify_cuts_changed()
 
     def heal(self) -> None:
+        """Remove all cuts; stalled streams continue."""
         self.rules.heal()
         self._notify_cuts_changed()
 
     def reset_streams(self, sources: Iterable[str], targets: Iterable[str]) -> int:
-        """Break the open streams between the two groups, with a reset at both ends; returns how many."""
-        ends, others = set(sources), set(targets)
-        broken = 0
-        for place in self.members.values():
-            for stream in list(place.streams.open_streams):
+        """Reset the open streams between the two groups at both ends; returns how many."""
+        group, others = set(sources), set(targets)
+        reset_count = 0
+        for member in self.members.values():
+            for stream in list(member.streams.open_streams):
                 pair = stream.source, stream.target
-                if (pair[0] in ends and pair[1] in others) or (pair[1] in ends and pair[0] in others):
+                if (pair[0] in group and pair[1] in others) or (pair[1] in group and pair[0] in others):
                     stream.reset()
-                    broken += 1
-        return broken
+                    reset_count += 1
+        return reset_count
 
     async def wait_uncut(self, source: str, target: str) -> None:
-        """Returns once nothing cuts `source` from `target`."""
+        """Wait until `source` is not cut off from `target`."""
         while self.rules.is_cut(source, target):
             await self.cuts_changed.wait()
 
@@ -114,9 +116,9 @@
         self.cuts_changed = asyncio.Event()
 
     async def close(self) -> None:
-        """Close every port and break every stream."""
-        for place in self.members.values():
-            place.datagrams.close()
-            await place.streams.close()
+        """Close every port and reset every stream."""
+        for member in self.members.values():
+            member.datagrams.close()
+            await member.streams.close()
         self.members.clear()
         self.by_host.clear()
--- a/faultlab/relay/datagrams.py
+++ b/faultlab/relay/datagrams.py
@@ -10,7 +10,7 @@
 
 
 class DatagramPort(asyncio.DatagramProtocol):
-    """Takes what others send to member `name` and passes it on, or not, as the relay's rules say."""
+    """Receives what others send to member `name` and forwards or drops it by the relay's rules."""
 
     def __init__(self, relay: Relay, name: str) -> None:
         self.relay = relay
@@ -47,7 +47,7 @@
         self.relay.counts["passed"] += 1
 
     def error_received(self, exc: Exception) -> None:
-        """A killed member's port answers that nobody is there: to the sender that is silence."""
+        """A killed member's port refuses the datagram; the sender is not told, as over a real network."""
         self.relay.counts["refused"] += 1
 
     def close(self) -> None:
--- a/faultlab/relay/streams.py
+++ b/faultlab/relay/streams.py
@@ -16,7 +16,7 @@
 
 
 class Stream:
-    """One connection from member `source` to member `target`: two sockets with the rules between them."""
+    """One relayed connection from member `source` to member `target`, made of two sockets."""
 
     def __init__(
         self,
@@ -33,22 +33,20 @@
         self.writers = [writer]
 
     async def run(self) -> None:
-        """Connect on, then carry both ways until both ends have closed or one has failed."""
-        relay, place = self.relay, self.relay.members[self.target]
+        """Connect to the target, then forward both ways until both ends have closed or one has failed."""
+        relay, member = self.relay, self.relay.members[self.target]
         try:
             await relay.wait_uncut(self.source, self.target)
-            await relay.wait_uncut(
-                self.target, self.source
-            )  # the answer to the first packet comes back this way
+            await relay.wait_uncut(self.target, self.source)  # the handshake needs the way back too
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                reader, writer = await asyncio.open_connection(place.host, place.port)
+                reader, writer = await asyncio.open_connection(member.host, member.port)
             self.writers.append(writer)
-            async with asyncio.TaskGroup() as both:
-                both.create_task(self._forward(self.reader, writer, self.source, self.target))
-                both.create_task(self._forward(reader, self.writers[0], self.target, self.source))
+            async with asyncio.TaskGroup() as directions:
+                directions.create_task(self._forward(self.reader, writer, self.source, self.target))
+                directions.create_task(self._forward(reader, self.writers[0], self.target, self.source))
             for writer in self.writers:
                 writer.close()
-        except (OSError, ExceptionGroup):  # TimeoutError is an OSError; a pump's failure comes in a group
+        except (OSError, ExceptionGroup):  # TimeoutError is an OSError; _forward fails within a group
             self.reset()
 
     async def _forward(
@@ -56,9 +54,8 @@
     ) -> None:
         relay = self.relay
         while True:
-            await relay.wait_uncut(
-                source, target
-            )  # what is sent meanwhile stays where it is, and the sender with it
+            # During a cut nothing is read: data stays in the socket buffers and the sender blocks.
+            await relay.wait_uncut(source, target)
             data = await reader.read(READ_SIZE)
             delay_s = relay.rules.stream_delay_s(source, target)
             if delay_s > 0.0:
@@ -75,7 +72,7 @@
             relay.counts["bytes"] += len(data)
 
     def reset(self) -> None:
-        """Break both ends at once, with a reset rather than an orderly end."""
+        """Abort both connections at once, with a TCP reset instead of an orderly close."""
         for writer in self.writers:
             with contextlib.suppress(OSError):
                 if (sock := writer.get_extra_info("socket")) is not None:
@@ -84,7 +81,7 @@
 
 
 class StreamPort:
-    """Takes the connections that others open to member `name`."""
+    """Accepts the connections that others open to member `name`."""
 
     def __init__(self, relay: Relay, name: str) -> None:
         self.relay = relay
@@ -111,7 +108,7 @@
         try:
             await stream.run()
         except asyncio.CancelledError:
-            pass  # by `close`: to the system's callback a cancelled task is an error that it cannot read
+            pass  # cancelled by `close`: asyncio's callback would report a cancelled handler as an error
         finally:
             self.open_streams.discard(stream)
             self._tasks.discard(task)
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay between members: its rules by seed, and what it does to real datagrams and streams."""
+"""The lab's relay: its seeded rules, and what it does to real datagrams and streams."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 LIMIT_S = 5.0
 
 
-def fates(rules: Rules, source: str, target: str, count: int) -> list[tuple[float, ...]]:
+def draw_delays(rules: Rules, source: str, target: str, count: int) -> list[tuple[float, ...]]:
     return [rules.copy_delays_s(source, target) for _ in range(count)]
 
 
-def test_a_pairs_fate_depends_on_the_seed_and_the_pair_alone() -> None:
+def test_what_happens_to_a_pairs_datagrams_depends_on_the_seed_and_the_pair_alone() -> None:
     rule = Rule(drop=0.3, duplicate=0.2, reorder=0.1, delay_s=(0.01, 0.02))
     alone, among, other = Rules(5), Rules(5), Rules(6)
     for rules in (alone, among, other):
         rules.set_rule(rule)
-    fates(among, "b", "a", 17)
-    expected = fates(alone, "a", "b", 2_000)
-    assert expected == fates(among, "a", "b", 2_000) != fates(other, "a", "b", 2_000)
+    draw_delays(among, "b", "a", 17)
+    expected = draw_delays(alone, "a", "b", 2_000)
+    assert expected == draw_delays(among, "a", "b", 2_000) != draw_delays(other, "a", "b", 2_000)
     lost, doubled = expected.count(()), sum(len(f) == 2 for f in expected)
     assert 500 < lost < 700 and 200 < doubled < 360
     held = [f[0] for f in expected if f and f[0] > 0.03]
@@ -56,20 +56,20 @@
         Rule(**bad)  # type: ignore[arg-type]
 
 
-class Ear(asyncio.DatagramProtocol):
-    """A member's socket: what came, and from where."""
+class Receiver(asyncio.DatagramProtocol):
+    """A member's socket; keeps each datagram received and its source address."""
 
     def __init__(self) -> None:
-        self.heard: asyncio.Queue[tuple[bytes, tuple[str, int]]] = asyncio.Queue()
+        self.received: asyncio.Queue[tuple[bytes, tuple[str, int]]] = asyncio.Queue()
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self.heard.put_nowait((data, addr))
+        self.received.put_nowait((data, addr))
 
 
-async def socket_at(place: RelayMember) -> tuple[asyncio.DatagramTransport, Ear]:
+async def socket_at(place: RelayMember) -> tuple[asyncio.DatagramTransport, Receiver]:
     loop = asyncio.get_running_loop()
-    transport, ear = await loop.create_datagram_endpoint(Ear, local_addr=(place.host, place.port))
-    return transport, ear
+    transport, receiver = await loop.create_datagram_endpoint(Receiver, local_addr=(place.host, place.port))
+    return transport, receiver
 
 
 def address(place: RelayMember) -> tuple[str, int]:
@@ -80,12 +80,12 @@
     async def run() -> None:
         relay = Relay(3)
         a, b = await relay.add_member("a"), await relay.add_member("b")
-        with pytest.raises(ValueError, match="a has its place"):
+        with pytest.raises(ValueError, match="member a is already behind the relay"):
             await relay.add_member("a")
-        (at_a, _), (at_b, ear) = await socket_at(a), await socket_at(b)
+        (at_a, _), (at_b, receiver) = await socket_at(a), await socket_at(b)
         async with asyncio.timeout(LIMIT_S):
             at_a.sendto(b"clean", address(b))
-            assert await ear.heard.get() == (b"clean", address(a))
+            assert await receiver.received.get() == (b"clean", address(a))
             relay.cut(["a"], ["b"])
             at_a.sendto(b"lost", address(b))
             while relay.counts["lost"] < 1:
@@ -93,21 +93,21 @@
             relay.heal()
             relay.set_rule(Rule(duplicate=1.0))
             at_a.sendto(b"twice", address(b))
-            assert [(await ear.heard.get())[0] for _ in range(2)] == [b"twice", b"twice"]
+            assert [(await receiver.received.get())[0] for _ in range(2)] == [b"twice", b"twice"]
             relay.set_rule(Rule(reorder=1.0, hold_s=0.02))
             at_a.sendto(b"first", address(b))
             while relay.sent_by_member["a"] < 4:
                 await asyncio.sleep(0)
             relay.set_rule(Rule())
             at_a.sendto(b"second", address(b))
-            assert [(await ear.heard.get())[0] for _ in range(2)] == [b"second", b"first"]
+            assert [(await receiver.received.get())[0] for _ in range(2)] == [b"second", b"first"]
             stranger, _ = await asyncio.get_running_loop().create_datagram_endpoint(
-                Ear, local_addr=("127.0.0.1", 0)
+                Receiver, local_addr=("127.0.0.1", 0)
             )
             stranger.sendto(b"who", address(b))
             while relay.counts["strangers"] < 1:
                 await asyncio.sleep(0)
-        assert ear.heard.empty() and relay.counts["passed"] == 5
+        assert receiver.received.empty() and relay.counts["passed"] == 5
         for transport in (at_a, at_b, stranger):
             transport.close()
         await relay.close()
@@ -153,7 +153,7 @@
             stranger, stranger_writer = await connect("127.0.0.1")
             assert await stranger.read() == b"" and relay.counts["strangers"] == 1
             server.close()
-            reader, writer = await connect(a.host)  # nobody there: broken, not silent
+            reader, writer = await connect(a.host)  # nobody listens any more: reset, not silent
             with pytest.raises(ConnectionResetError):
                 await reader.readexactly(1)
             stranger_writer.close()
