--- a/faultlab/duties/__init__.py
+++ b/faultlab/duties/__init__.py
@@ -1,1 +1,1 @@
-"""python -m faultlab duties: processes race for duties, faults between, a resource that checks tokens."""
+"""python -m faultlab duties: processes compete for duties under faults; a resource checks their tokens."""
--- a/faultlab/duties/command.py
+++ b/faultlab/duties/command.py
@@ -1,7 +1,8 @@
-"""python -m faultlab duties: take-over, hand-over and double holding under faults, in one run.
+"""python -m faultlab duties: takeover, handover and double holding of a duty under faults, in one run.
 
-Each fault is of a kind drawn by the seed: the holder killed, stopped past its time and let go on, told to
-end, all restarted; for the local backend also the store locked, replaced, lost. `--sites` play side by side.
+The kind of each fault is drawn from the seed: the holder is killed, stopped past its lease and continued, or
+told to exit, or all are restarted. For the local backend the store is also locked, replaced or lost; for the
+quorum backend a majority is stopped. `--sites` run side by side.
 """
 
 from __future__ import annotations
@@ -36,23 +37,24 @@
     "minority": 2,
     "restart-all": 1,
 }
-HOLDER_TIMEOUT_S = 30.0  # for somebody to hold a duty again after any fault
+HOLDER_TIMEOUT_S = 30.0  # for a worker to hold the duty again after any fault
 
 
 @dataclass
 class FaultResults:
-    """What the faults came to: seconds from a fault to the first action of the next holder, by kind."""
+    """Results of all faults; `takeover_s`: seconds from a fault to the next holder's first action."""
 
-    takeover_s: dict[str, list[float]] = field(default_factory=dict)
+    takeover_s: dict[str, list[float]] = field(default_factory=dict)  # by kind of fault
     faults: Counter[str] = field(default_factory=Counter)
-    unheld: int = 0  # faults after which nobody held the duty in HELD_S
-    stopped_in_write: int = 0
-    cut_off_actions: int = 0  # actions sent by a holder without a majority, a time to live after it lost it
+    unheld: int = 0  # faults after which no worker held the duty within HOLDER_TIMEOUT_S
+    stopped_in_write: int = 0  # holders stopped while they had the state file locked
+    # Actions of a holder without a majority, more than a lease's time to live after it lost the majority.
+    cut_off_actions: int = 0
 
 
 def register(parts: Subcommands) -> None:
     """Add `duties` and its arguments to the lab's commands."""
-    lab = parts.add_parser("duties", help="who holds a duty while holders and the store fail")
+    lab = parts.add_parser("duties", help="takeover of a duty while its holders and the store fail")
     lab.add_argument("--processes", type=positive_int, default=10)
     lab.add_argument("--faults", type=positive_int, default=50, help="for each site (default 50)")
     lab.add_argument("--sites", type=positive_int, default=1)
@@ -64,32 +66,35 @@
 
 
 def command(arguments: argparse.Namespace) -> int:
-    """0 where no two held a duty at once and it was held again after each fault, else 1."""
+    """Run the experiment; returns 0 if no two workers held a duty at once and it was held again after each
+    fault, else 1."""
     figures = asyncio.run(experiment(arguments))
     report(figures, arguments.json)
-    broken = ("overlaps", "tokens_repeated", "cut_off_acts", "unheld")
-    return 1 if any(figures[name] for name in broken) else 0
+    violations = ("overlaps", "tokens_repeated", "cut_off_acts", "unheld")
+    return 1 if any(figures[name] for name in violations) else 0
 
 
 async def experiment(arguments: argparse.Namespace) -> dict[str, Any]:
-    found = FaultResults()
+    """Run all sites; returns the figures."""
+    results = FaultResults()
     with tempfile.TemporaryDirectory(prefix="duties-") as folder:
         sites = []
         for number in range(arguments.sites):
-            own = Path(folder) / str(number)
-            own.mkdir()
+            site_folder = Path(folder) / str(number)
+            site_folder.mkdir()
             careless = min(2, arguments.processes - 1)  # so that there are stale actions to reject
             sites.append(
-                DutySite(own, arguments.processes, {DUTY: arguments.ttl}, arguments.backend, careless)
+                DutySite(site_folder, arguments.processes, {DUTY: arguments.ttl}, arguments.backend, careless)
             )
-        began_s = time.monotonic()
-        played = [run_site(s, found, arguments, arguments.seed + n) for n, s in enumerate(sites)]
-        calls = await asyncio.gather(*played)
+        started_s = time.monotonic()
+        runs = [run_site(s, results, arguments, arguments.seed + n) for n, s in enumerate(sites)]
+        rates = await asyncio.gather(*runs)
     figures: dict[str, Any] = {
         "backend": arguments.backend, "processes": arguments.processes, "sites": arguments.sites,
-        "ttl_s": arguments.ttl, "faults": sum(found.faults.values()), "faults_by_kind": dict(found.faults),
+        "ttl_s": arguments.ttl, "faults": sum(results.faults.values()),
+        "faults_by_kind": dict(results.faults),
     }  # fmt: skip
-    for kind, after_s in sorted(found.takeover_s.items()):
+    for kind, after_s in sorted(results.takeover_s.items()):
         ranked = sorted(after_s)
         figures[f"{kind}_to_next_s"] = {
             "p50": round(ranked[len(ranked) // 2], 3), "p99": round(ranked[int(len(ranked) * 0.99)], 3),
@@ -101,57 +106,57 @@
         "actions_rejected": sum(r.rejected.total() for r in resources),
         "overlaps": sum(r.overlaps for r in resources),
         "tokens_repeated": sum(r.repeated_tokens for r in resources),
-        "unheld": found.unheld,
-        "stopped_in_write": found.stopped_in_write,
-        "cut_off_acts": found.cut_off_actions,
-        "transactions_per_process_s": round(sum(calls) / len(calls), 3),
-        "wall_s": round(time.monotonic() - began_s, 1),
+        "unheld": results.unheld,
+        "stopped_in_write": results.stopped_in_write,
+        "cut_off_acts": results.cut_off_actions,
+        "transactions_per_process_s": round(sum(rates) / len(rates), 3),
+        "wall_s": round(time.monotonic() - started_s, 1),
     }
     return figures
 
 
-async def run_site(site: DutySite, found: FaultResults, arguments: argparse.Namespace, seed: int) -> float:
-    """One site's faults; returns transactions a second and process while nothing befell it."""
+async def run_site(site: DutySite, results: FaultResults, arguments: argparse.Namespace, seed: int) -> float:
+    """Inject one site's faults; returns its transactions per second and worker without faults."""
     rng = random.Random(seed)
     kinds = KINDS[arguments.backend]
     async with site:
         holder = await site.wait_held(DUTY)
         for _ in range(arguments.faults):
             kind = rng.choices(kinds, [WEIGHTS[k] for k in kinds])[0]
-            found.faults[kind] += 1
-            begun_s = time.monotonic()
+            results.faults[kind] += 1
+            fault_s = time.monotonic()
             if kind == "minority":
-                found.cut_off_actions += await stop_majority(site, holder, arguments.ttl)
+                results.cut_off_actions += await stop_majority(site, holder, arguments.ttl)
             after = await apply_fault(site, kind, holder, arguments.ttl)
             if after is None:
-                # A holder that stands still within its own transaction keeps the file's lock.
+                # A holder stopped within a transaction keeps the state file locked: no takeover is possible.
                 in_write = kind == "stop" and site.stopped_in_write
-                found.unheld += not in_write
-                found.stopped_in_write += in_write
+                results.unheld += not in_write
+                results.stopped_in_write += in_write
                 after = await site.wait_held(DUTY)
             elif after.token > holder.token:
-                found.takeover_s.setdefault(kind, []).append(after.accepted_s - begun_s)
+                results.takeover_s.setdefault(kind, []).append(after.accepted_s - fault_s)
             holder = after
         return await idle_transaction_rate(site)
 
 
 async def stop_majority(site: DutySite, holder: FirstAction, ttl_s: float) -> int:
-    """A majority falls silent for two times to live; how often the holder acted in the second."""
-    silent = [worker for worker in site.workers if worker is not site.worker_of(holder.holder)]
-    silent = silent[: len(site.workers) // 2 + 1]
-    for worker in silent:
+    """Stop a majority for twice the time to live; returns how often the holder acted in the second half."""
+    stopped = [worker for worker in site.workers if worker is not site.worker_of(holder.holder)]
+    stopped = stopped[: len(site.workers) // 2 + 1]
+    for worker in stopped:
         worker.send_signal(signal.SIGSTOP)
     await asyncio.sleep(ttl_s)  # how long the fault lasts
-    looked = site.resource.guarded[DUTY]
+    before = site.resource.guarded[DUTY]
     await asyncio.sleep(ttl_s)
-    acted = site.resource.guarded[DUTY] - looked
-    for worker in silent:
+    acted = site.resource.guarded[DUTY] - before
+    for worker in stopped:
         worker.send_signal(signal.SIGCONT)
     return acted
 
 
 async def apply_fault(site: DutySite, kind: str, holder: FirstAction, ttl_s: float) -> FirstAction | None:
-    """One fault, and who holds the duty once it is over."""
+    """Inject one fault; returns the next holder's first action, or None if there was none in time."""
     worker = site.worker_of(holder.holder)
     match kind:
         case "kill":
@@ -191,8 +196,8 @@
 
 
 async def idle_transaction_rate(site: DutySite) -> float:
-    """Transactions of each worker a second, over COST_S of rest."""
-    begun = sum([await worker.transactions() for worker in site.workers])
-    await asyncio.sleep(IDLE_PERIOD_S)  # the span that is measured
-    ended = sum([await worker.transactions() for worker in site.workers])
-    return (ended - begun) / IDLE_PERIOD_S / len(site.workers)
+    """Transactions per second and worker, over IDLE_PERIOD_S without faults."""
+    at_start = sum([await worker.transactions() for worker in site.workers])
+    await asyncio.sleep(IDLE_PERIOD_S)  # the measured interval
+    at_end = sum([await worker.transactions() for worker in site.workers])
+    return (at_end - at_start) / IDLE_PERIOD_S / len(site.workers)
--- a/faultlab/duties/resource.py
+++ b/faultlab/duties/resource.py
@@ -1,7 +1,9 @@
-"""What duties act on, as a stand-in: it rejects a token lower than the highest that it has seen of a duty.
+"""A stand-in for the resource that duties act on: it rejects actions under an outdated fencing token.
 
-An action is a line `duty token holder sent_s`, `sent_s` by the clock that all processes of the machine share.
-A holder whose name ends in CARELESS does not look whether it still holds the duty: the tokens alone stop it.
+A token is outdated if it is lower than the highest one seen of its duty. An action is a line
+`duty token holder sent_s`, with `sent_s` by the monotonic clock that all processes of the machine share. A
+holder whose name ends in CARELESS_SUFFIX does not check whether it still holds the duty: only the tokens stop
+it.
 """
 
 from __future__ import annotations
@@ -27,26 +29,25 @@
 
 @dataclass
 class Resource:
-    """`overlaps`: first actions of a holder that were sent before the last accepted one of the holder before,
-    which looked. `rejected`: actions under a lower token than the highest seen."""
+    """Accepts and rejects actions, and counts the violations.
+
+    `overlaps`: first actions under a new token that were sent before the last accepted action of a holder
+    that checks its lease. `rejected`: actions under a token lower than the highest seen.
+    """
 
     accepted: Counter[str] = field(default_factory=Counter)
-    guarded: Counter[str] = field(default_factory=Counter)  # accepted ones of holders that look
+    guarded: Counter[str] = field(default_factory=Counter)  # accepted, of holders that check their lease
     rejected: Counter[str] = field(default_factory=Counter)
     overlaps: int = 0
-    repeated_tokens: int = 0  # tokens that two holders acted under
+    repeated_tokens: int = 0  # accepted actions under a token of another holder
     first_actions: list[FirstAction] = field(default_factory=list)
     highest: dict[str, FirstAction] = field(default_factory=dict)
-    last_guarded_sent_s: dict[str, float] = field(
-        default_factory=dict
-    )  # when the newest accepted action was sent
-    first_action_seen: asyncio.Event = field(
-        default_factory=asyncio.Event
-    )  # set at each first action, for who waits
+    last_guarded_sent_s: dict[str, float] = field(default_factory=dict)  # by duty
+    first_action_seen: asyncio.Event = field(default_factory=asyncio.Event)  # set at each first action
     server: asyncio.Server | None = None
 
     async def start(self) -> int:
-        """Its port."""
+        """Listen on a free port; returns it."""
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         port: int = self.server.sockets[0].getsockname()[1]
         return port
@@ -61,17 +62,18 @@
                 duty, token, holder, sent_s = line.decode().split()
                 self.receive_action(duty, int(token), holder, float(sent_s))
         except (ValueError, ConnectionError):
-            return  # a worker that was killed within a line
+            return  # the worker was killed while it sent a line
         finally:
             writer.close()
 
     def receive_action(self, duty: str, token: int, holder: str, sent_s: float) -> None:
+        """Accept or reject one action."""
         highest = self.highest.get(duty)
         if highest is not None and token < highest.token:
             self.rejected[duty] += 1
             return
         if highest is None or token > highest.token:
-            # Whoever had it before sent its last accepted action before this one was sent, or they overlap.
+            # An overlap, unless the previous holder sent its last accepted action before this one was sent.
             self.overlaps += sent_s < self.last_guarded_sent_s.get(duty, 0.0)
             self.highest[duty] = FirstAction(duty, token, holder, time.monotonic())
             self.first_actions.append(self.highest[duty])
@@ -84,13 +86,13 @@
             self.last_guarded_sent_s[duty] = max(sent_s, self.last_guarded_sent_s.get(duty, 0.0))
 
     async def wait_first_action(self, duty: str, token: int, timeout_s: float) -> FirstAction | None:
-        """The first action under a higher token, as soon as there is one; None: none in time."""
+        """Wait for the first action under a token higher than `token`; None if there is none in time."""
         try:
             async with asyncio.timeout(timeout_s):
                 while True:
-                    found = self.highest.get(duty)
-                    if found is not None and found.token > token:
-                        return found
+                    action = self.highest.get(duty)
+                    if action is not None and action.token > token:
+                        return action
                     self.first_action_seen.clear()
                     await self.first_action_seen.wait()
         except TimeoutError:
--- a/faultlab/duties/site.py
+++ b/faultlab/duties/site.py
@@ -1,4 +1,4 @@
-"""Workers in one state directory, or one voter each, and what befalls them."""
+"""Worker processes that compete for duties, with one state directory or one voter each, and store faults."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 from faultlab.ports import free_port
 
 
-COUNT_TIMEOUT_S = 10.0  # for a worker to say its count
+COUNT_TIMEOUT_S = 10.0  # for a worker to print its count of transactions
 
 
 def create_state_file(directory: Path) -> None:
-    """A state file as a gateway's store begins it."""
+    """Create a state file as a gateway's store does."""
     lock = Store.acquire_lock(str(directory))
     assert lock is not None
     store, _ = Store.open(str(directory), lock, StoreCounters(), time.time())
@@ -35,6 +35,8 @@
 
 @dataclass
 class WorkerProcess:
+    """One `faultlab.duties.worker` process; `config` is its argument."""
+
     config: dict[str, Any]
     process: asyncio.subprocess.Process | None = None
 
@@ -48,27 +50,31 @@
             stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.DEVNULL,
         )  # fmt: skip
         assert self.process.stdout is not None
-        await self.process.stdout.readline()  # it takes signals from now on
+        await self.process.stdout.readline()  # "ready": its signal handlers are installed
 
-    def send_signal(self, what: signal.Signals) -> None:
+    def send_signal(self, signum: signal.Signals) -> None:
         if self.process is not None and self.process.returncode is None:
-            self.process.send_signal(what)
+            self.process.send_signal(signum)
 
     async def transactions(self) -> int:
-        """How many it has made since its start."""
+        """How many transactions the worker has made since its start."""
         self.send_signal(signal.SIGUSR1)
         assert self.process is not None and self.process.stdout is not None
         async with asyncio.timeout(COUNT_TIMEOUT_S):
             return int(await self.process.stdout.readline())
 
-    async def stop(self, what: signal.Signals) -> None:
-        self.send_signal(what)
+    async def stop(self, signum: signal.Signals) -> None:
+        """Send a signal and wait until the process has ended."""
+        self.send_signal(signum)
         if self.process is not None:
             await self.process.wait()
 
 
 class DutySite:
-    """`async with Site(folder, 10, {"chore": 2.0}) as site`: workers w0, w1, ... that race for the duties."""
+    """`async with DutySite(folder, 10, {"chore": 2.0}) as site`: workers w0, w1, ... compete for the duties.
+
+    The first `careless` workers do not check that they still hold a duty before they act.
+    """
 
     def __init__(
         self, folder: Path, count: int, duties: dict[str, float], backend: str = "local", careless: int = 0
@@ -76,17 +82,17 @@
         self.folder, self.duties, self.backend = folder, duties, backend
         self.resource = Resource()
         self.workers: list[WorkerProcess] = []
-        self.stopped_in_write = False  # whom the last fault stopped
+        self.stopped_in_write = False  # whether the last stopped holder kept the state file locked
         addresses = [f"127.0.0.1:{free_port()}" for _ in range(count)] if backend == "quorum" else []
         for number in range(count):
-            order: dict[str, Any] = {"name": f"w{number}", "duties": duties, "directory": str(folder)}
-            order["careless"] = number < careless
+            config: dict[str, Any] = {"name": f"w{number}", "duties": duties, "directory": str(folder)}
+            config["careless"] = number < careless
             if addresses:
-                own = folder / f"w{number}"
-                own.mkdir()
+                worker_folder = folder / f"w{number}"
+                worker_folder.mkdir()
                 others = [address for address in addresses if address != addresses[number]]
-                order |= {"directory": str(own), "bind": addresses[number], "others": others}
-            self.workers.append(WorkerProcess(order))
+                config |= {"directory": str(worker_folder), "bind": addresses[number], "others": others}
+            self.workers.append(WorkerProcess(config))
 
     async def __aenter__(self) -> DutySite:
         if self.backend == "local":
@@ -102,20 +108,21 @@
         self.resource.close()
 
     async def wait_held(self, duty: str, timeout_s: float = 30.0) -> FirstAction:
-        """Who holds a duty, once somebody does. Raises TimeoutError."""
-        found = await self.resource.wait_first_action(duty, 0, timeout_s)
-        if found is None:
-            raise TimeoutError(f"nobody has held {duty} for {timeout_s:g} s")
-        return found
+        """Wait until a worker holds a duty; returns its first action. Raises TimeoutError."""
+        action = await self.resource.wait_first_action(duty, 0, timeout_s)
+        if action is None:
+            raise TimeoutError(f"no worker acted on duty {duty} within {timeout_s:g} s")
+        return action
 
     def worker_of(self, holder: str) -> WorkerProcess:
+        """The worker with this holder's name."""
         name = holder.partition("/")[0]
         return next(worker for worker in self.workers if worker.name == name)
 
     # Faults of the store
 
     def is_locked(self) -> bool:
-        """Whether somebody holds the file's write lock now."""
+        """Whether a process holds the state file's write lock now; False for the quorum backend."""
         if self.backend != "local":
             return False
         writer = sqlite3.connect(self.folder / STATE_FILE, isolation_level=None, timeout=0.2)
@@ -129,7 +136,7 @@
         return False
 
     async def lock_store(self, length_s: float) -> None:
-        """Another program writes for so long."""
+        """Hold the state file's write lock for so long, as another program would."""
         writer = sqlite3.connect(self.folder / STATE_FILE, isolation_level=None, timeout=5.0)
         try:
             writer.execute("BEGIN IMMEDIATE")
@@ -139,7 +146,7 @@
             writer.close()
 
     def replace_store(self) -> None:
-        """A copy of the file in its place, as a restore from a backup would put it there."""
+        """Replace the state file by a copy, as a restore from a backup does."""
         path = self.folder / STATE_FILE
         copy = path.with_suffix(".copy")
         with sqlite3.connect(path, timeout=5.0) as source, sqlite3.connect(copy) as target:
@@ -151,12 +158,13 @@
         os.replace(copy, path)
 
     def lose_store(self) -> None:
-        """A directory in the place of the file: it can be neither read nor written."""
+        """Put a directory in place of the state file, so that it can be neither read nor written."""
         path = self.folder / STATE_FILE
         os.replace(path, path.with_suffix(".lost"))
         path.mkdir()
 
     def restore_store(self) -> None:
+        """Undo `lose_store`."""
         path = self.folder / STATE_FILE
         shutil.rmtree(path)
         os.replace(path.with_suffix(".lost"), path)
