--- a/faultlab/rollout/__init__.py
+++ b/faultlab/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""python -m faultlab rollout: a new set of hosts, good or bad, takes its share at real gateways."""
+"""python -m faultlab rollout: rollouts of new sets of hosts, good and bad, at real gateways."""
--- a/faultlab/rollout/fleet.py
+++ b/faultlab/rollout/fleet.py
@@ -1,4 +1,5 @@
-"""Real gateways that hold the conductor's duty by quorum, an old and a new set of hosts, steady traffic."""
+"""Real gateways with the conductor's duty held by quorum, an old and a new set of hosts, and steady
+traffic."""
 
 from __future__ import annotations
 
@@ -14,16 +15,16 @@
 from faultlab.ports import free_port
 from faultlab.standins import Host, endpoint
 
-OLD_GROUP, NEW_GROUP = "1", "9"  # groups of the list
+OLD_GROUP, NEW_GROUP = "1", "9"  # groups of the hosts in the list
 OLD_HOST_COUNT, NEW_HOST_COUNT = 4, 2
-CONDUCTOR_TTL_S = 1.0  # of the conductor's duty
-MIN_ATTEMPTS = 40
+CONDUCTOR_TTL_S = 1.0  # time to live of the conductor's lease
+MIN_ATTEMPTS = 40  # on each side, for a stage to be judged (the rule `least`)
 STATUS_POLL_S = 0.02
 
 
 @dataclass
 class CountingHost(Host):
-    """A host that counts what reaches it."""
+    """A host that counts the requests that reach it."""
 
     request_count: int = 0
 
@@ -32,7 +33,7 @@
 
 
 class _CountingReader:
-    """A reader that counts heads: one to a request."""
+    """A stream reader that counts request heads."""
 
     def __init__(self, host: CountingHost, reader: asyncio.StreamReader) -> None:
         self.host, self.reader = host, reader
@@ -47,7 +48,7 @@
 
 
 class RolloutFleet(GatewayFleet):
-    """`async with Rolling(3, folder) as fleet`: `fleet.new` are the hosts of the new set."""
+    """`async with RolloutFleet(3, folder) as fleet`: gateways, old hosts, new hosts and their traffic."""
 
     def __init__(self, count: int, folder: Path) -> None:
         super().__init__(count, folder)
@@ -83,17 +84,17 @@
         for host in (*self.old_hosts, *self.new_hosts):
             host.close()
 
-    async def wait_conductor(self, but: str = "") -> str:
-        """Which gateway conducts, once one other than `but` does."""
+    async def wait_conductor(self, excluded: str = "") -> str:
+        """Wait until a gateway other than `excluded` is the conductor; returns its name."""
         async with asyncio.timeout(30.0):
             while True:
                 for name in self.names:
-                    if name != but and (await self.status(name)).get("conducts_here"):
+                    if name != excluded and (await self.status(name)).get("conducts_here"):
                         return name
                 await asyncio.sleep(STATUS_POLL_S)
 
     async def send_order(self, verb: str, name: str = "new", at: str = "", **spec: Any) -> str:
-        """What became of an order: "taken", "refused: …", or "" where no conductor has said it."""
+        """Send an order; returns its outcome: "taken", "refused: …", or "" if no conductor reported one."""
         body = b""
         if verb == "start":
             rules = {"least": MIN_ATTEMPTS} | spec.pop("rules", {})
@@ -107,16 +108,16 @@
         return str(json.loads(answer)["outcome"])
 
     async def wait_state(self, *states: str, at: str = "", timeout_s: float = 60.0) -> dict[str, Any]:
-        """A gateway's status, once it is in one of these states."""
+        """Wait until a gateway's rollout is in one of these states; returns its status."""
         async with asyncio.timeout(timeout_s):
             while True:
-                found = await self.status(at or self.names[0])
-                if found.get("state") in states:
-                    return found
+                status = await self.status(at or self.names[0])
+                if status.get("state") in states:
+                    return status
                 await asyncio.sleep(STATUS_POLL_S)
 
     def start_traffic(self, rate_per_s: float, count: int) -> None:
-        """Up to `count` single-shot requests at each gateway, `rate_per_s` each."""
+        """Send up to `count` single-shot requests to each gateway, at `rate_per_s` each."""
         self.sender_tasks = [
             asyncio.create_task(self._send_requests(name, rate_per_s, count)) for name in self.names
         ]
@@ -135,14 +136,14 @@
         self.tally.statuses[status] = self.tally.statuses.get(status, 0) + 1
 
     async def stop_traffic(self) -> Tally:
-        """No more traffic; what became of all that was sent."""
+        """Stop sending and wait for all answers; returns their counts by status."""
         for task in self.sender_tasks:
             task.cancel()
         await asyncio.gather(*self.request_tasks)
         return self.tally
 
     def request_counts(self) -> tuple[int, int]:
-        """Requests that have reached the old and the new hosts."""
+        """How many requests have reached the old and the new hosts."""
         return sum(host.request_count for host in self.old_hosts), sum(
             host.request_count for host in self.new_hosts
         )
