--- a/faultlab/transforms/activation.py
+++ b/faultlab/transforms/activation.py
@@ -1,4 +1,4 @@
-"""`--part activation`: from a publication to all gateways, and from a bad one to its end, in one fleet."""
+"""`--part activation`: how fast a fleet activates a version and quarantines a bad one."""
 
 from __future__ import annotations
 
@@ -20,21 +20,22 @@
 
 CANARY_S = 0.5
 QUIET_PERIOD_S = 10.0
-CALLS_PER_S = 10.0  # calls a second to each gateway while a bad version is out
+CALLS_PER_S = 10.0  # to each gateway, while a bad version is a candidate
 SOURCE = 'transform mark owner lab phase request reads x-bad writes x-mark set x-mark = "%d"'
 BAD_SOURCE = (
     'transform mark owner lab phase request reads x-bad writes x-mark when has("x-bad") { fail "%d" }'
 )
 REQUEST = b"POST /transfer HTTP/1.1\r\nHost: l\r\nX-Call-Id: l%d\r\nX-Bad: 1\r\nContent-Length: 0\r\n\r\n"
-# Of a bad version: published to the first that has the epoch, to the first breaker, to the first that has it
-# quarantined, to the last.
+# Of a bad version, from its publication: to the first gateway with it as candidate, from there to the first
+# open breaker, to the first gateway that has quarantined it, to the last one.
 STEPS = ("to_candidate", "to_trip", "to_quarantined", "to_all")
 _request_numbers = itertools.count()
 BYTES_OUT_PATTERN = re.compile(rb"^lb_ledger_bytes_out_total (\d+)$", re.MULTILINE)
 
 
 async def run(arguments: argparse.Namespace, folder: Path) -> dict[str, Any]:
-    """Seconds. `spread`: from the first gateway that runs a version as active to the last."""
+    """Publish good and bad versions in turn; returns seconds. `spread`: from the first gateway that has a
+    version active to the last."""
     settings = {"canary_s": CANARY_S}
     staged, spread, all_active, stopped = [], [], [], []
     statuses: Counter[int] = Counter()
@@ -43,28 +44,29 @@
         quiet = await quiet_bytes_per_s(fleet)
         cpu_before = cpu_used_s(fleet)
         for number in range(arguments.rounds):
-            began = time.monotonic()
+            started_s = time.monotonic()
             id = await fleet.publish(fleet.names[number % len(fleet.names)], (SOURCE % number).encode())
             at = await wait_log_line(fleet, "event=transforms.staged", f"version={id}", "outcome=staged")
-            staged.append(max(at) - began)
+            staged.append(max(at) - started_s)
             at = await wait_log_line(fleet, "event=transforms.epoch", f"active={id}")
             spread.append(max(at) - min(at))
-            all_active.append(max(at) - began)
+            all_active.append(max(at) - started_s)
             await fleet.wait_all(is_quiescent)
-            began = time.monotonic()
+            started_s = time.monotonic()
             async with send_calls(fleet, statuses):
                 id = await fleet.publish(
                     fleet.names[-1 - number % len(fleet.names)], (BAD_SOURCE % number).encode()
                 )
-                tried = await wait_log_line(fleet, "event=transforms.epoch", f"candidate={id}")
-                ends = await wait_log_line(fleet, "event=transforms.quarantined", after_s=began)
-                stopped.append(max(ends) - began)
+                candidate = await wait_log_line(fleet, "event=transforms.epoch", f"candidate={id}")
+                quarantined = await wait_log_line(fleet, "event=transforms.quarantined", after_s=started_s)
+                stopped.append(max(quarantined) - started_s)
                 trips = [
                     at_s
                     for gateway in fleet.gateways.values()
-                    if (at_s := gateway.first_line_s(0, began, f"version={id}", "open=True")) is not None
+                    if (at_s := gateway.first_line_s(0, started_s, f"version={id}", "open=True")) is not None
                 ]
-                marks = [began, min(tried), min(trips), min(ends), max(ends)]  # one after the other
+                # In the order of STEPS.
+                marks = [started_s, min(candidate), min(trips), min(quarantined), max(quarantined)]
                 for step, (since, until) in zip(STEPS, itertools.pairwise(marks), strict=True):
                     steps[step].append(until - since)
             await fleet.wait_all(is_quiescent)
@@ -79,27 +81,27 @@
         "bad_published_to_stopped_everywhere": quantiles(stopped) | {"goal": 3.0},
         "bad_steps_p50": {step: quantiles(values)["p50"] for step, values in steps.items()},
         "calls_by_status": dict(sorted(statuses.items())),  # 0: no answer in time
-        # A round: a good version and a bad one. The lab: relay, hosts and callers, one process.
+        # A round has a good and a bad version. The lab's process holds relay, hosts and callers.
         "cpu_s_per_round": {"a_gateway": round(cpu[0], 3), "lab": round(cpu[1], 3)},
         "quiet_ledger_bytes_per_member_per_s": quiet,
     }
 
 
 def cpu_used_s(fleet: TransformsFleet) -> tuple[float, float]:
-    """CPU seconds so far: of a gateway, the mean of all, and of the lab."""
+    """CPU seconds used so far: the mean of the gateways, and the lab's process."""
     pids = [gateway.process.pid for gateway in fleet.gateways.values() if gateway.process is not None]
     return sum(map(cpu_s, pids)) / len(pids), time.process_time()
 
 
 def is_quiescent(status: dict[str, Any]) -> bool:
-    """Nothing is on its way, and all live members run the epoch: the next round begins alike."""
+    """Whether nothing is under way and all live members have the epoch, so that each round begins alike."""
     return all(each["state"] == "active" for each in status["transforms"]) and all(
         member["epoch"] == status["epoch"] for member in status["members"] if member["live"]
     )
 
 
 def quantiles(values: list[float]) -> dict[str, float]:
-    """The median and the 99th of a hundred (of fewer values the greatest)."""
+    """The median and the 99th percentile (of fewer than 100 values the greatest)."""
     ranked = sorted(values)
     return {
         "p50": round(statistics.median(ranked), 3),
@@ -110,50 +112,50 @@
 async def wait_log_line(
     fleet: TransformsFleet, *words: str, after_s: float = 0.0, timeout_s: float = 60.0
 ) -> list[float]:
-    """When each gateway first wrote a line with these words after `after_s`, once all have. Each line is
-    looked at once: the relay runs beside this."""
-    left = dict.fromkeys(fleet.names, 0)
+    """Wait until each gateway has logged a line with these words after `after_s`; returns the times. Each
+    line is examined once only, since this shares an event loop with the relay."""
+    next_lines = dict.fromkeys(fleet.names, 0)
     at: list[float] = []
     async with asyncio.timeout(timeout_s):
-        while left:
-            for name, seen in list(left.items()):
+        while next_lines:
+            for name, seen in list(next_lines.items()):
                 gateway = fleet.gateways[name]
                 found = gateway.first_line_s(seen, after_s, *words)
                 if found is None:
-                    left[name] = len(gateway.line_times)
+                    next_lines[name] = len(gateway.line_times)
                 else:
                     at.append(found)
-                    del left[name]
+                    del next_lines[name]
             await asyncio.sleep(POLL_S)
     return at
 
 
 @contextlib.asynccontextmanager
 async def send_calls(fleet: TransformsFleet, statuses: Counter[int]) -> Any:
-    """Calls that a bad version fails on, to each gateway at `CALLS_S`; their statuses are counted."""
-    ended = asyncio.Event()
+    """Send calls on which a bad version fails to each gateway, at CALLS_PER_S; counts their statuses."""
+    stopping = asyncio.Event()
 
-    async def one(port: int) -> None:
-        while not ended.is_set():
+    async def call_repeatedly(port: int) -> None:
+        while not stopping.is_set():
             statuses[await send_request(port, REQUEST % next(_request_numbers))] += 1
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(ended.wait(), 1 / CALLS_PER_S)
+                await asyncio.wait_for(stopping.wait(), 1 / CALLS_PER_S)
 
-    tasks = [asyncio.create_task(one(gateway.port)) for gateway in fleet.gateways.values()]
+    tasks = [asyncio.create_task(call_repeatedly(gateway.port)) for gateway in fleet.gateways.values()]
     try:
         yield
     finally:
-        ended.set()
+        stopping.set()
         await asyncio.gather(*tasks)
 
 
 async def quiet_bytes_per_s(fleet: TransformsFleet) -> float:
-    """What a member's ledger sends in a second while nothing changes, the mean of all."""
+    """Bytes per second that a member's ledger sends while nothing changes, the mean of all."""
     before = await _ledger_bytes_out(fleet)
-    began = time.monotonic()
-    await asyncio.sleep(QUIET_PERIOD_S)  # the measurement itself
-    passed_s = time.monotonic() - began
-    return round((await _ledger_bytes_out(fleet) - before) / passed_s / len(fleet.names), 1)
+    started_s = time.monotonic()
+    await asyncio.sleep(QUIET_PERIOD_S)  # the measured interval
+    elapsed_s = time.monotonic() - started_s
+    return round((await _ledger_bytes_out(fleet) - before) / elapsed_s / len(fleet.names), 1)
 
 
 async def _ledger_bytes_out(fleet: TransformsFleet) -> int:
@@ -162,6 +164,6 @@
         _, body = await fleet.call_operator(name, "/api/telemetry")
         found = BYTES_OUT_PATTERN.search(body)
         if found is None:
-            raise RuntimeError(f"{name} gives no ledger's bytes")
+            raise RuntimeError(f"{name} does not report the bytes sent by its ledger")
         total += int(found[1])
     return total
--- a/faultlab/transforms/engine.py
+++ b/faultlab/transforms/engine.py
@@ -1,7 +1,7 @@
-"""Real gateways side by side, without and with a transform, loaded in turn: throughput and CPU a request.
+"""Throughput and CPU per request of real gateways with and without a transform.
 
-The variants are started together and loaded in short slices in a shuffled order, so that what else
-the machine does meets them all.
+The variants run side by side and are loaded in short slices in a shuffled order, so that other load on the
+machine affects them all alike.
 """
 
 from __future__ import annotations
@@ -41,15 +41,15 @@
 HEADERS = [(b"X-Header-%d" % n, b"value-%d" % n) for n in range(8)] + [
     (b"Host", b"lab"), (b"X-Route", b"North"), (b"X-Debug", b"1"), (b"Cookie", b"a=b"),
 ]  # fmt: skip
-HOST_COUNT = 8  # so that no gateway takes the load for more than they can bear
+HOST_COUNT = 8  # enough that no gateway limits its load on them
 _request_numbers = itertools.count()
 
 
 class LoadClient(asyncio.Protocol):
-    """One request after another on one connection, until `ends`; counts answers of 200 and others."""
+    """Sends one request after another on one connection until `stop`; counts answers of 200 and others."""
 
-    def __init__(self, ends: asyncio.Future[None]) -> None:
-        self.stop, self.ok_count, self.other_count = ends, 0, 0
+    def __init__(self, stop: asyncio.Future[None]) -> None:
+        self.stop, self.ok_count, self.other_count = stop, 0, 0
         self.header_lines = b"".join(b"%s: %s\r\n" % pair for pair in HEADERS)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -68,27 +68,28 @@
 
 
 def cpu_s(pid: int) -> float:
-    """CPU seconds of a process so far, to the kernel's tick."""
+    """CPU seconds of a process so far, at the resolution of the kernel's clock tick."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 async def run_clients(port: int, connections: int, slice_s: float) -> tuple[int, int]:
-    """Answers of 200 and others within a slice."""
+    """Load a gateway for a slice; returns the counts of answers of 200 and others."""
     loop = asyncio.get_running_loop()
-    ends: asyncio.Future[None] = loop.create_future()
-    made = [
-        await loop.create_connection(lambda: LoadClient(ends), "127.0.0.1", port) for _ in range(connections)
+    stop: asyncio.Future[None] = loop.create_future()
+    clients = [
+        await loop.create_connection(lambda: LoadClient(stop), "127.0.0.1", port) for _ in range(connections)
     ]
     await asyncio.sleep(slice_s)
-    ends.set_result(None)
-    for transport, _ in made:
+    stop.set_result(None)
+    for transport, _ in clients:
         transport.close()
-    return sum(client.ok_count for _, client in made), sum(client.other_count for _, client in made)
+    return sum(client.ok_count for _, client in clients), sum(client.other_count for _, client in clients)
 
 
 async def run(arguments: argparse.Namespace, folder: Path) -> dict[str, Any]:
-    """`one_to_none` (goal 0.85) and, with `--before`, `off_to_before` (goal 0.99), by rate and by CPU."""
+    """Compare the variants; returns the ratios `one_to_none` (goal 0.85) and, with `--before`,
+    `off_to_before` (goal 0.99), by throughput and by CPU."""
     loop = asyncio.get_running_loop()
     servers = [await loop.create_server(InstantHost, "127.0.0.1", 0) for _ in range(HOST_COUNT)]
     listed = [endpoint(stand_in_host(n, server)) for n, server in enumerate(servers)]
@@ -130,7 +131,8 @@
     order: random.Random,
     arguments: argparse.Namespace,
 ) -> None:
-    """Start a process of each variant, in any order: of two alike one may be faster by chance; load them."""
+    """Start a process of each variant and load them. Several starts are made in all, since one of two equal
+    processes may be faster by chance."""
     for name in order.sample(list(variants), len(variants)):
         root = variants[name][1]
         if root is not None:
@@ -143,23 +145,28 @@
 
 
 async def measure_slice(gateway: GatewayProcess, arguments: argparse.Namespace) -> dict[str, float]:
+    """Load one gateway for a slice."""
     assert gateway.process is not None
     pid = gateway.process.pid
-    cpu, began = cpu_s(pid), time.monotonic()
+    cpu, started_s = cpu_s(pid), time.monotonic()
     good, other = await run_clients(gateway.port, arguments.connections, arguments.slice_ms / 1000)
     return {
         "good": good,
         "other": other,
         "all": good + other,
-        "s": time.monotonic() - began,
+        "s": time.monotonic() - started_s,
         "cpu_s": cpu_s(pid) - cpu,
     }
 
 
 def summarize(slices: dict[str, list[dict[str, float]]]) -> dict[str, Any]:
-    """Throughput: the median of the rounds' ratios, whose slices lie side by side. CPU: of all slices."""
-    rates = {name: [s["good"] / s["s"] for s in these] for name, these in slices.items()}
-    total = {name: {key: sum(s[key] for s in these) for key in these[0]} for name, these in slices.items()}
+    """The variants' figures and their ratios. Throughput: the median of the ratios of adjacent slices; CPU:
+    over all slices."""
+    rates = {name: [s["good"] / s["s"] for s in variant_slices] for name, variant_slices in slices.items()}
+    total = {
+        name: {key: sum(s[key] for s in variant_slices) for key in variant_slices[0]}
+        for name, variant_slices in slices.items()
+    }
     found: dict[str, Any] = {
         name: {
             "per_s_median": statistics.median(rates[name]),
@@ -168,28 +175,28 @@
         }
         for name in slices
     }  # fmt: skip
-    for over, under, called in (("one", "none", "one_to_none"), ("none", "before", "off_to_before")):
+    for over, under, ratio_name in (("one", "none", "one_to_none"), ("none", "before", "off_to_before")):
         if over in rates and under in rates:
             ratios = [a / b for a, b in zip(rates[over], rates[under], strict=True) if b]
             cpu = found[under]["cpu_us_per_request"] / max(1e-9, found[over]["cpu_us_per_request"])
-            found[called] = {"throughput": statistics.median(ratios), "by_cpu": cpu}
+            found[ratio_name] = {"throughput": statistics.median(ratios), "by_cpu": cpu}
     return found
 
 
 def measure_costs() -> dict[str, float]:
-    """CPU of compiling, of one run on 12 headers, and of a run that uses up the largest budget."""
-    came = Head(tuple(HEADERS), b"transfer")
-    compiled = compile(parse(SOURCE))  # the parser is made at the first one
+    """CPU time of a compilation, a run on 12 headers, and a run that uses up the largest step budget."""
+    head = Head(tuple(HEADERS), b"transfer")
+    compiled = compile(parse(SOURCE))  # the first compilation also builds the parser
     endless = compile(parse(BUDGET_EXHAUSTING_SOURCE))
     return {
         "compile_ms": 1e3 * _cpu_per_call_s(lambda: compile(parse(SOURCE)), 20),
-        "run_us": 1e6 * _cpu_per_call_s(lambda: compiled.run(came), 2_000),
-        "longest_run_ms": 1e3 * _cpu_per_call_s(lambda: endless.run(came), 20),
+        "run_us": 1e6 * _cpu_per_call_s(lambda: compiled.run(head), 2_000),
+        "longest_run_ms": 1e3 * _cpu_per_call_s(lambda: endless.run(head), 20),
     }
 
 
 def _cpu_per_call_s(work: Callable[[], object], times: int) -> float:
-    began = time.process_time()
+    started_s = time.process_time()
     for _ in range(times):
         work()
-    return (time.process_time() - began) / times
+    return (time.process_time() - started_s) / times
--- a/faultlab/transforms/faults/__init__.py
+++ b/faultlab/transforms/faults/__init__.py
@@ -1,5 +1,5 @@
-"""`--faults NAME,...`: hard cases played on real gateways behind the relay, each judged by the invariants of
-docs/activation.md. A case is a function of a `Field`; those of one fleet follow one another on it."""
+"""`--faults NAME,...`: fault cases run on real gateways behind the relay, each checked against the invariants
+of docs/activation.md. A case is a function of a `FaultHarness`; the cases of one fleet run in sequence."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
     "harmful": versions.harmful, "refused": versions.refused, "upgrade": upgrade.upgrade,
     "old": disks.old, "mixed": functools.partial(mixed, rounds=1),
 }  # fmt: skip
-NON_FAULT_COUNTS = {"calls harmed", "calls refused or late"}  # counted beside them
-# Cases with a fleet of their own: settings of `transforms.fleet` and of `cluster`.
+NON_FAULT_COUNTS = {"calls harmed", "calls refused or late"}  # counted in `injected`, but not faults
+# Cases that need a fleet of their own: its settings of `transforms.fleet` and of `cluster`.
 OWN_FLEET_SETTINGS: dict[str, tuple[dict[str, Any], dict[str, Any]]] = {
     "harmful": ({"canary_s": versions.CANARY_S}, {}),
     "old": ({}, {"reap_after_s": disks.REAP_AFTER_S}),
@@ -36,7 +36,7 @@
 
 
 def parse_cases(text: str) -> list[str]:
-    """The cases of an argument, in the order given. Raises argparse.ArgumentTypeError."""
+    """Parse the cases of an argument, in the order given. Raises argparse.ArgumentTypeError."""
     names = list(FAULTS) if text == "all" else text.split(",")
     if unknown := [name for name in names if name not in FAULTS]:
         raise argparse.ArgumentTypeError(f"{unknown[0]!r} is none of {', '.join(FAULTS)}")
@@ -44,45 +44,47 @@
 
 
 async def run(arguments: argparse.Namespace, folder: Path) -> dict[str, Any]:
-    """What was injected, answered, broken and lost, and how long each case took, in seconds. `--rounds` is
-    that of `mixed`."""
+    """Run the cases; returns what was injected, answered, violated and lost, and each case's duration in
+    seconds. `--rounds` applies to `mixed`."""
     FAULTS["mixed"] = functools.partial(mixed, rounds=arguments.rounds)
     rng = random.Random(arguments.seed)
     injected, answers, refusals = Counter[str](), Counter[str](), Counter[str]()
-    took: dict[str, float] = {}
-    broken: list[str] = []
-    lost: list[str] = []
-    left = list(arguments.faults)
-    while left:
-        first = left[0]
-        together = (
+    durations_s: dict[str, float] = {}
+    violations: list[str] = []
+    lost_orders: list[str] = []
+    remaining = list(arguments.faults)
+    while remaining:
+        first = remaining[0]
+        batch = (
             [first]
             if first in OWN_FLEET_SETTINGS
-            else [name for name in left if name not in OWN_FLEET_SETTINGS]
+            else [name for name in remaining if name not in OWN_FLEET_SETTINGS]
         )
-        heads = HeadChecker()
-        place = folder / f"fleet-{len(took)}"
-        place.mkdir()
+        head_checker = HeadChecker()
+        fleet_folder = folder / f"fleet-{len(durations_s)}"
+        fleet_folder.mkdir()
         settings, cluster = OWN_FLEET_SETTINGS.get(first, ({}, {}))
-        made = TransformsFleet(arguments.gateways, place, SETTINGS | settings, heads.make_protocol, cluster)
-        async with made as fleet:
-            field = await FaultHarness(fleet, heads, rng).publish_first()
-            for name in together:
-                left.remove(name)
-                began = time.monotonic()
-                fault = await run_case(name, field)
-                took[name] = round(time.monotonic() - began, 1)
-                end = (
-                    fault
-                    or f"{len(field.violations)} broken, {len(field.lost_orders)} lost so far on this fleet"
+        new_fleet = TransformsFleet(
+            arguments.gateways, fleet_folder, SETTINGS | settings, head_checker.make_protocol, cluster
+        )
+        async with new_fleet as fleet:
+            harness = await FaultHarness(fleet, head_checker, rng).publish_first()
+            for name in batch:
+                remaining.remove(name)
+                started_s = time.monotonic()
+                failure = await run_case(name, harness)
+                durations_s[name] = round(time.monotonic() - started_s, 1)
+                outcome = (
+                    failure
+                    or f"{len(harness.violations)} violations, {len(harness.lost_orders)} lost orders so far"
                 )
-                print(f"{name}: {took[name]} s, {end}", file=sys.stderr, flush=True)
-                if fault:
-                    break  # the next ones get a fleet that is whole
-            injected, answers = injected + field.injected, answers + field.order_outcomes
-            refusals += field.refusals
-            broken += field.violations
-            lost += field.lost_orders
+                print(f"{name}: {durations_s[name]} s, {outcome}", file=sys.stderr, flush=True)
+                if failure:
+                    break  # the remaining cases get a new fleet
+            injected, answers = injected + harness.injected, answers + harness.order_outcomes
+            refusals += harness.refusals
+            violations += harness.violations
+            lost_orders += harness.lost_orders
     faults = {kind: count for kind, count in sorted(injected.items()) if kind not in NON_FAULT_COUNTS}
     return {
         "gateways": arguments.gateways, "seed": arguments.seed,
@@ -90,17 +92,17 @@
         "orders": dict(answers), "refusals": dict(refusals),
         "calls_harmed": injected["calls harmed"],
         "calls_refused_or_late": injected["calls refused or late"],
-        "acknowledged": answers["acknowledged"], "acknowledged_lost": len(lost), "lost": lost,
-        "broken": len(broken), "reasons": broken, "seconds": took,
+        "acknowledged": answers["acknowledged"], "acknowledged_lost": len(lost_orders), "lost": lost_orders,
+        "broken": len(violations), "reasons": violations, "seconds": durations_s,
     }  # fmt: skip
 
 
-async def run_case(name: str, field: FaultHarness) -> str:
-    """Play a case; where it did not come to its end, why, which is kept as broken too."""
+async def run_case(name: str, harness: FaultHarness) -> str:
+    """Run a case; returns why it did not finish (also recorded as a violation), or ""."""
     try:
-        await FAULTS[name](field)
+        await FAULTS[name](harness)
     except (TimeoutError, RuntimeError, OSError) as error:
-        why = f"{name}: {type(error).__name__}: {error}"
-        field.violations.append(why)
-        return why
+        reason = f"{name}: {type(error).__name__}: {error}"
+        harness.violations.append(reason)
+        return reason
     return ""
--- a/faultlab/transforms/faults/disks.py
+++ b/faultlab/transforms/faults/disks.py
@@ -1,5 +1,5 @@
-"""What a disk does: bytes flipped or torn off under a gateway that is down, a directory that takes nothing,
-a file from a week ago."""
+"""Fault cases of the disk: bytes of a stopped gateway's files flipped or truncated, a full disk, and an old
+copy of the state file."""
 
 from __future__ import annotations
 
@@ -13,35 +13,35 @@
 from faultlab.transforms.faults.network import PAD_BYTES, is_candidate_or_active
 from faultlab.gateway_fleet import POLL_S
 
-REAP_AFTER_S = 2.0  # of the fleet that `old` is played on: who is away longer is a newcomer
+REAP_AFTER_S = 2.0  # `reap_after_s` of the fleet of `old`: a member absent for longer rejoins as a new one
 ABSENCE_S = 2 * REAP_AFTER_S
 
 
-def _state_files(field: FaultHarness, name: str) -> list[Path]:
-    state = field.fleet.gateways[name].state_dir
+def _state_files(harness: FaultHarness, name: str) -> list[Path]:
+    state = harness.fleet.gateways[name].state_dir
     assert state is not None
     return [file for file in (state / STATE_FILE, state / f"{STATE_FILE}-wal") if file.exists()]
 
 
-async def disk(field: FaultHarness) -> None:
-    """A payload's byte flipped in the file, and the file torn, while the gateway is down: it serves again and
-    has from the others what it lost."""
-    names = field.fleet.names
-    for hurt, victim in ((_flip, names[-1]), (_tear, names[-2])):
-        await field.publish(names[0], field.make_source(pad=PAD_BYTES))
-        await field.wait_quiescent()
-        await field.kill(victim)
-        if not hurt(_state_files(field, victim)):
-            field.violations.append(f"{victim} has no file to hurt: the case shows nothing")
-        field.count_fault(f"disk {hurt.__name__.strip('_')}")
-        field.highest_epochs.pop(victim)  # what its disk had may be gone
-        await field.wait_quiescent([name for name in names if name != victim])
-        await field.fleet.start(victim)
-        await field.wait_quiescent()
+async def disk(harness: FaultHarness) -> None:
+    """Flip a byte of a payload in the file, or truncate the file, while the gateway is down: it starts again
+    and fetches from the others what it lost."""
+    names = harness.fleet.names
+    for damage, victim in ((_flip, names[-1]), (_tear, names[-2])):
+        await harness.publish(names[0], harness.make_source(pad=PAD_BYTES))
+        await harness.wait_quiescent()
+        await harness.kill(victim)
+        if not damage(_state_files(harness, victim)):
+            harness.violations.append(f"{victim} has no state file to damage: the case tested nothing")
+        harness.count_fault(f"disk {damage.__name__.strip('_')}")
+        harness.highest_epochs.pop(victim)  # its stored epoch may be lost
+        await harness.wait_quiescent([name for name in names if name != victim])
+        await harness.fleet.start(victim)
+        await harness.wait_quiescent()
 
 
 def _flip(files: list[Path]) -> bool:
-    """In each copy of a payload that is found."""
+    """Flip a byte in each copy of a payload; returns whether one was found."""
     found = False
     for file in files:
         data = bytearray(file.read_bytes())
@@ -54,67 +54,67 @@
 
 
 def _tear(files: list[Path]) -> bool:
-    """The last third of each file is gone."""
+    """Cut off the last third of each file; returns whether there is one."""
     for file in files:
-        with file.open("r+b") as opened:
-            opened.truncate(file.stat().st_size * 2 // 3)
+        with file.open("r+b") as writable:
+            writable.truncate(file.stat().st_size * 2 // 3)
     return bool(files)
 
 
-async def full(field: FaultHarness) -> None:
-    """A minority's directories take nothing: what is published there is refused, the others go on, and all
-    agree once there is room."""
-    names = field.fleet.names
+async def full(harness: FaultHarness) -> None:
+    """The disks of a minority are full: it refuses publications, the others continue, and all agree once the
+    disks have space again."""
+    names = harness.fleet.names
     few = names[-max(1, len(names) // 4) :]
     most = [name for name in names if name not in few]
     for name in few:
-        field.count_fault("disk full")
-        _limit_file_size(field, name, 0)
+        harness.count_fault("disk full")
+        _limit_file_size(harness, name, 0)
     try:
-        if await field.publish(few[0], field.make_source()):
-            field.violations.append(f"{few[0]} acknowledged what its disk did not take")
-        id = await field.publish(most[0], field.make_source())
+        if await harness.publish(few[0], harness.make_source()):
+            harness.violations.append(f"{few[0]} acknowledged a version that its full disk could not store")
+        id = await harness.publish(most[0], harness.make_source())
         async with asyncio.timeout(QUIESCENCE_TIMEOUT_S):
-            while not is_candidate_or_active(await field.fleet.status(most[0]), id):
+            while not is_candidate_or_active(await harness.fleet.status(most[0]), id):
                 await asyncio.sleep(POLL_S)
     finally:
         for name in few:
-            _limit_file_size(field, name, resource.RLIM_INFINITY)
-    await field.wait_quiescent()
+            _limit_file_size(harness, name, resource.RLIM_INFINITY)
+    await harness.wait_quiescent()
 
 
-def _limit_file_size(field: FaultHarness, name: str, size: int) -> None:
-    """As a full disk: no file of the process can be written beyond this many bytes (EFBIG)."""
-    process = field.fleet.gateways[name].process
+def _limit_file_size(harness: FaultHarness, name: str, size: int) -> None:
+    """Simulate a full disk: writes of the process beyond this file size fail (EFBIG)."""
+    process = harness.fleet.gateways[name].process
     assert process is not None
     resource.prlimit(process.pid, resource.RLIMIT_FSIZE, (size, resource.RLIM_INFINITY))
 
 
-async def old(field: FaultHarness) -> None:
-    """A gateway away for longer than `reap_after_s` comes back with the file that it had then: it brings
-    nothing back of what was deleted meanwhile, and ends on the fleet's set."""
-    fleet, victim = field.fleet, field.fleet.names[-1]
+async def old(harness: FaultHarness) -> None:
+    """A gateway absent for longer than `reap_after_s` comes back with its old file: it brings nothing back
+    that was deleted meanwhile, and reaches the fleet's active versions."""
+    fleet, victim = harness.fleet, harness.fleet.names[-1]
     others = fleet.names[:-1]
     state = fleet.gateways[victim].state_dir
     assert state is not None
-    await field.publish(others[0], field.make_source())
-    gone = await field.publish(others[0], field.make_source("gone"), name="gone")
-    await field.wait_quiescent()
-    await field.kill(victim)
-    kept = state.with_name("kept")
-    shutil.copytree(state, kept)
-    field.count_fault("old ledger")
+    await harness.publish(others[0], harness.make_source())
+    gone_id = await harness.publish(others[0], harness.make_source("gone"), name="gone")
+    await harness.wait_quiescent()
+    await harness.kill(victim)
+    saved = state.with_name("kept")
+    shutil.copytree(state, saved)
+    harness.count_fault("old ledger")
     for _ in range(3):
-        await field.publish(others[1], field.make_source())
-        await field.wait_quiescent(others)
-    await field.rollback(others[0], "gone")
-    field.forbidden_ids.add(gone)
-    await field.wait_quiescent(others)
-    await asyncio.sleep(ABSENCE_S)  # the time that it is away
+        await harness.publish(others[1], harness.make_source())
+        await harness.wait_quiescent(others)
+    await harness.rollback(others[0], "gone")
+    harness.forbidden_ids.add(gone_id)
+    await harness.wait_quiescent(others)
+    await asyncio.sleep(ABSENCE_S)  # how long the gateway is absent
     shutil.rmtree(state)
-    kept.rename(state)
-    field.highest_epochs.pop(victim)
+    saved.rename(state)
+    harness.highest_epochs.pop(victim)
     await fleet.start(victim)
-    status = await field.wait_quiescent()
+    status = await harness.wait_quiescent()
     if status["versions"].get("gone", {}).get("active"):
-        field.violations.append("what was rolled back is active again")
+        harness.violations.append("a rolled-back version is active again")
--- a/faultlab/transforms/faults/harness.py
+++ b/faultlab/transforms/faults/harness.py
@@ -1,4 +1,4 @@
-"""A fleet on which faults are played, what it has acknowledged, and the invariants that it has to keep."""
+"""A fleet on which faults are injected, the orders that it acknowledged, and the checks of its invariants."""
 
 from __future__ import annotations
 
@@ -18,14 +18,14 @@
 from faultlab.transforms.fleet import TransformsFleet
 
 SETTINGS = {"canary_s": 0.2, "stage_timeout_s": 3.0, "canary_share": 0.3}
-QUIESCENCE_TIMEOUT_S = 60.0  # for all to come to rest once the faults are over
+QUIESCENCE_TIMEOUT_S = 60.0  # for all members to become quiescent after the faults
 SOURCE = "transform %s owner lab phase request reads x-bad writes x-mark, x-sick %s"
 PASS_THROUGH = Rule()
 
 
 @dataclass(frozen=True, order=True)
 class Order:
-    """An order that the fleet acknowledged, in the sequence of its name."""
+    """An acknowledged order (publish or rollback), sorted by its number within its transform's name."""
 
     number: int
     id: str
@@ -34,46 +34,51 @@
 
 @dataclass
 class FaultHarness:
-    """`injected`: faults by kind; `broken`: what went against an invariant, a line each; `lost`: acknowledged
-    orders that came to no end."""
+    """Injects faults into a fleet, sends it orders and checks its invariants.
+
+    `injected`: faults by kind; `violations`: one line for each invariant that was broken; `lost_orders`:
+    acknowledged orders that were neither carried out nor superseded.
+    """
 
     fleet: TransformsFleet
     head_checker: HeadChecker
     rng: random.Random
     injected: Counter[str] = field(default_factory=Counter)
-    order_outcomes: Counter[str] = field(default_factory=Counter)
-    refusals: Counter[str] = field(default_factory=Counter)  # the reasons given
+    order_outcomes: Counter[str] = field(default_factory=Counter)  # acknowledged, kept, silent, refused
+    refusals: Counter[str] = field(default_factory=Counter)  # by the first line of the answer
     violations: list[str] = field(default_factory=list)
     lost_orders: list[str] = field(default_factory=list)
-    unchecked_orders: dict[str, list[Order]] = field(
+    # Acknowledged orders not checked yet, by the transform's name.
+    unchecked_orders: dict[str, list[Order]] = field(default_factory=dict)
+    forbidden_ids: set[str] = field(default_factory=set)  # versions that must not be active when quiescent
+    sha256_by_id: dict[str, str] = field(default_factory=dict)
+    versions_by_epoch: dict[int, str] = field(
         default_factory=dict
-    )  # by name: acknowledged, not judged yet
-    forbidden_ids: set[str] = field(default_factory=set)  # ids that must not be active at rest
-    sha256_by_id: dict[str, str] = field(default_factory=dict)  # by id
-    versions_by_epoch: dict[int, str] = field(default_factory=dict)  # by epoch: what it has as active
-    highest_epochs: dict[str, int] = field(default_factory=dict)  # the last epoch seen, by gateway
-    unavailable: set[str] = field(default_factory=set)  # killed or stopped just now, by `mixed`
-    mark_numbers: Iterator[int] = field(default_factory=lambda: iter(range(1, 1_000_000)))
+    )  # JSON of the versions first seen in each epoch
+    highest_epochs: dict[str, int] = field(default_factory=dict)  # greatest epoch seen, by gateway
+    unavailable: set[str] = field(default_factory=set)  # gateways that `mixed` has killed or stopped
+    mark_numbers: Iterator[int] = field(default_factory=lambda: iter(range(1, 1_000_000)))  # for x-mark
 
     def make_source(self, name: str = "mark", body: str = "", pad: int = 0) -> bytes:
-        """A sound transform of its own text; `pad` bytes of comment make its payload longer."""
+        """A valid transform with a unique text; `pad` bytes of comment make its payload longer."""
         text = SOURCE % (name, body or f'set x-mark = "{next(self.mark_numbers)}"')
         return text.encode() + (b"\n#" + b"~" * pad if pad else b"")
 
     async def publish(self, at: str, source: bytes, wait: str = "quorum", name: str = "mark") -> str:
-        """Have it published at a gateway; its id where that was acknowledged, else ""."""
+        """Publish a version at a gateway; returns its id if that was acknowledged, else ""."""
         status, body = await self.fleet.call_operator(at, f"/api/transforms/publish?wait={wait}", source)
         return self._record_answer(status, body, name, hashlib.sha256(source).hexdigest())
 
     async def rollback(self, at: str, name: str = "mark", wait: str = "quorum") -> str:
+        """Roll a transform back at a gateway; returns the order's id if that was acknowledged, else ""."""
         status, body = await self.fleet.call_operator(
             at, f"/api/transforms/rollback?name={name}&wait={wait}", b""
         )
         return self._record_answer(status, body, name, "")
 
     def _record_answer(self, status: int, body: bytes, name: str, sha256: str) -> str:
-        told = {200: "acknowledged", 202: "kept", 0: "silent"}.get(status, "refused")
-        self.order_outcomes[told] += 1
+        outcome = {200: "acknowledged", 202: "kept", 0: "silent"}.get(status, "refused")
+        self.order_outcomes[outcome] += 1
         if status not in (200, 202):
             self.refusals[body.partition(b"\n")[0][:80].decode(errors="replace")] += status != 0
             return ""
@@ -86,7 +91,7 @@
         return order.id
 
     async def publish_first(self) -> FaultHarness:
-        """The first epoch, which takes all members."""
+        """Publish a version and wait for its epoch, which all members have to reach."""
         await self.publish(self.fleet.names[0], self.make_source())
         await self.wait_quiescent()
         return self
@@ -101,74 +106,79 @@
         await self.fleet.gateways[name].signal(signal.SIGKILL)
 
     async def stop_for(self, name: str, seconds: float) -> None:
-        """Stopped for so long: the fault itself."""
+        """Stop a gateway with SIGSTOP for so many seconds."""
         self.count_fault("stopped")
         await self.fleet.gateways[name].signal(signal.SIGSTOP)
         await asyncio.sleep(seconds)
         await self.fleet.gateways[name].signal(signal.SIGCONT)
 
-    def cut(self, some: Iterable[str]) -> tuple[list[str], list[str]]:
-        """Cut these off from the others; both sides."""
+    def cut(self, names: Iterable[str]) -> tuple[list[str], list[str]]:
+        """Cut these members off from the others; returns both sides."""
         self.count_fault("cut")
-        few = sorted(some)
+        few = sorted(names)
         most = [name for name in self.fleet.names if name not in few]
         self.fleet.relay.cut(few, most)
         return few, most
 
     def reset_streams(self) -> None:
-        """Break all open streams between the members; no fault where none is open."""
+        """Reset all open streams between the members; not counted if none is open."""
         if self.fleet.relay.reset_streams(self.fleet.names, self.fleet.names):
             self.count_fault("streams reset")
 
-    # What has to hold.
+    # Checks.
 
-    def check_status(self, at: str, status: dict[str, Any], at_rest: bool = False) -> None:
-        """Judge what one gateway says: one value for an epoch, none goes back, an id has its own bytes."""
+    def check_status(self, at: str, status: dict[str, Any], quiescent: bool = False) -> None:
+        """Check one gateway's status: an epoch has the same versions at all gateways, no gateway's epoch
+        decreases, and an id stands for the same bytes everywhere."""
         epoch = int(status["epoch"])
         if epoch < self.highest_epochs.get(at, 0):
-            self.violations.append(f"{at} fell from epoch {self.highest_epochs[at]} to {epoch}")
+            self.violations.append(f"{at} went back from epoch {self.highest_epochs[at]} to {epoch}")
         self.highest_epochs[at] = epoch
-        shown = {}
+        version_ids = {}
         for name, entry in sorted(status["versions"].items()):
             for key in ("active", "candidate", "before"):
                 version = entry[key] or {"id": "", "sha256": ""}
-                shown[f"{name}.{key}"] = version["id"]
+                version_ids[f"{name}.{key}"] = version["id"]
                 if version["sha256"] and version["sha256"] != self.sha256_by_id.get(
                     version["id"], version["sha256"]
                 ):
                     self.violations.append(f"{at} has other bytes for {version['id']}")
-            if at_rest and shown[f"{name}.active"] in self.forbidden_ids:
-                self.violations.append(f"{at} has {shown[f'{name}.active']} active, which was taken out")
-        text = json.dumps({key: id for key, id in shown.items() if id})
+            if quiescent and version_ids[f"{name}.active"] in self.forbidden_ids:
+                self.violations.append(
+                    f"{at} has {version_ids[f'{name}.active']} active, which was quarantined or rolled back"
+                )
+        text = json.dumps({key: id for key, id in version_ids.items() if id})
         if self.versions_by_epoch.setdefault(epoch, text) != text:
             self.violations.append(f"epoch {epoch} is {self.versions_by_epoch[epoch]}, and {text} at {at}")
 
     async def check_statuses(self, names: Iterable[str] | None = None) -> dict[str, dict[str, Any]]:
-        """The status of each gateway that gives one, judged."""
-        asked = list(self.fleet.names if names is None else names)
-        found = dict(zip(asked, await asyncio.gather(*map(self.fleet.status, asked)), strict=True))
+        """Get and check the status of each gateway that answers."""
+        gateways = list(self.fleet.names if names is None else names)
+        found = dict(zip(gateways, await asyncio.gather(*map(self.fleet.status, gateways)), strict=True))
         for at, status in found.items():
             if status:
                 self.check_status(at, status)
         return {at: status for at, status in found.items() if status}
 
     async def wait_quiescent(self, names: Iterable[str] | None = None) -> dict[str, Any]:
-        """Once all live members are on one epoch with nothing on its way: judged, the status of one. Raises
-        TimeoutError."""
-        asked = list(self.fleet.names if names is None else names)
+        """Wait until all live members are on one epoch with nothing under way; check all, return the status
+        of the first. Raises TimeoutError."""
+        gateways = list(self.fleet.names if names is None else names)
         last: dict[str, Any] = {}
         try:
             async with asyncio.timeout(QUIESCENCE_TIMEOUT_S):
                 while True:
-                    last = await self.check_statuses(asked)
-                    if len(last) == len(asked) and _is_quiescent(list(last.values()), len(asked)):
+                    last = await self.check_statuses(gateways)
+                    if len(last) == len(gateways) and _is_quiescent(list(last.values()), len(gateways)):
                         break
                     await asyncio.sleep(5 * POLL_S)
         except TimeoutError:
-            raise TimeoutError(f"no rest: {json.dumps(_brief(last))}") from None
+            raise TimeoutError(
+                f"not quiescent after {QUIESCENCE_TIMEOUT_S:g} s: {json.dumps(_brief(last))}"
+            ) from None
         for at, status in last.items():
-            self.check_status(at, status, at_rest=True)
-        status = last[asked[0]]
+            self.check_status(at, status, quiescent=True)
+        status = last[gateways[0]]
         self._check_orders(status)
         if self.head_checker.violations:
             self.violations.append(f"heads: {dict(self.head_checker.violations)}")
@@ -176,7 +186,7 @@
         return status
 
     def _check_orders(self, status: dict[str, Any]) -> None:
-        """Each acknowledged order has been carried out, or passed over by a later one."""
+        """Check that each acknowledged order was carried out or superseded by a later one."""
         for name, orders in self.unchecked_orders.items():
             entry = status["versions"].get(name)
             last = Order(*entry["last"]) if entry else Order(0, "")
@@ -186,12 +196,12 @@
             top = max(orders)
             is_active = entry and entry["active"] and entry["active"]["id"] == top.id
             if top.sha256 and top.id not in self.forbidden_ids and last.id == top.id and not is_active:
-                self.violations.append(f"{name} {top.id} is the last, and not active: {entry['why']}")
+                self.violations.append(f"{name} {top.id} is the last order, but not active: {entry['why']}")
         self.unchecked_orders.clear()
 
 
 def _is_quiescent(statuses: list[dict[str, Any]], count: int) -> bool:
-    """All of one epoch and one view, each member reported at it, no order or candidate on its way."""
+    """Whether all are on one epoch and see `count` live members, with no order or candidate under way."""
     first = statuses[0]
     return all(
         status["epoch"] == first["epoch"] and status["live"] == count and status["may_decide"]
--- a/faultlab/transforms/faults/kills.py
+++ b/faultlab/transforms/faults/kills.py
@@ -1,4 +1,4 @@
-"""Processes killed and stopped: the publisher at each step, a member between staging and the epoch."""
+"""Fault cases that kill or stop processes: the publisher at each step, a member between staging and epoch."""
 
 from __future__ import annotations
 
@@ -12,68 +12,70 @@
     0.002,
     0.01,
     0.03,
-)  # from the call on, into the order's way to the disk and to the others
+)  # after the call: before, while and after the order is stored and replicated
 KILL_LOG_WORDS = ("event=transforms.ordered", "event=transforms.staged", "candidate=%s", "active=%s")
 
 
-async def _wait_log_line(field: FaultHarness, at: str, *words: str) -> None:
-    """Once a gateway's log has a line with these words."""
-    while field.fleet.gateways[at].last_line_s(*words) is None:
+async def _wait_log_line(harness: FaultHarness, at: str, *words: str) -> None:
+    """Wait until a gateway's log has a line with these words."""
+    while harness.fleet.gateways[at].last_line_s(*words) is None:
         await asyncio.sleep(0.002)
 
 
-async def publisher(field: FaultHarness) -> None:
-    """The publisher, in turn the member that proposes, killed before and after each acknowledgement: back at
-    once after the former; the others go on without it after the latter."""
-    fleet = field.fleet
+async def publisher(harness: FaultHarness) -> None:
+    """Kill the publisher before and after the acknowledgement of an order; every second time it is also the
+    proposing member. Killed before, it is restarted at once; killed after, the others first become quiescent
+    without it."""
+    fleet = harness.fleet
     publishers = [fleet.names[0], fleet.names[-1]]
     for number, delay_s in enumerate(KILL_DELAYS_S):
         at = publishers[number % 2]
-        call = asyncio.create_task(field.publish(at, field.make_source()))
+        call = asyncio.create_task(harness.publish(at, harness.make_source()))
         await asyncio.sleep(delay_s)  # the moment of the fault
-        await field.kill(at)
+        await harness.kill(at)
         await call
-        await field.fleet.start(at)
-        await field.wait_quiescent()
+        await harness.fleet.start(at)
+        await harness.wait_quiescent()
     for number, step in enumerate(KILL_LOG_WORDS):
         at = publishers[number % 2]
-        call = asyncio.create_task(field.publish(at, field.make_source()))
+        call = asyncio.create_task(harness.publish(at, harness.make_source()))
         if number == 0:
             async with asyncio.timeout(QUIESCENCE_TIMEOUT_S):
-                await _wait_log_line(field, at, step)
+                await _wait_log_line(harness, at, step)
         else:
             id = await call
             async with asyncio.timeout(QUIESCENCE_TIMEOUT_S):
-                await _wait_log_line(field, at, step % id if "%" in step else step)
-        await _kill_and_restart(field, at, call)
+                await _wait_log_line(harness, at, step % id if "%" in step else step)
+        await _kill_and_restart(harness, at, call)
 
 
-async def _kill_and_restart(field: FaultHarness, at: str, call: asyncio.Task[str]) -> None:
-    await field.kill(at)
+async def _kill_and_restart(harness: FaultHarness, at: str, call: asyncio.Task[str]) -> None:
+    """Kill a gateway, wait until the others are quiescent, then restart it and wait for all."""
+    await harness.kill(at)
     await call
-    await field.wait_quiescent([name for name in field.fleet.names if name != at])
-    await field.fleet.start(at)
-    await field.wait_quiescent()
+    await harness.wait_quiescent([name for name in harness.fleet.names if name != at])
+    await harness.fleet.start(at)
+    await harness.wait_quiescent()
 
 
-async def staged(field: FaultHarness) -> None:
-    """A member that has staged a version is killed before the epoch that makes it a candidate."""
-    victim = field.fleet.names[-1]
-    await field.publish(field.fleet.names[1], field.make_source())
+async def staged(harness: FaultHarness) -> None:
+    """Kill a member that has staged a version before the epoch that makes the version a candidate."""
+    victim = harness.fleet.names[-1]
+    await harness.publish(harness.fleet.names[1], harness.make_source())
     async with asyncio.timeout(QUIESCENCE_TIMEOUT_S):
-        await _wait_log_line(field, victim, "event=transforms.staged")
-    await _kill_and_restart(field, victim, asyncio.create_task(asyncio.sleep(0.0, "")))
+        await _wait_log_line(harness, victim, "event=transforms.staged")
+    await _kill_and_restart(harness, victim, asyncio.create_task(asyncio.sleep(0.0, "")))
 
 
-async def stopped(field: FaultHarness) -> None:
-    """A member, then the one that proposes, stopped before an order and going on after its epochs."""
-    for victim in (field.fleet.names[-1], field.fleet.names[0]):
-        others = [name for name in field.fleet.names if name != victim]
-        field.count_fault("stopped")
-        await field.fleet.gateways[victim].signal(signal.SIGSTOP)
+async def stopped(harness: FaultHarness) -> None:
+    """Stop a member, then the proposing one, before an order, and continue it after the order's epochs."""
+    for victim in (harness.fleet.names[-1], harness.fleet.names[0]):
+        others = [name for name in harness.fleet.names if name != victim]
+        harness.count_fault("stopped")
+        await harness.fleet.gateways[victim].signal(signal.SIGSTOP)
         try:
-            await field.publish(others[1], field.make_source())
-            await field.wait_quiescent(others)
+            await harness.publish(others[1], harness.make_source())
+            await harness.wait_quiescent(others)
         finally:
-            await field.fleet.gateways[victim].signal(signal.SIGCONT)
-        await field.wait_quiescent()
+            await harness.fleet.gateways[victim].signal(signal.SIGCONT)
+        await harness.wait_quiescent()
--- a/faultlab/transforms/faults/mixed.py
+++ b/faultlab/transforms/faults/mixed.py
@@ -1,4 +1,4 @@
-"""Faults of all kinds at once and at random, round by round, while versions of several names come and go."""
+"""A fault case of rounds of random faults of all kinds, while versions of several names are published."""
 
 from __future__ import annotations
 
@@ -8,62 +8,62 @@
 from faultlab.transforms.faults.network import LOSSY_RULE, PAD_BYTES
 
 TRANSFORM_NAMES = [f"t{number}" for number in range(6)]
-FAULTS_PER_ROUND = 10  # a round
-ROUND_SPREAD_S = 2.0  # of a round's faults
-DOWNTIME_RANGE_S = (0.0, 0.5)
+FAULTS_PER_ROUND = 10
+ROUND_SPREAD_S = 2.0  # a round's faults and orders begin at random times within this span
+DOWNTIME_RANGE_S = (0.0, 0.5)  # between a kill and the restart
 
 
-async def mixed(field: FaultHarness, rounds: int) -> None:
-    """Each round: an order for each of the names, at random gateways, among FAULTS random faults; then all is
-    healed, and what was acknowledged has to have come to its end."""
+async def mixed(harness: FaultHarness, rounds: int) -> None:
+    """Each round: send an order for each name, at random gateways, during FAULTS_PER_ROUND random faults;
+    then heal all, wait until the fleet is quiescent and check the acknowledged orders."""
     for _ in range(rounds):
-        faults = [asyncio.create_task(_inject_fault(field)) for _ in range(FAULTS_PER_ROUND)]
-        orders = [asyncio.create_task(_send_order(field, name)) for name in TRANSFORM_NAMES]
+        faults = [asyncio.create_task(_inject_fault(harness)) for _ in range(FAULTS_PER_ROUND)]
+        orders = [asyncio.create_task(_send_order(harness, name)) for name in TRANSFORM_NAMES]
         await asyncio.gather(*orders)
         await asyncio.gather(*faults)
-        field.fleet.relay.heal()
-        field.fleet.relay.set_rule(PASS_THROUGH)
-        await field.wait_quiescent()
+        harness.fleet.relay.heal()
+        harness.fleet.relay.set_rule(PASS_THROUGH)
+        await harness.wait_quiescent()
 
 
-async def _send_order(field: FaultHarness, name: str) -> None:
-    rng = field.rng
+async def _send_order(harness: FaultHarness, name: str) -> None:
+    rng = harness.rng
     await asyncio.sleep(rng.uniform(0.0, ROUND_SPREAD_S))
-    at = rng.choice(field.fleet.names)
+    at = rng.choice(harness.fleet.names)
     wait = rng.choice(("quorum", "quorum", "all"))
     if rng.random() < 0.1:
-        await field.rollback(at, name, wait)
+        await harness.rollback(at, name, wait)
     else:
-        await field.publish(at, field.make_source(name, pad=rng.choice((0, 0, PAD_BYTES))), wait, name)
+        await harness.publish(at, harness.make_source(name, pad=rng.choice((0, 0, PAD_BYTES))), wait, name)
 
 
-async def _inject_fault(field: FaultHarness) -> None:
-    rng, fleet = field.rng, field.fleet
+async def _inject_fault(harness: FaultHarness) -> None:
+    rng, fleet = harness.rng, harness.fleet
     await asyncio.sleep(rng.uniform(0.0, ROUND_SPREAD_S))
     victim, kind = rng.choice(fleet.names), rng.randrange(5)
     if kind == 0:
         gateway = fleet.gateways[victim]
-        if gateway.process is None or gateway.process.returncode is not None or victim in field.unavailable:
-            field.reset_streams()
+        if gateway.process is None or gateway.process.returncode is not None or victim in harness.unavailable:
+            harness.reset_streams()
             return
-        field.unavailable.add(victim)
+        harness.unavailable.add(victim)
         try:
-            await field.kill(victim)
+            await harness.kill(victim)
             await asyncio.sleep(rng.uniform(*DOWNTIME_RANGE_S))
             await fleet.start(victim)
         finally:
-            field.unavailable.discard(victim)
+            harness.unavailable.discard(victim)
     elif kind == 1:
-        if victim not in field.unavailable:
-            field.unavailable.add(victim)
-            await field.stop_for(victim, rng.uniform(0.1, 1.5))
-            field.unavailable.discard(victim)
+        if victim not in harness.unavailable:
+            harness.unavailable.add(victim)
+            await harness.stop_for(victim, rng.uniform(0.1, 1.5))
+            harness.unavailable.discard(victim)
     elif kind == 2:
-        field.cut(rng.sample(fleet.names, rng.randint(1, len(fleet.names) // 2)))
+        harness.cut(rng.sample(fleet.names, rng.randint(1, len(fleet.names) // 2)))
         await asyncio.sleep(rng.uniform(0.1, 2.0))
         fleet.relay.heal()
     elif kind == 3:
-        field.reset_streams()
+        harness.reset_streams()
     else:
-        field.count_fault("lossy network")
+        harness.count_fault("lossy network")
         fleet.relay.set_rule(LOSSY_RULE)
--- a/faultlab/transforms/faults/network.py
+++ b/faultlab/transforms/faults/network.py
@@ -1,5 +1,5 @@
-"""What a network does: loss and reordering, partitions at each step, payloads flipped and torn on their way;
-and two developers who publish one name at once."""
+"""Fault cases of the network: loss and reordering, partitions at each step, payloads corrupted or cut short
+on the way, and two publications of one name at once."""
 
 from __future__ import annotations
 
@@ -12,92 +12,93 @@
 
 LOSSY_RULE = Rule(drop=0.05, duplicate=0.02, reorder=0.1, delay_s=(0.0, 0.01))
 ROUNDS = 3
-PAD_BYTES = 24 * 1024  # so that a payload is fetched by the pieces, not told with its head
+PAD_BYTES = 24 * 1024  # makes a payload too long to be sent with its head: it is fetched in pieces
 
 
-async def lossy(field: FaultHarness) -> None:
-    """5 % loss, doubles, reordering, delays on each path, and streams reset, while versions come and go."""
-    field.fleet.relay.set_rule(LOSSY_RULE)
-    field.count_fault("lossy network")
+async def lossy(harness: FaultHarness) -> None:
+    """Publish versions under 5 % loss, duplicates, reordering and delays on each path, and stream resets."""
+    harness.fleet.relay.set_rule(LOSSY_RULE)
+    harness.count_fault("lossy network")
     try:
         for number in range(ROUNDS):
-            await field.publish(field.fleet.names[number], field.make_source(pad=PAD_BYTES))
-            field.reset_streams()
-            await field.wait_quiescent()
+            await harness.publish(harness.fleet.names[number], harness.make_source(pad=PAD_BYTES))
+            harness.reset_streams()
+            await harness.wait_quiescent()
     finally:
-        field.fleet.relay.set_rule(PASS_THROUGH)
+        harness.fleet.relay.set_rule(PASS_THROUGH)
 
 
-async def partitions(field: FaultHarness) -> None:
-    """A third cut off, the member that proposes among them, during a publication on each side, an activation
-    and a rollback, each healed."""
-    fleet = field.fleet
+async def partitions(harness: FaultHarness) -> None:
+    """Cut off a third of the members, among them the proposing one, during a publication on each side, an
+    activation and a rollback; heal each partition."""
+    fleet = harness.fleet
     few = fleet.names[: max(1, len(fleet.names) // 3)]
     most = [name for name in fleet.names if name not in few]
-    # During a publication: at both sides, as the cut comes.
-    orders = [asyncio.create_task(field.publish(at, field.make_source())) for at in (few[-1], most[-1])]
-    await _cut_until_quiescent(field, few, most)
+    # During a publication on each side, as the cut begins.
+    orders = [asyncio.create_task(harness.publish(at, harness.make_source())) for at in (few[-1], most[-1])]
+    await _cut_until_quiescent(harness, few, most)
     await asyncio.gather(*orders)
-    await _heal_and_wait(field)
-    # During an activation: cut while a candidate is out.
-    id = await field.publish(most[-1], field.make_source())
+    await _heal_and_wait(harness)
+    # During an activation, while there is a candidate.
+    id = await harness.publish(most[-1], harness.make_source())
     async with asyncio.timeout(QUIESCENCE_TIMEOUT_S):
         while not is_candidate_or_active(await fleet.status(most[-1]), id):
             await asyncio.sleep(POLL_S)
-    await _cut_until_quiescent(field, few, most)
-    await _heal_and_wait(field)
+    await _cut_until_quiescent(harness, few, most)
+    await _heal_and_wait(harness)
     # During a rollback.
-    order = asyncio.create_task(field.rollback(most[0]))
-    await _cut_until_quiescent(field, few, most)
+    order = asyncio.create_task(harness.rollback(most[0]))
+    await _cut_until_quiescent(harness, few, most)
     await order
-    await _heal_and_wait(field)
+    await _heal_and_wait(harness)
 
 
 def is_candidate_or_active(status: dict[str, Any], id: str) -> bool:
+    """Whether a version of `mark` is the candidate or active in a gateway's status."""
     entry = status["versions"].get("mark", {}) if status else {}
     return any((entry.get(key) or {}).get("id") == id for key in ("active", "candidate"))
 
 
-async def _cut_until_quiescent(field: FaultHarness, few: list[str], most: list[str]) -> None:
-    """Cut off until the others have come to rest: the few take no epoch that the others do not know."""
-    field.cut(few)
-    await field.wait_quiescent(most)
-    seen = await field.check_statuses()
-    top = max(status["epoch"] for at, status in seen.items() if at in most)
-    ahead = [at for at in few if at in seen and seen[at]["epoch"] > top]
+async def _cut_until_quiescent(harness: FaultHarness, few: list[str], most: list[str]) -> None:
+    """Cut off `few` and wait until `most` are quiescent; check that the minority is not at a later epoch."""
+    harness.cut(few)
+    await harness.wait_quiescent(most)
+    seen = await harness.check_statuses()
+    max_epoch = max(status["epoch"] for at, status in seen.items() if at in most)
+    ahead = [at for at in few if at in seen and seen[at]["epoch"] > max_epoch]
     if ahead:
-        field.violations.append(f"{', '.join(ahead)}: a minority is ahead of epoch {top}")
+        harness.violations.append(f"{', '.join(ahead)}: a minority is ahead of epoch {max_epoch}")
 
 
-async def _heal_and_wait(field: FaultHarness) -> None:
-    field.fleet.relay.heal()
-    await field.wait_quiescent()
+async def _heal_and_wait(harness: FaultHarness) -> None:
+    harness.fleet.relay.heal()
+    await harness.wait_quiescent()
 
 
-async def together(field: FaultHarness) -> None:
-    """Two developers publish one name at once, at two gateways: one is taken, on all."""
-    names = field.fleet.names
+async def together(harness: FaultHarness) -> None:
+    """Publish one name at two gateways at once: all members activate the same version."""
+    names = harness.fleet.names
     for number in range(ROUNDS):
-        field.count_fault("two at once")
+        harness.count_fault("two at once")
         pair = names[number % len(names)], names[-1 - number % len(names)]
-        await asyncio.gather(*(field.publish(at, field.make_source()) for at in pair))
-        await field.wait_quiescent()
+        await asyncio.gather(*(harness.publish(at, harness.make_source()) for at in pair))
+        await harness.wait_quiescent()
 
 
-async def flipped(field: FaultHarness) -> None:
-    """A byte of a payload flipped on its way, or its stream torn in it: fetched again, and never run."""
-    relay, left = field.fleet.relay, 0
+async def flipped(harness: FaultHarness) -> None:
+    """Flip a byte of a payload on the way, or reset its stream within it: it is fetched again, never run."""
+    relay, remaining = harness.fleet.relay, 0
 
     def mangle(source: str, target: str, data: bytes) -> bytes:
-        nonlocal left
+        nonlocal remaining
         at = data.find(b"~" * 64)
-        if at < 0 or not left:
+        if at < 0 or not remaining:
             return data
-        left -= 1
-        if left % 2:
-            field.count_fault("payload flipped")
+        remaining -= 1
+        if remaining % 2:
+            harness.count_fault("payload flipped")
             return data[:at] + b"!" + data[at + 1 :]
-        field.count_fault("payload torn")
+        harness.count_fault("payload torn")
         for stream in list(
             relay.members[target].streams.open_streams | relay.members[source].streams.open_streams
         ):
@@ -106,12 +107,12 @@
         return data[:at]
 
     for number in range(ROUNDS):
-        left = 2
+        remaining = 2
         relay.mangle = mangle
         try:
-            await field.publish(field.fleet.names[number], field.make_source(pad=PAD_BYTES))
-            await field.wait_quiescent()
+            await harness.publish(harness.fleet.names[number], harness.make_source(pad=PAD_BYTES))
+            await harness.wait_quiescent()
         finally:
             relay.mangle = None
-    if not field.injected["payload flipped"] or not field.injected["payload torn"]:
-        field.violations.append("no payload was hurt on its way: the case shows nothing")
+    if not harness.injected["payload flipped"] or not harness.injected["payload torn"]:
+        harness.violations.append("no payload was flipped or none was cut short: the case tested nothing")
--- a/faultlab/transforms/fleet.py
+++ b/faultlab/transforms/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real gateways behind the relay that take what is published."""
+"""A fleet of real gateways behind the relay to which transforms are published."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 
 
 class TransformsFleet(GatewayFleet):
-    """`async with Published(4, folder, {...}) as fleet`: gateways that may all decide. `settings` go into
-    every gateway's `transforms.fleet`, `cluster` into its `cluster`."""
+    """`async with Published(4, folder, {...}) as fleet`: gateways that may all decide. `settings` are
+    merged into every gateway's `transforms.fleet`, `cluster` into its `cluster`."""
 
     def __init__(
         self,
@@ -34,14 +34,16 @@
         return status["may_decide"] and status["live"] == len(self.names)
 
     async def publish(self, name: str, source: bytes, wait: str = "quorum") -> str:
-        """The version's id, once it is held at the level. Raises RuntimeError for any other answer."""
+        """Publish a version; returns its id once it is stored at the `wait` level. Raises RuntimeError for
+        any other answer."""
         status, body = await self.call_operator(name, f"/api/transforms/publish?wait={wait}", source)
         if status != 200:
             raise RuntimeError(f"{name} answered {status}: {body!r}")
         return str(json.loads(body)["id"])
 
     async def status(self, name: str) -> dict[str, Any]:
-        """Its answer, with `live` (members) and `versions` (transform's name to its entry); {}: none."""
+        """A gateway's status, with `live` (count of live members) and `versions` (entries by name) added; {}
+        if it did not answer."""
         status, body = await self.call_operator(name, "/api/transforms")
         if status != 200:
             return {}
--- a/tests/test_transforms_lab.py
+++ b/tests/test_transforms_lab.py
@@ -1,4 +1,4 @@
-"""What is published, with real gateways behind the lab's relay; the cases share one fleet, in order."""
+"""Publications at real gateways behind the lab's relay; the tests share one fleet and run in order."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 def active(id: str, epoch: int = 0) -> Callable[[dict[str, Any]], object]:
-    """Whether a version is active, nothing else on its way, and the fleet's records say so here."""
+    """A check that a version is active in a later epoch than `epoch`, with nothing else under way."""
 
     def holds(status: dict[str, Any]) -> object:
         found = status["versions"].get("mark")
@@ -102,7 +102,9 @@
 
 def test_the_publisher_is_killed_after_its_acknowledgement_and_comes_back(case: Case) -> None:
     async def steps(fleet: TransformsFleet) -> None:
-        id = await fleet.publish("m0", (SOURCE % 3).encode())  # the first by name, who proposes too
+        id = await fleet.publish(
+            "m0", (SOURCE % 3).encode()
+        )  # the first member by name, which also proposes epochs
         await fleet.gateways["m0"].signal(signal.SIGKILL)
         await fleet.wait_all(active(id), names=fleet.names[1:])
         await fleet.start("m0")
