--- a/faultlab/transforms/faults/harness.py
+++ b/faultlab/transforms/faults/harness.py
@@ -52,9 +52,7 @@
     unchecked_orders: dict[str, list[Order]] = field(default_factory=dict)
     forbidden_ids: set[str] = field(default_factory=set)  # versions that must not be active when quiescent
     sha256_by_id: dict[str, str] = field(default_factory=dict)
-    versions_by_epoch: dict[int, str] = field(
-        default_factory=dict
-    )  # JSON of the versions first seen in each epoch
+    versions_by_epoch: dict[int, str] = field(default_factory=dict)  # JSON of what was first seen
     highest_epochs: dict[str, int] = field(default_factory=dict)  # greatest epoch seen, by gateway
     unavailable: set[str] = field(default_factory=set)  # gateways that `mixed` has killed or stopped
     mark_numbers: Iterator[int] = field(default_factory=lambda: iter(range(1, 1_000_000)))  # for x-mark
--- a/faultlab/transforms/faults/kills.py
+++ b/faultlab/transforms/faults/kills.py
@@ -7,12 +7,9 @@
 
 from faultlab.transforms.faults.harness import QUIESCENCE_TIMEOUT_S, FaultHarness
 
-KILL_DELAYS_S = (
-    0.0,
-    0.002,
-    0.01,
-    0.03,
-)  # after the call: before, while and after the order is stored and replicated
+# After the call: before, while and after the order is stored and replicated.
+KILL_DELAYS_S = (0.0, 0.002, 0.01, 0.03)
+# Words of the publisher's log at which it is killed; %s is the version's id.
 KILL_LOG_WORDS = ("event=transforms.ordered", "event=transforms.staged", "candidate=%s", "active=%s")
 
 
--- a/faultlab/transforms/faults/versions.py
+++ b/faultlab/transforms/faults/versions.py
@@ -26,10 +26,8 @@
     "strips what it may not": "remove cookie",
     "strips framing": "writes content-length remove content-length",
 }
-CALLS_PER_S, ERROR_CALLS_PER_S = (
-    20.0,
-    50.0,
-)  # to each gateway; the second where hosts answer 5xx
+# Rates to each gateway; the second for versions on which hosts answer 5xx, so that they can be told apart.
+CALLS_PER_S, ERROR_CALLS_PER_S = 20.0, 50.0
 # Long enough to compare 5xx rates with and without the version, while breakers of the hosts open too.
 CANARY_S = 3.0
 MAX_MEMORY_GAIN_KB = 64 * 1024  # growth of a gateway's resident memory that is allowed
