--- a/faultlab/routes/baseline.py
+++ b/faultlab/routes/baseline.py
@@ -1,8 +1,9 @@
-"""The same concurrent edits, merged and written as whole files where the last writer wins, side by side.
+"""Compares the merge of concurrent edits with a baseline of whole files where the last writer wins.
 
-One trial: from one agreed plan each team commits once, without having seen the others. An edit is merged with
-no person where it is in the plan then; else a person has to resolve it, accept it, or mend what it blocks. In
-the baseline each team writes the whole file as it read it, with its edits; the greatest clock wins.
+In each trial every team commits once on the same agreed plan, without having seen the others' commits. An
+edit counts as merged if it is in the plan afterwards; otherwise a person has to resolve it, accept it or
+repair what blocks it. In the baseline each team writes the whole file as it read it, with its edits; the file
+with the greatest clock wins.
 """
 
 from __future__ import annotations
@@ -19,50 +20,53 @@
 from faultlab.routes import random_edits
 
 ROUTES_PER_TEAM = 4  # routes of each team in the agreed plan
-UNUSED_PATHS = 100  # paths that nobody uses yet, to draw from beside those in use
-INVALID_SHARE = 0.02
+UNUSED_PATHS = 100  # paths that no route uses yet, drawn from beside the used ones
+INVALID_SHARE = 0.02  # share of values that block the plan
 
 
 def run(teams: int, trials: int, seed: int) -> dict[str, Any]:
-    """Shares of all edits, over so many trials."""
+    """Run the trials; returns counts and shares of all edits."""
     rng = random.Random(f"baseline {seed}")
     names = make_names(teams)
-    world = Environment(
+    environment = Environment(
         frozenset(names.classes), frozenset(names.callers), frozenset(names.zones), frozenset(names.types),
         {"mark": frozenset({"x-mark"}), "mark-two": frozenset({"x-mark"}), "trim": frozenset({"x-trim"})},
         {}, frozenset(names.groups), frozenset(names.labels),
     )  # fmt: skip
-    fates: Counter[str] = Counter()
-    lost = edits = unnoticed = 0
+    outcomes: Counter[str] = Counter()
+    lost = edits = lossy_commits = 0
     for _ in range(trials):
         base = agreed_plan(names)
-        view = merge_all([base], world)
+        view = merge_all([base], environment)
         commits = draw_commits(rng, names, view)
         changes = [
-            Change(dot=Dot(f"m{n}", 1, 1), context=view.context, team=team, edits=its)
-            for n, (team, its, _) in enumerate(commits)
+            Change(dot=Dot(f"m{n}", 1, 1), context=view.context, team=team, edits=team_edits)
+            for n, (team, team_edits, _) in enumerate(commits)
         ]
-        after = merge_all([base, *changes], world)
+        after = merge_all([base, *changes], environment)
         for change in changes:
             for edit in change.edits:
-                fates[edit_outcome(change, edit, after)] += 1
+                outcomes[edit_outcome(change, edit, after)] += 1
         clocks = [rng.uniform(-300.0, 300.0) for _ in commits]
-        files = [write_file(view, its) for _, its, _ in commits]
+        files = [write_file(view, team_edits) for _, team_edits, _ in commits]
         winner = files[clocks.index(max(clocks))]
-        for _, its, _ in commits:
-            gone = sum(not file_has_edit(winner, edit) for edit in its)
-            edits, lost, unnoticed = edits + len(its), lost + gone, unnoticed + bool(gone)
+        for _, team_edits, _ in commits:
+            gone = sum(not file_has_edit(winner, edit) for edit in team_edits)
+            edits, lost, lossy_commits = edits + len(team_edits), lost + gone, lossy_commits + bool(gone)
     return {
         "teams": teams, "trials": trials, "concurrent_edits": edits,
-        "merged_with_no_person": round(fates["merged"] / edits, 4),
-        "for_a_person": {name: round(n / edits, 4) for name, n in sorted(fates.items()) if name != "merged"},
-        "edits_lost": fates["lost"],
+        "merged_with_no_person": round(outcomes["merged"] / edits, 4),
+        "for_a_person": {
+            name: round(n / edits, 4) for name, n in sorted(outcomes.items()) if name != "merged"
+        },
+        "edits_lost": outcomes["lost"],
         "last_writer_wins": {"edits_lost": lost, "share_lost": round(lost / edits, 4),
-                             "commits_with_a_loss": unnoticed, "told": 0},
+                             "commits_with_a_loss": lossy_commits, "told": 0},
     }  # fmt: skip
 
 
 def make_names(teams: int) -> random_edits.NamePool:
+    """The names that the trials' edits are drawn from."""
     known = tuple(f"r{number}" for number in range(teams * ROUTES_PER_TEAM))
     return random_edits.NamePool(
         teams=tuple(f"team-{number}" for number in range(teams)),
@@ -73,8 +77,8 @@
 
 
 def agreed_plan(names: random_edits.NamePool) -> Change:
-    """The plan that all have read: OWN routes of each team, none of which meet. One change, each team's
-    routes named as its own by their first writer."""
+    """The plan that all teams have read, as one change: ROUTES_PER_TEAM routes of each team without
+    overlaps."""
     edits: list[Edit] = []
     for number in range(len(names.teams) * ROUTES_PER_TEAM):
         name = names.routes[number]
@@ -86,7 +90,7 @@
 
 
 def draw_commits(rng: random.Random, names: random_edits.NamePool, view: View) -> list[random_edits.Commit]:
-    """One commit of each team."""
+    """Draw one commit of each team."""
     found: dict[str, random_edits.Commit] = {}
     while len(found) < len(names.teams):
         commit = random_edits.random_commit(rng, names, view)
@@ -96,7 +100,7 @@
 
 
 def edit_outcome(change: Change, edit: Edit, view: View) -> str:
-    """What became of an edit: merged, or what a person is asked for; `lost` if it is nowhere."""
+    """Whether an edit was merged, or what a person has to do about it; `lost` if neither."""
     for conflict in view.conflicts:
         sides = {choice.dot for choice in conflict.choices}
         if change.dot in sides and edit.route in conflict.routes:
@@ -115,6 +119,7 @@
 
 
 def is_in_plan(view: View, edit: Edit) -> bool:
+    """Whether the plan has the value of an edit, or a decision about its field."""
     route = view.routes.get(edit.route)
     if edit.field == DELETED:
         return (route is None) == bool(edit.value)
@@ -126,11 +131,11 @@
     return bool(edit.field in route.decided or found == edit.value or edit.value in (None, []))
 
 
-PlanFile = dict[str, dict[str, Any]]
+PlanFile = dict[str, dict[str, Any]]  # route to its fields
 
 
 def write_file(view: View, edits: tuple[Edit, ...]) -> PlanFile:
-    """The whole file as a team writes it."""
+    """The whole file that a team writes: the plan that it read, with its edits."""
     found: PlanFile = {
         name: {**route.values, **route.unknown_fields, "owner": route.owner}
         for name, route in view.routes.items()
@@ -144,6 +149,7 @@
 
 
 def file_has_edit(file: PlanFile, edit: Edit) -> bool:
+    """Whether a file has the value of an edit."""
     if edit.field == DELETED:
         return edit.route not in file
     return bool(file.get(edit.route, {}).get(edit.field) == edit.value)
--- a/faultlab/routes/costs.py
+++ b/faultlab/routes/costs.py
@@ -1,5 +1,7 @@
-"""What the merge, the index and a plan of many routes cost one process: CPU times and memory, nothing else
-on the way. As in a gateway, garbage collection is put off while a merge runs."""
+"""Measures the CPU time and memory that the merge and the index of many routes cost in one process.
+
+As in a gateway, garbage collection is disabled while a merge runs.
+"""
 
 from __future__ import annotations
 
@@ -17,17 +19,19 @@
 from cloverkeel.fleet.routes.interface import Environment
 from cloverkeel.fleet.routes.merge import Merge, merge_all
 
-ROUTES_PER_CHANGE = 100  # routes of one file
+ROUTES_PER_CHANGE = 100  # routes of one change, as of one team's file
 TEAMS = 10
 LOOKUPS_PER_ROUND = 5_000
 
 
 def make_environment() -> Environment:
+    """The names that the routes of `make_changes` refer to."""
     return Environment(frozenset({"search", "transfer"}), None, frozenset({"a"}), frozenset({"m"}), {}, {})
 
 
 def make_changes(routes: int) -> list[Change]:
-    """`routes` routes of TEAMS teams, PER_CHANGE in each change; none of two teams meet."""
+    """`routes` routes of TEAMS teams, ROUTES_PER_CHANGE in each change; routes of different teams do not
+    overlap."""
     made: list[Change] = []
     for number, first in enumerate(range(0, routes, ROUTES_PER_CHANGE)):
         team = f"team-{number % TEAMS}"
@@ -46,23 +50,25 @@
 
 
 def route_path(route: int) -> str:
+    """The path of a route by its number."""
     return f"/transfer/team-{route // ROUTES_PER_CHANGE % TEAMS}/service-{route // 50}/call-{route}"
 
 
 def settle_steps_ms(merge: Merge) -> list[float]:
-    """The CPU of each step of a settling."""
+    """Settle a merge; returns the CPU time of each step in milliseconds."""
     found, settling = [], iter(merge.settle())
     while True:
-        began = time.thread_time()
+        started_s = time.thread_time()
         ended = next(settling, settling) is settling
-        found.append(1e3 * (time.thread_time() - began))
+        found.append(1e3 * (time.thread_time() - started_s))
         if ended:
             return found
 
 
 def run(routes: int, rounds: int, seed: int) -> dict[str, Any]:
-    """Milliseconds and MB. `one_edit`: its `add` and all steps of its settling (goal 20 ms); `rebuild`: the
-    merge from nothing (goal 1 s); `longest_step`: of either kind (1 ms wanted)."""
+    """Measure merges of single edits and of all routes, in milliseconds and MB. `one_edit`: `add` and all
+    steps of settling (goal 20 ms); `rebuild`: the merge of all changes from nothing (goal 1 s);
+    `longest_step`: of either kind (target 1 ms)."""
     rng = random.Random(f"costs {seed}")
     all_changes = make_changes(routes)
     gc.collect()
@@ -72,32 +78,32 @@
     for change in all_changes:
         merge.add(change)
     settle_steps_ms(merge)
-    held_mb = tracemalloc.get_traced_memory()[0] / 1e6
+    merge_mb = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
     rebuilds = []
     for _ in range(max(1, min(3, rounds))):
-        began = time.thread_time()
+        started_s = time.thread_time()
         view = merge_all(all_changes, make_environment())
-        rebuilds.append(1e3 * (time.thread_time() - began))
+        rebuilds.append(1e3 * (time.thread_time() - started_s))
     sliced = Merge(make_environment())
     for change in all_changes:
         sliced.add(change)
     build_steps = settle_steps_ms(sliced)
     if view.hash != merge.view.hash or len(view.routes) != routes:
-        raise RuntimeError(f"the rebuild has {len(view.routes)} routes and another plan")
+        raise RuntimeError(f"the rebuild gave another plan, with {len(view.routes)} routes")
     totals, longest = [], []
     for number, edits in enumerate(single_edits(rng, routes, 10 * rounds)):
         team = merge.view.routes[edits[0].route].owner
         change = Change(dot=Dot("m1", 1, number + 1), context=merge.view.context, team=team, edits=edits)
-        began = time.thread_time()
+        started_s = time.thread_time()
         merge.add(change)
-        added_ms = 1e3 * (time.thread_time() - began)
+        added_ms = 1e3 * (time.thread_time() - started_s)
         steps = settle_steps_ms(merge)
         totals.append(added_ms + sum(steps))
         longest.append(max(added_ms, *steps))
     gc.enable()
     return {
-        "routes": routes, "held_mb": round(held_mb, 1),
+        "routes": routes, "held_mb": round(merge_mb, 1),
         "one_edit_ms": summary(totals) | {"goal": 20}, "one_edit_longest_step_ms": summary(longest),
         "rebuild_ms": summary(rebuilds) | {"goal": 1000},
         "rebuild_steps": len(build_steps), "rebuild_longest_step_ms": round(max(build_steps), 3),
@@ -105,8 +111,8 @@
 
 
 def measure_lookups(sizes: Iterable[int], seed: int) -> dict[str, Any]:
-    """Microseconds of CPU to find a request's route (goal 5, flat within a factor of 2): each third request
-    has none."""
+    """Measure the CPU time in microseconds to find a request's route (goal 5, with at most a factor of 2
+    between sizes). A third of the requests matches no route."""
     found: dict[str, Any] = {}
     for size in sizes:
         rng = random.Random(f"lookups {seed}")
@@ -115,20 +121,21 @@
         index.set_precedence(view.precedes)
         for route in view.routes.values():
             index.put(route)
-        asked = [route_path(rng.randrange(size)).encode() + b"/x" for _ in range(LOOKUPS_PER_ROUND)]
-        asked[::3] = [b"/transfer/elsewhere/" + each[10:] for each in asked[::3]]
+        requests = [route_path(rng.randrange(size)).encode() + b"/x" for _ in range(LOOKUPS_PER_ROUND)]
+        requests[::3] = [b"/transfer/elsewhere/" + each[10:] for each in requests[::3]]
         each_us = []
         for _ in range(7):
-            began = time.thread_time()
-            for each in asked:
+            started_s = time.thread_time()
+            for each in requests:
                 index.find(b"transfer", b"lab", each)
-            each_us.append(1e6 * (time.thread_time() - began) / LOOKUPS_PER_ROUND)
+            each_us.append(1e6 * (time.thread_time() - started_s) / LOOKUPS_PER_ROUND)
         found[str(size)] = round(statistics.median(each_us), 2)
     least, most = min(found.values()), max(found.values())
     return found | {"goal": 5, "greatest_to_least": round(most / least, 2)}
 
 
 def single_edits(rng: random.Random, routes: int, count: int) -> Iterator[tuple[Edit, ...]]:
+    """Draw `count` changes of one field of one route."""
     for number in range(count):
         route = rng.randrange(routes)
         field, value = rng.choice((
@@ -139,6 +146,7 @@
 
 
 def summary(values: list[float]) -> dict[str, float]:
+    """The median, the 99th percentile and the greatest value."""
     ranked = sorted(values)
     return {
         "p50": round(statistics.median(ranked), 3),
--- a/faultlab/routes/fleet.py
+++ b/faultlab/routes/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of real gateways behind the relay whose routes many teams edit, and what became of their edits."""
+"""A fleet of real gateways behind the relay whose routes many teams edit, and the search for lost edits."""
 
 from __future__ import annotations
 
@@ -23,17 +23,18 @@
 from faultlab.gateway_fleet import POLL_S, GatewayFleet
 from faultlab.routes.random_edits import as_toml
 
-Routes = dict[str, dict[str, Any]]
-FIRST_EDIT_TIMEOUT_S = 120.0
-POST_ATTEMPTS, RETRY_DELAY_S = 5, 0.3  # of a call that the gateway could not keep
+Routes = dict[str, dict[str, Any]]  # route to its fields
+FIRST_EDIT_TIMEOUT_S = 120.0  # for the fleet's first edit to reach all gateways
+POST_ATTEMPTS, RETRY_DELAY_S = 5, 0.3  # of a call that the gateway could not store (503)
 
 
 class RoutesFleet(GatewayFleet):
-    """`async with Routed(10, folder) as fleet`: gateways with routes on, that all hold one first edit."""
+    """`async with RoutesFleet(10, folder) as fleet`: gateways with routes enabled that all have one first
+    edit."""
 
     def __init__(self, count: int, folder: Path, offsets_s: Mapping[str, float] | None = None) -> None:
         super().__init__(count, folder)
-        self.clock_offsets_s = offsets_s or {}  # by gateway: how far its wall clock is ahead
+        self.clock_offsets_s = offsets_s or {}  # by gateway: seconds that its wall clock is ahead
 
     def extend_config(self, config: dict[str, Any]) -> dict[str, Any]:
         return config | {"routes": {"size": len(self.names), "room": {"m": 1000}}}
@@ -59,11 +60,11 @@
         return status["hash"]
 
     async def status(self, name: str) -> dict[str, Any]:
-        """The plan in short: hash, count, conflicts, waiting, held_back."""
+        """A gateway's plan in short: hash, count, conflicts, waiting, held_back; {} if it did not answer."""
         return await self._get(name, "brief")
 
     async def plan(self, name: str) -> dict[str, Any]:
-        """The whole plan, its routes by name."""
+        """A gateway's whole plan, its routes by name."""
         found = await self._get(name, "json")
         return found | {"routes": {each["name"]: each for each in found.get("routes", ())}}
 
@@ -73,7 +74,7 @@
         return found
 
     async def export(self, name: str, team: str) -> tuple[str, Routes]:
-        """A team's file as `routes show --toml` gives it: its base and its routes."""
+        """A team's file as `routes show --toml` prints it; returns its base and its routes."""
         status, body = await self.call_operator(name, f"/api/routes?form=toml&team={team}")
         if status != 200:
             raise RuntimeError(f"{name} answered {status}: {body!r}")
@@ -83,20 +84,22 @@
     async def apply(
         self, name: str, team: str, routes: Routes, base: str = "", wait: str = "quorum"
     ) -> dict[str, Any]:
-        """What `routes apply` of this file says, with its `status`. Raises RuntimeError where it is refused
-        or has no answer."""
+        """Apply a team's file as `routes apply` does; returns the answer with its HTTP `status`. Raises
+        RuntimeError if it is refused or not answered."""
         return await self._post(name, f"apply?wait={wait}", as_toml(team, base, routes).encode())
 
     async def resolve(self, name: str, id: str, team: str, way: str, value: str = "") -> dict[str, Any]:
+        """Resolve a conflict; answers and errors as of `apply`."""
         return await self._post(name, f"resolve?id={id}&team={team}&way={way}&wait=quorum", value.encode())
 
     async def accept(self, name: str, change: str, route: str, team: str) -> dict[str, Any]:
+        """Accept a change's waiting edit of a route; answers and errors as of `apply`."""
         return await self._post(name, f"accept?change={change}&route={route}&team={team}&wait=quorum", b"")
 
-    async def _post(self, name: str, what: str, body: bytes) -> dict[str, Any]:
+    async def _post(self, name: str, target: str, body: bytes) -> dict[str, Any]:
         for _ in range(POST_ATTEMPTS):
-            status, answer = await self.call_operator(name, f"/api/routes/{what}", body)
-            if status != 503:  # nothing was kept: a disk that was busy for too long
+            status, answer = await self.call_operator(name, f"/api/routes/{target}", body)
+            if status != 503:  # 503: nothing was stored, since the disk was busy for too long
                 break
             await asyncio.sleep(RETRY_DELAY_S)
         if status not in (200, 202):
@@ -104,30 +107,32 @@
         found: dict[str, Any] = json.loads(answer)
         return found | {"status": status}
 
-    async def wait_same_records(self, wanted: set[str], ever: dict[str, Change], timeout_s: float) -> None:
-        """Once all disks hold the same changes, and those `wanted` are there or were: `ever` is told of all
-        that are seen. Raises TimeoutError."""
+    async def wait_same_records(self, wanted: set[str], seen: dict[str, Change], timeout_s: float) -> None:
+        """Wait until all disks hold the same changes and each of `wanted` has been on a disk; adds all
+        changes found to `seen`. Raises TimeoutError."""
         ends_s = time.monotonic() + timeout_s
         while True:
             held = [self.stored_changes(name) for name in self.names]
             for each in held:
-                ever.update(each)
-            if wanted <= set(ever) and all(set(each) == set(held[0]) for each in held):
+                seen.update(each)
+            if wanted <= set(seen) and all(set(each) == set(held[0]) for each in held):
                 return
             if time.monotonic() > ends_s:
                 differ = [sorted(set(each) ^ set(held[0]))[:5] for each in held]
-                raise TimeoutError(f"never seen: {sorted(wanted - set(ever))[:5]}; other than m0: {differ}")
+                raise TimeoutError(
+                    f"changes never seen: {sorted(wanted - set(seen))[:5]}; differences from m0: {differ}"
+                )
             await asyncio.sleep(POLL_S)
 
     def stored_changes(self, name: str) -> dict[str, Change]:
-        """What a gateway's disk holds, by key."""
+        """The changes on a gateway's disk, by key."""
         directory = self.gateways[name].state_dir
         return {key: decode(payload) for key, payload in read_payloads(str(directory), KIND)}
 
 
 def store_change(directory: str, change: Change) -> None:
-    """Put a change into the ledger of a gateway that does not run, as a process of another version would have
-    left it there. Raises StoreError."""
+    """Store a change in the ledger of a stopped gateway, as a process of another version would have done.
+    Raises StoreError."""
     payload, key = encode(change), key_of(change.dot)
     store = Store(directory)
     try:
@@ -139,7 +144,7 @@
 
 
 def comparable_status(status: Mapping[str, Any]) -> tuple[object, ...]:
-    """What equal records give alike at every gateway."""
+    """The parts of a status that are the same at all gateways with the same records."""
     return (
         status["hash"],
         tuple(sorted(c["id"] for c in status["conflicts"] if not c["local"])),
@@ -151,8 +156,8 @@
 async def wait_agreement(
     fleet: RoutesFleet, timeout_s: float, names: Iterable[str] | None = None
 ) -> dict[str, Any]:
-    """The status on which all gateways (or these) agree, each having been asked once they may. Raises
-    TimeoutError."""
+    """Wait until all gateways, or those of `names`, have the same comparable status; returns the status of
+    the first. Raises TimeoutError."""
     first, *others = list(fleet.names if names is None else names)
     async with asyncio.timeout(timeout_s):
         while True:
@@ -175,14 +180,14 @@
     dropped: Mapping[str, Change] | None = None,
 ) -> list[tuple[str, str, str]]:
     """(change, route, field) of each acknowledged edit that is neither in the plan, nor in a conflict, nor
-    waiting, nor held back, nor followed by a write that had seen it. Judged by the records on a disk;
-    `dropped`: those that were there before, of which each edit has to be followed."""
+    waiting, nor held back, nor superseded by a write whose writer had seen it. `held`: the changes on a disk;
+    `dropped`: changes that were on a disk before, of which each edit has to be superseded."""
     known = {**(dropped or {}), **held}
-    back = {each["change"] for each in plan["held_back"]}
+    held_back = {each["change"] for each in plan["held_back"]}
     waiting = {(w["change"], w["route"]) for w in plan["waiting"]}
-    told = {(c["change"], r, conflict["field"]) for conflict in plan["conflicts"]
+    in_conflict = {(c["change"], r, conflict["field"]) for conflict in plan["conflicts"]
             for c in conflict["choices"] for r in conflict["routes"]}  # fmt: skip
-    whole = {(change, route) for change, route, field in told if field in (DELETED, "owner")}
+    whole_routes = {(change, route) for change, route, field in in_conflict if field in (DELETED, "owner")}
     unowned = {r for c in plan["conflicts"] if c["field"] == "owner" for r in c["routes"]}
     writers: dict[tuple[str, str], list[Change]] = defaultdict(list)
     for change in known.values():
@@ -191,16 +196,21 @@
             if edit.field == DELETED and edit.value is True:
                 writers[edit.route, ""].append(change)
             else:
-                writers[edit.route, DELETED].append(change)  # what comes after a delete makes the route anew
-    gone = []
+                writers[edit.route, DELETED].append(change)  # a write after a delete makes the route again
+    lost = []
     for key in acknowledged:
         if key not in known:
-            gone.append((key, "", "its record"))
+            lost.append((key, "", "its record"))
             continue
         change = known[key]
         for edit in change.edits:
-            place = (key, edit.route)
-            if key in back or place in waiting or place in whole or (*place, edit.field) in told:
+            route_key = (key, edit.route)
+            if (
+                key in held_back
+                or route_key in waiting
+                or route_key in whole_routes
+                or (*route_key, edit.field) in in_conflict
+            ):
                 continue
             if edit.route in unowned and edit.route not in plan["routes"]:
                 continue
@@ -208,11 +218,12 @@
             if any(each.context.covers(change.dot) for each in later):
                 continue
             if key not in held or not is_in_plan(plan["routes"].get(edit.route), edit.field, edit.value):
-                gone.append((key, edit.route, edit.field))
-    return gone
+                lost.append((key, edit.route, edit.field))
+    return lost
 
 
 def is_in_plan(route: Mapping[str, Any] | None, field: str, value: Any) -> bool:
+    """Whether a route of the plan (None: absent) shows an edit's value."""
     if route is None or field == DELETED:
         return (route is None) == (field == DELETED and value is True)
     found = route["owner"] if field == "owner" else route["values"].get(field, route["others"].get(field))
@@ -220,7 +231,7 @@
 
 
 def base_context(base: str) -> Context:
-    """What the writer under a base has seen."""
+    """The causal context of a base: what a writer on it has seen."""
     return unpack_base(base).context
 
 
@@ -233,9 +244,9 @@
 
 
 def clock_shift_environment(folder: Path, ahead_s: float) -> dict[str, str]:
-    """What makes a Python process's `time.time` go `ahead_s` ahead of the machine's: a module that the
-    interpreter imports at its start."""
-    place = folder / f"clock{ahead_s:+.0f}"
-    place.mkdir(exist_ok=True)
-    (place / "sitecustomize.py").write_text(CLOCK_SHIFT_SOURCE.format(ahead_s=ahead_s))
-    return {"PYTHONPATH": str(place)}
+    """The environment in which a Python process's `time.time` is `ahead_s` ahead of the machine's: it points
+    to a `sitecustomize` module, which the interpreter imports at its start."""
+    module_folder = folder / f"clock{ahead_s:+.0f}"
+    module_folder.mkdir(exist_ok=True)
+    (module_folder / "sitecustomize.py").write_text(CLOCK_SHIFT_SOURCE.format(ahead_s=ahead_s))
+    return {"PYTHONPATH": str(module_folder)}
--- a/faultlab/routes/propagation.py
+++ b/faultlab/routes/propagation.py
@@ -1,4 +1,5 @@
-"""From an acknowledged edit to its plan in service on all gateways, and from a heal to agreement."""
+"""Measures the time from an acknowledged edit to its plan in service on all gateways, and from a heal to
+agreement."""
 
 from __future__ import annotations
 
@@ -12,12 +13,12 @@
 from faultlab.routes.fleet import RoutesFleet, wait_agreement
 
 PUSH_PULL_S = 5.0  # membership's default
-AGREEMENT_TIMEOUT_S = 120.0  # a machine may be loaded beside it
-CUT_DURATIONS_S = (1.0, 8.0, 4.0)  # in turn: shorter than it takes to hold the other side dead, and longer
+AGREEMENT_TIMEOUT_S = 120.0  # long, since the machine may be loaded
+CUT_DURATIONS_S = (1.0, 8.0, 4.0)  # in turn: shorter and longer than a side takes to declare the other dead
 
 
 async def wait_plan_in_service(fleet: RoutesFleet, hash: str) -> float:
-    """The moment at which the last gateway wrote that this plan is in service."""
+    """Wait until all gateways have logged that a plan is in service; returns the time of the last one."""
     async with asyncio.timeout(AGREEMENT_TIMEOUT_S):
         while True:
             times = [g.last_line_s("event=routes.plan", f"hash={hash}") for g in fleet.gateways.values()]
@@ -27,55 +28,64 @@
 
 
 async def measure_single_edits(fleet: RoutesFleet, teams: int, rounds: int) -> dict[str, Any]:
-    """Each edit alone: seconds from its answer, held by a quorum, to the last gateway's line that the plan
-    with it is in service (0: that came first), and from the call."""
-    took: list[float] = []
-    sent: list[float] = []
+    """Commit single edits; returns seconds from the answer, stored at a quorum, until the plan with the edit
+    is in service on the last gateway (0: before the answer), and from the call."""
+    delays_s: list[float] = []
+    call_delays_s: list[float] = []
     for number in range(rounds):
         team, at = f"alone-{number % teams}", fleet.names[number % len(fleet.names)]
-        known, _ = await fleet.export(at, team)
-        began = time.monotonic()
-        said = await fleet.apply(at, team, {team: {"path": f"/transfer/{team}/{number}"}}, known)
+        base, _ = await fleet.export(at, team)
+        started_s = time.monotonic()
+        answer = await fleet.apply(at, team, {team: {"path": f"/transfer/{team}/{number}"}}, base)
         acknowledged = time.monotonic()
-        if said["status"] != 200:
-            raise RuntimeError(f"not held by a quorum: {said['reason']}")
-        all_s = await wait_plan_in_service(fleet, said["plan"])
-        took.append(max(0.0, all_s - acknowledged))
-        sent.append(all_s - began)
-    return summary(took) | {"edits": len(took), "goal_p99": 2.0, "from_the_call": summary(sent)}
+        if answer["status"] != 200:
+            raise RuntimeError(f"edit not stored at a quorum: {answer['reason']}")
+        all_s = await wait_plan_in_service(fleet, answer["plan"])
+        delays_s.append(max(0.0, all_s - acknowledged))
+        call_delays_s.append(all_s - started_s)
+    return summary(delays_s) | {
+        "edits": len(delays_s),
+        "goal_p99": 2.0,
+        "from_the_call": summary(call_delays_s),
+    }
 
 
 async def measure_concurrent_edits(fleet: RoutesFleet, teams: int, rounds: int) -> dict[str, Any]:
-    """All teams together, each at a gateway of its own: seconds from the last answer to the plan with all
-    their edits in service on all."""
-    took: list[float] = []
+    """Commit edits of all teams at once, at different gateways; returns seconds from the last answer until
+    the plan with all edits is in service on all gateways."""
+    delays_s: list[float] = []
     names = [f"team-{number}" for number in range(teams)]
-    places = {team: fleet.names[number % len(fleet.names)] for number, team in enumerate(names)}
+    gateway_by_team = {team: fleet.names[number % len(fleet.names)] for number, team in enumerate(names)}
     for number in range(rounds):
-        known = {team: (await fleet.export(at, team))[0] for team, at in places.items()}
+        base = {team: (await fleet.export(at, team))[0] for team, at in gateway_by_team.items()}
         paths = {team: f"/transfer/{team}/{number}" for team in names}
         await asyncio.gather(
-            *(fleet.apply(places[team], team, {team: {"path": paths[team]}}, known[team]) for team in names)
+            *(
+                fleet.apply(gateway_by_team[team], team, {team: {"path": paths[team]}}, base[team])
+                for team in names
+            )
         )
         acknowledged = time.monotonic()
         async with asyncio.timeout(AGREEMENT_TIMEOUT_S):
             while True:
                 plan = await fleet.plan("m0")
-                shown = {team: plan["routes"].get(team, {}).get("values", {}).get("path") for team in names}
-                if shown == paths:
+                plan_paths = {
+                    team: plan["routes"].get(team, {}).get("values", {}).get("path") for team in names
+                }
+                if plan_paths == paths:
                     break
                 await asyncio.sleep(POLL_S)
-        took.append(max(0.0, await wait_plan_in_service(fleet, plan["hash"]) - acknowledged))
+        delays_s.append(max(0.0, await wait_plan_in_service(fleet, plan["hash"]) - acknowledged))
         if plan["conflicts"]:
             raise RuntimeError(f"teams' own routes are in conflict: {plan['conflicts'][0]['why']}")
         await wait_agreement(fleet, AGREEMENT_TIMEOUT_S)
-    return summary(took) | {"rounds": rounds, "teams": teams}
+    return summary(delays_s) | {"rounds": rounds, "teams": teams}
 
 
 async def measure_heals(fleet: RoutesFleet, teams: int, rounds: int) -> dict[str, Any]:
-    """Two halves, cut off from each other, edit the same fields and delete what the other edits; seconds from
-    the heal until all say one plan and the same conflicts, all of them there."""
-    took: list[float] = []
+    """Cut the fleet in halves that edit the same fields and delete what the other edits; returns seconds from
+    the heal until all gateways have the same plan and the same conflicts, with all of them found."""
+    delays_s: list[float] = []
     kinds: set[str] = set()
     half = len(fleet.names) // 2
     few, most = fleet.names[:half], fleet.names[half:]
@@ -87,30 +97,31 @@
         bases = {name: await fleet.export("m0", name) for name in names}
         fleet.relay.cut(few, most)
         for n, name in enumerate(names):
-            known, routes = bases[name]
-            mine = {} if n % 2 else {name: routes[name] | {"note": "few"}}
-            await fleet.apply(few[n % len(few)], name, mine, known, "local")
-            theirs = {name: routes[name] | {"note": "most"}}
-            await fleet.apply(most[n % len(most)], name, theirs, known, "local")
+            base, routes = bases[name]
+            few_file = {} if n % 2 else {name: routes[name] | {"note": "few"}}
+            await fleet.apply(few[n % len(few)], name, few_file, base, "local")
+            most_file = {name: routes[name] | {"note": "most"}}
+            await fleet.apply(most[n % len(most)], name, most_file, base, "local")
         await asyncio.sleep(CUT_DURATIONS_S[number % len(CUT_DURATIONS_S)])
-        began = time.monotonic()
+        started_s = time.monotonic()
         fleet.relay.heal()
         await fleet.wait_all(partial(all_in_conflict, names), AGREEMENT_TIMEOUT_S)
         status = await wait_agreement(fleet, AGREEMENT_TIMEOUT_S)
-        took.append(time.monotonic() - began)
-        found = conflicts_of(status, names)
-        kinds |= {conflict["kind"] for conflict in found}
-        for conflict in found:
+        delays_s.append(time.monotonic() - started_s)
+        conflicts = conflicts_of(status, names)
+        kinds |= {conflict["kind"] for conflict in conflicts}
+        for conflict in conflicts:
             way, value = ("value", '"agreed"') if conflict["kind"] == "field" else ("delete", "")
             await fleet.resolve("m0", conflict["id"], conflict["teams"][0], way, value)
         await wait_agreement(fleet, AGREEMENT_TIMEOUT_S)
-    return summary(took) | {"rounds": rounds, "goal": PUSH_PULL_S + 1.0, "kinds": sorted(kinds)}
+    return summary(delays_s) | {"rounds": rounds, "goal": PUSH_PULL_S + 1.0, "kinds": sorted(kinds)}
 
 
 def all_in_conflict(names: list[str], status: dict[str, Any]) -> bool:
-    """Whether each of these routes is in one conflict."""
+    """Whether there are as many conflicts of these routes as routes."""
     return len(conflicts_of(status, names)) == len(names)
 
 
 def conflicts_of(status: dict[str, Any], names: list[str]) -> list[dict[str, Any]]:
+    """The conflicts of these routes in a status."""
     return [conflict for conflict in status["conflicts"] if set(conflict["routes"]) & set(names)]
--- a/faultlab/routes/random_edits.py
+++ b/faultlab/routes/random_edits.py
@@ -1,4 +1,5 @@
-"""Random edits of teams, for the storm, for the fleet of real gateways and for the baseline beside them."""
+"""Random edits of teams, for the storm, the simulated fleet and the baseline, and the TOML of a team's
+file."""
 
 from __future__ import annotations
 
@@ -10,13 +11,13 @@
 from cloverkeel.fleet.routes.changes import DELETED, Accept, Edit
 from cloverkeel.fleet.routes.interface import RouteView, View
 
-Commit = tuple[str, tuple[Edit, ...], tuple[Accept, ...]]  # of a team
+Commit = tuple[str, tuple[Edit, ...], tuple[Accept, ...]]  # team, edits, accepts
 PATHS = ("/a", "/a/b", "/a/b/c", "/a/d", "/e", "/e/f", "/g", "/h")
 
 
 @dataclass(slots=True, frozen=True)
 class NamePool:
-    """What edits are drawn from: the settings' names, the teams, and the names of routes."""
+    """The names that edits are drawn from: those of the settings, of teams and of routes."""
 
     teams: tuple[str, ...] = ("red", "green", "blue", "grey")
     routes: tuple[str, ...] = tuple(f"r{number}" for number in range(6))
@@ -26,7 +27,7 @@
     types: tuple[str, ...] = ("m", "s")
     groups: tuple[str, ...] = ("0", "1", "2")
     labels: tuple[str, ...] = ("new", "old")
-    transforms: tuple[str, ...] = ("mark", "mark-two", "trim")  # the first two write one header
+    transforms: tuple[str, ...] = ("mark", "mark-two", "trim")  # the first two write the same header
     paths: tuple[str, ...] = PATHS
     invalid_share: float = 0.1  # share of values that block the plan
 
@@ -36,7 +37,8 @@
 
 
 def random_value(rng: random.Random, names: NamePool, field: str) -> Any:
-    """A value that `field` may have; in a share of cases one that blocks. `later`: no version knows it."""
+    """A random value for `field`, in a share of cases one that blocks the plan. No version knows the field
+    `later`."""
     if field in ("classes", "callers", "zones"):
         pool: tuple[str, ...] = getattr(names, field)
         if rng.random() < names.invalid_share / 2:
@@ -59,6 +61,7 @@
 
 
 def random_targets(rng: random.Random, names: NamePool) -> list[dict[str, Any]]:
+    """Draw the targets of a route; in a share of cases their shares exceed 100 %."""
     found: list[dict[str, Any]] = []
     for _ in range(rng.randint(1, 2)):
         kind = rng.choice(("groups", "types", "labels"))
@@ -70,7 +73,7 @@
 
 
 def random_route(rng: random.Random, names: NamePool, name: str, team: str) -> tuple[Edit, ...]:
-    """A new route, or what is to be one anew."""
+    """A new route, or a deleted one that is made again."""
     edits = [Edit(name, "owner", team), Edit(name, "path", random_value(rng, names, "path"))]
     for field in rng.sample(("classes", "callers", "targets", "limit", "transforms", "note"), 2):
         edits.append(Edit(name, field, random_value(rng, names, field)))
@@ -78,7 +81,7 @@
 
 
 def random_commit(rng: random.Random, names: NamePool, view: View) -> Commit:
-    """What some team commits having read `view`: mostly of its own routes."""
+    """Draw a commit of some team that has read `view`; most edits are of its own routes."""
     draw = rng.random()
     if draw < 0.15 and (resolved := random_resolution(rng, names, view)) is not None:
         return resolved
@@ -86,17 +89,17 @@
         waiting = rng.choice(view.waiting)
         return waiting.owner or rng.choice(names.teams), (), (Accept(waiting.route, waiting.dot),)
     name = rng.choice(names.routes)
-    held = view.routes.get(name)
-    if held is None:
+    existing = view.routes.get(name)
+    if existing is None:
         team = rng.choice(names.teams)
         return team, random_route(rng, names, name, team), ()
-    team = held.owner if rng.random() < 0.8 else rng.choice(names.teams)
+    team = existing.owner if rng.random() < 0.8 else rng.choice(names.teams)
     if draw < 0.4:
         return team, (Edit(name, DELETED, True),), ()
     if draw < 0.45:
         return team, (Edit(name, "owner", rng.choice(names.teams)),), ()
-    edits = random_changes(rng, names, held, rng.randint(1, 3))
-    if rng.random() < 0.2:  # of two routes at once
+    edits = random_changes(rng, names, existing, rng.randint(1, 3))
+    if rng.random() < 0.2:  # edits two routes in one commit
         other = rng.choice(names.routes)
         if other != name:
             edits += random_route(rng, names, other, team) if other not in view.routes else (
@@ -104,21 +107,21 @@
     return team, edits, ()
 
 
-def random_changes(rng: random.Random, names: NamePool, held: RouteView, count: int) -> tuple[Edit, ...]:
-    """`count` fields of a route get other values; an absent one (None) among them at times."""
+def random_changes(rng: random.Random, names: NamePool, existing: RouteView, count: int) -> tuple[Edit, ...]:
+    """New values for `count` fields of a route; None removes a field."""
     edits = []
     for field in rng.sample(FIELDS, count):
-        gone = field in held.values and field not in ("path",) and rng.random() < 0.1
-        edits.append(Edit(held.name, field, None if gone else random_value(rng, names, field)))
+        removed = field in existing.values and field not in ("path",) and rng.random() < 0.1
+        edits.append(Edit(existing.name, field, None if removed else random_value(rng, names, field)))
     return tuple(edits)
 
 
 def random_resolution(rng: random.Random, names: NamePool, view: View) -> Commit | None:
-    """An answer to a conflict of a field, of a delete, or of an overlap."""
-    open_ones = [c for c in view.conflicts if c.kind in ("field", "delete", "overlap")]
-    if not open_ones:
+    """Draw an answer to a field, delete or overlap conflict; None if there is none."""
+    open_conflicts = [c for c in view.conflicts if c.kind in ("field", "delete", "overlap")]
+    if not open_conflicts:
         return None
-    conflict = rng.choice(open_ones)
+    conflict = rng.choice(open_conflicts)
     name = conflict.routes[0]
     owner = view.routes[name].owner if name in view.routes else rng.choice(names.teams)
     if conflict.kind == "delete":
@@ -132,7 +135,7 @@
 
 
 def as_toml(team: str, base: str, routes: Mapping[str, Mapping[str, Any]]) -> str:
-    """A team's file."""
+    """A team's file of routes in TOML."""
     lines = [f"team = {_toml_string(team)}"] + ([f"base = {_toml_string(base)}"] if base else [])
     for name, fields in routes.items():
         lines += ["", f"[route.{_toml_string(name)}]"]
--- a/faultlab/routes/simulated.py
+++ b/faultlab/routes/simulated.py
@@ -1,4 +1,5 @@
-"""From an acknowledged edit to its plan at all members, over real ledger cores on simulated time."""
+"""Measures the time from an acknowledged edit to its plan at all members, with real ledger cores in simulated
+time."""
 
 from __future__ import annotations
 
@@ -13,12 +14,12 @@
 from faultlab.storm.cluster.routes import RoutesCluster
 
 TICK_S = 0.2
-FORMATION_S = 10.0
-TIMEOUT_S = 30.0
+FORMATION_S = 10.0  # before the first check that the members are quiescent
+TIMEOUT_S = 30.0  # for the members to become quiescent, and for each edit
 
 
 class TimedRoutesCluster(RoutesCluster):
-    """Without faults; notes when each write was acknowledged."""
+    """A simulated cluster without faults that records when a write was acknowledged."""
 
     acknowledged_s: float | None = None
 
@@ -30,31 +31,32 @@
 
 
 def run(members: int, rounds: int, seed: int) -> dict[str, Any]:
-    """Simulated seconds: 0.5 to 30 ms a message, 1 to 20 ms a disk's write. Acknowledged by a quorum."""
+    """Simulate edits acknowledged by a quorum; returns simulated seconds. A message takes 0.5 to 30 ms, a
+    disk write 1 to 20 ms."""
     rng = random.Random(f"simulated {seed}")
     cluster = TimedRoutesCluster(seed, members, TICK_S)
     names = NamePool(routes=tuple(f"r{number}" for number in range(40)), invalid_share=0.02)
     cluster.run(FORMATION_S)
     if not cluster.run(TIMEOUT_S, cluster.is_quiescent):
-        raise RuntimeError("the members do not come to rest before the first edit")
-    took: list[float] = []
+        raise RuntimeError("members did not become quiescent before the first edit")
+    delays_s: list[float] = []
     for _ in range(rounds):
         member = rng.choice(cluster.running_members())
         read = cluster.instances[member.name].last_read
         assert read is not None
         cluster.acknowledged_s = None
         cluster.commit(member, read, random_commit(rng, names, read.view), Level.QUORUM)
-        dot, began_s = (
+        dot, started_s = (
             max(cluster.routes_reference.changes, key=list(cluster.routes_reference.changes).index),
             cluster.now_s,
         )
         while any(dot not in r.held or r.stale or r.settling for r in cluster.instances.values()):
-            if cluster.now_s - began_s > TIMEOUT_S or cluster.violations():
-                raise RuntimeError(f"no end after {TIMEOUT_S} s: {cluster.violations()}")
+            if cluster.now_s - started_s > TIMEOUT_S or cluster.violations():
+                raise RuntimeError(f"edit not in all plans after {TIMEOUT_S} s: {cluster.violations()}")
             cluster.run(0.005)
         all_s = cluster.now_s
-        while cluster.acknowledged_s is None and cluster.now_s - began_s < TIMEOUT_S:
+        while cluster.acknowledged_s is None and cluster.now_s - started_s < TIMEOUT_S:
             cluster.run(0.005)
         assert cluster.acknowledged_s is not None
-        took.append(max(0.0, all_s - cluster.acknowledged_s))
-    return {"members": members, "edits": rounds, "acknowledged_to_all_s": summary(took) | {"goal": 2.0}}
+        delays_s.append(max(0.0, all_s - cluster.acknowledged_s))
+    return {"members": members, "edits": rounds, "acknowledged_to_all_s": summary(delays_s) | {"goal": 2.0}}
--- a/tests/test_routes_lab.py
+++ b/tests/test_routes_lab.py
@@ -1,4 +1,4 @@
-"""Routes on real gateways behind the lab's relay, with two clocks ten minutes off.
+"""Routes on real gateways behind the lab's relay, two of them with clocks ten minutes off.
 
 The tests share one fleet and run in order.
 """
@@ -55,14 +55,16 @@
     return str(id)
 
 
-async def parted(fleet: RoutesFleet, *edits: tuple[str, str, dict[str, Any], str]) -> dict[str, Any]:
+async def apply_during_partition(
+    fleet: RoutesFleet, *edits: tuple[str, str, dict[str, Any], str]
+) -> dict[str, Any]:
     """Apply edits (gateway, team, routes, base) during a partition; returns the status all agree on
     afterwards."""
     few, most = fleet.names[:1], fleet.names[1:]
     fleet.relay.cut(few, most)
-    said = [await fleet.apply(at, team, routes, base, "local") for at, team, routes, base in edits]
+    answers = [await fleet.apply(at, team, routes, base, "local") for at, team, routes, base in edits]
     fleet.relay.heal()
-    changes = {each["change"] for each in said}
+    changes = {each["change"] for each in answers}
     await fleet.wait_all(
         lambda _: changes <= set(fleet.stored_changes("m0")) and changes <= set(fleet.stored_changes("m3"))
     )
@@ -72,13 +74,13 @@
 def test_concurrent_commits_of_teams_merge_to_the_same_plan_everywhere(case: Case) -> None:
     async def steps(fleet: RoutesFleet) -> None:
         files = {f"team-{n}": {f"own-{n}": {"path": f"/transfer/{n}"}} for n in range(4)}
-        said = await asyncio.gather(
+        answers = await asyncio.gather(
             *(fleet.apply(f"m{n}", team, file) for n, (team, file) in enumerate(files.items()))
         )
         await fleet.wait_all(lambda status: status["count"] == 5)
         assert not (await wait_agreement(fleet, AGREED_S))["conflicts"]
         plan = await fleet.plan("m2")
-        assert not find_lost_edits(plan, fleet.stored_changes("m2"), [each["change"] for each in said])
+        assert not find_lost_edits(plan, fleet.stored_changes("m2"), [each["change"] for each in answers])
 
     case(steps)
 
@@ -102,7 +104,7 @@
         one = {"own-1": routes["own-1"] | {"note": "few", "limit": 7}, "wide": {"path": "/search"}}
         two = {"own-1": routes["own-1"] | {"note": "most"}}
         changed = {"own-2": theirs["own-2"] | {"note": "kept"}}
-        status = await parted(
+        status = await apply_during_partition(
             fleet, ("m0", "team-1", one, base), ("m3", "team-1", two, base),
             ("m0", "team-2", {}, other), ("m3", "team-2", changed, other),
             ("m2", "team-3", {"narrow": {"path": "/search/a"}}, ""),
@@ -126,16 +128,16 @@
     async def steps(fleet: RoutesFleet) -> None:
         base, routes = await fleet.export("m0", "team-0")
         mine, other = routes["own-0"] | {"note": "a"}, routes["own-0"] | {"note": "b"}
-        status = await parted(
+        status = await apply_during_partition(
             fleet, ("m0", "team-0", {"own-0": mine}, base), ("m3", "team-0", {"own-0": other}, base)
         )
         id = conflict(status, "field", "own-0")
-        said = await asyncio.gather(
+        answers = await asyncio.gather(
             fleet.resolve("m1", id, "team-0", "value", '"one"'),
             fleet.resolve("m2", id, "team-0", "value", '"two"'),
             fleet.apply("m3", "team-0", {"own-0": routes["own-0"] | {"note": "c"}}, base),
         )
-        changes = {each["change"] for each in said}
+        changes = {each["change"] for each in answers}
         await fleet.wait_all(
             lambda _: all(changes <= set(fleet.stored_changes(name)) for name in fleet.names)
         )
@@ -156,18 +158,18 @@
 ) -> None:
     async def steps(fleet: RoutesFleet) -> None:
         base, routes = await fleet.export("m3", "team-3")
-        said = await fleet.apply("m3", "team-3", {"own-3": routes["own-3"] | {"limit": 9}}, base)
+        answer = await fleet.apply("m3", "team-3", {"own-3": routes["own-3"] | {"limit": 9}}, base)
         await fleet.gateways["m3"].signal(signal.SIGKILL)
         rest = fleet.names[:3]
         await fleet.wait_all(
-            lambda _: all(said["change"] in fleet.stored_changes(name) for name in rest), names=rest
+            lambda _: all(answer["change"] in fleet.stored_changes(name) for name in rest), names=rest
         )
-        newer = await fleet.apply("m0", "team-3", {"own-3": routes["own-3"] | {"limit": 11}}, said["base"])
+        newer = await fleet.apply("m0", "team-3", {"own-3": routes["own-3"] | {"limit": 11}}, answer["base"])
         directory = fleet.gateways["m3"].state_dir
-        store_change(str(directory), later(base_context(said["base"])))
+        store_change(str(directory), later(base_context(answer["base"])))
         await fleet.start("m3")
         old = await fleet.apply("m3", "team-3", {"own-3": routes["own-3"] | {"note": "old"}}, base, "local")
-        changes = {said["change"], newer["change"], old["change"], "m3/4d/1"}
+        changes = {answer["change"], newer["change"], old["change"], "m3/4d/1"}
         await fleet.wait_all(
             lambda _: all(changes <= set(fleet.stored_changes(name)) for name in fleet.names)
         )
