--- a/faultlab/duties/command.py
+++ b/faultlab/duties/command.py
@@ -177,10 +177,10 @@
             await worker.start()
             return after
         case "restart-all":
-            for each in site.workers:
-                await each.stop(signal.SIGKILL)
-            for each in site.workers:
-                await each.start()
+            for other in site.workers:
+                await other.stop(signal.SIGKILL)
+            for other in site.workers:
+                await other.start()
         case "lock":
             await site.lock_store(1.5 * ttl_s)
         case "replace":
--- a/faultlab/duties/resource.py
+++ b/faultlab/duties/resource.py
@@ -53,6 +53,7 @@
         return port
 
     def close(self) -> None:
+        """Stop listening."""
         if self.server is not None:
             self.server.close()
 
--- a/faultlab/duties/site.py
+++ b/faultlab/duties/site.py
@@ -42,9 +42,11 @@
 
     @property
     def name(self) -> str:
+        """The worker's name, as in its holder's name."""
         return str(self.config["name"])
 
     async def start(self) -> None:
+        """Start the process and wait until it is ready for signals."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "faultlab.duties.worker", json.dumps(self.config), cwd=ROOT,
             stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.DEVNULL,
@@ -53,6 +55,7 @@
         await self.process.stdout.readline()  # "ready": its signal handlers are installed
 
     def send_signal(self, signum: signal.Signals) -> None:
+        """Send a signal if the process runs."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(signum)
 
--- a/faultlab/relay/__init__.py
+++ b/faultlab/relay/__init__.py
@@ -40,10 +40,12 @@
 
     @property
     def bind(self) -> str:
+        """The address that the member binds, `host:port`."""
         return f"{self.host}:{self.port}"
 
     @property
     def advertise(self) -> str:
+        """The relay's address for the member, `host:port`, which it advertises."""
         return f"127.0.0.1:{self.relay_port}"
 
 
--- a/faultlab/relay/datagrams.py
+++ b/faultlab/relay/datagrams.py
@@ -47,9 +47,10 @@
         self.relay.counts["passed"] += 1
 
     def error_received(self, exc: Exception) -> None:
-        """A killed member's port refuses the datagram; the sender is not told, as over a real network."""
+        """Counts a datagram that a killed member's port has refused; the sender sees no answer."""
         self.relay.counts["refused"] += 1
 
     def close(self) -> None:
+        """Close the port."""
         if self.transport is not None:
             self.transport.close()
--- a/faultlab/relay/rules.py
+++ b/faultlab/relay/rules.py
@@ -86,6 +86,7 @@
         self.cuts.clear()
 
     def is_cut(self, source: str, target: str) -> bool:
+        """Whether traffic from `source` to `target` is blocked."""
         return (source, target) in self.cuts
 
     def copy_delays_s(self, source: str, target: str) -> tuple[float, ...]:
--- a/faultlab/relay/streams.py
+++ b/faultlab/relay/streams.py
@@ -91,6 +91,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def start(self, port: int) -> None:
+        """Listen on the member's advertised port."""
         self.server = await asyncio.start_server(self._on_connection, "127.0.0.1", port)
 
     async def _on_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -114,6 +115,7 @@
             self._tasks.discard(task)
 
     async def close(self) -> None:
+        """Close the port and reset its streams."""
         if self.server is not None:
             self.server.close()
         for stream in list(self.open_streams):
--- a/faultlab/routes/baseline.py
+++ b/faultlab/routes/baseline.py
@@ -51,8 +51,8 @@
         files = [write_file(view, team_edits) for _, team_edits, _ in commits]
         winner = files[clocks.index(max(clocks))]
         for _, team_edits, _ in commits:
-            gone = sum(not file_has_edit(winner, edit) for edit in team_edits)
-            edits, lost, lossy_commits = edits + len(team_edits), lost + gone, lossy_commits + bool(gone)
+            missing = sum(not file_has_edit(winner, edit) for edit in team_edits)
+            edits, lost, lossy_commits = edits + len(team_edits), lost + missing, lossy_commits + bool(missing)
     return {
         "teams": teams, "trials": trials, "concurrent_edits": edits,
         "merged_with_no_person": round(outcomes["merged"] / edits, 4),
@@ -91,12 +91,12 @@
 
 def draw_commits(rng: random.Random, names: random_edits.NamePool, view: View) -> list[random_edits.Commit]:
     """Draw one commit of each team."""
-    found: dict[str, random_edits.Commit] = {}
-    while len(found) < len(names.teams):
+    commits: dict[str, random_edits.Commit] = {}
+    while len(commits) < len(names.teams):
         commit = random_edits.random_commit(rng, names, view)
         if commit[1]:
-            found.setdefault(commit[0], commit)
-    return list(found.values())
+            commits.setdefault(commit[0], commit)
+    return list(commits.values())
 
 
 def edit_outcome(change: Change, edit: Edit, view: View) -> str:
@@ -127,8 +127,8 @@
         return False
     if edit.field == "owner":
         return bool(route.owner == edit.value)
-    found = route.values.get(edit.field, route.unknown_fields.get(edit.field))
-    return bool(edit.field in route.decided or found == edit.value or edit.value in (None, []))
+    plan_value = route.values.get(edit.field, route.unknown_fields.get(edit.field))
+    return bool(edit.field in route.decided or plan_value == edit.value or edit.value in (None, []))
 
 
 PlanFile = dict[str, dict[str, Any]]  # route to its fields
@@ -136,16 +136,16 @@
 
 def write_file(view: View, edits: tuple[Edit, ...]) -> PlanFile:
     """The whole file that a team writes: the plan that it read, with its edits."""
-    found: PlanFile = {
+    file: PlanFile = {
         name: {**route.values, **route.unknown_fields, "owner": route.owner}
         for name, route in view.routes.items()
     }
     for edit in edits:
         if edit.field == DELETED:
-            found.pop(edit.route, None)
+            file.pop(edit.route, None)
         else:
-            found.setdefault(edit.route, {})[edit.field] = edit.value
-    return found
+            file.setdefault(edit.route, {})[edit.field] = edit.value
+    return file
 
 
 def file_has_edit(file: PlanFile, edit: Edit) -> bool:
--- a/faultlab/routes/costs.py
+++ b/faultlab/routes/costs.py
@@ -32,7 +32,7 @@
 def make_changes(routes: int) -> list[Change]:
     """`routes` routes of TEAMS teams, ROUTES_PER_CHANGE in each change; routes of different teams do not
     overlap."""
-    made: list[Change] = []
+    changes: list[Change] = []
     for number, first in enumerate(range(0, routes, ROUTES_PER_CHANGE)):
         team = f"team-{number % TEAMS}"
         edits: list[Edit] = []
@@ -44,9 +44,9 @@
                 Edit(name, "targets", [{"groups": [str(route % 4)], "share": 5}]), Edit(name, "attempts", 2),
                 Edit(name, "note", f"route {route} of {team}"),
             ]  # fmt: skip
-        context = Context().add(change.dot for change in made if change.team == team)
-        made.append(Change(dot=Dot("base", 1, number + 1), context=context, team=team, edits=tuple(edits)))
-    return made
+        context = Context().add(change.dot for change in changes if change.team == team)
+        changes.append(Change(dot=Dot("base", 1, number + 1), context=context, team=team, edits=tuple(edits)))
+    return changes
 
 
 def route_path(route: int) -> str:
@@ -56,13 +56,13 @@
 
 def settle_steps_ms(merge: Merge) -> list[float]:
     """Settle a merge; returns the CPU time of each step in milliseconds."""
-    found, settling = [], iter(merge.settle())
+    steps_ms, settling = [], iter(merge.settle())
     while True:
         started_s = time.thread_time()
         ended = next(settling, settling) is settling
-        found.append(1e3 * (time.thread_time() - started_s))
+        steps_ms.append(1e3 * (time.thread_time() - started_s))
         if ended:
-            return found
+            return steps_ms
 
 
 def run(routes: int, rounds: int, seed: int) -> dict[str, Any]:
@@ -113,7 +113,7 @@
 def measure_lookups(sizes: Iterable[int], seed: int) -> dict[str, Any]:
     """Measure the CPU time in microseconds to find a request's route (goal 5, with at most a factor of 2
     between sizes). A third of the requests matches no route."""
-    found: dict[str, Any] = {}
+    medians_us: dict[str, Any] = {}
     for size in sizes:
         rng = random.Random(f"lookups {seed}")
         view = merge_all(make_changes(size), make_environment())
@@ -123,15 +123,15 @@
             index.put(route)
         requests = [route_path(rng.randrange(size)).encode() + b"/x" for _ in range(LOOKUPS_PER_ROUND)]
         requests[::3] = [b"/transfer/elsewhere/" + each[10:] for each in requests[::3]]
-        each_us = []
+        round_times_us = []
         for _ in range(7):
             started_s = time.thread_time()
             for each in requests:
                 index.find(b"transfer", b"lab", each)
-            each_us.append(1e6 * (time.thread_time() - started_s) / LOOKUPS_PER_ROUND)
-        found[str(size)] = round(statistics.median(each_us), 2)
-    least, most = min(found.values()), max(found.values())
-    return found | {"goal": 5, "greatest_to_least": round(most / least, 2)}
+            round_times_us.append(1e6 * (time.thread_time() - started_s) / LOOKUPS_PER_ROUND)
+        medians_us[str(size)] = round(statistics.median(round_times_us), 2)
+    least, most = min(medians_us.values()), max(medians_us.values())
+    return medians_us | {"goal": 5, "greatest_to_least": round(most / least, 2)}
 
 
 def single_edits(rng: random.Random, routes: int, count: int) -> Iterator[tuple[Edit, ...]]:
--- a/faultlab/routes/fleet.py
+++ b/faultlab/routes/fleet.py
@@ -65,13 +65,13 @@
 
     async def plan(self, name: str) -> dict[str, Any]:
         """A gateway's whole plan, its routes by name."""
-        found = await self._get(name, "json")
-        return found | {"routes": {each["name"]: each for each in found.get("routes", ())}}
+        view = await self._get(name, "json")
+        return view | {"routes": {route["name"]: route for route in view.get("routes", ())}}
 
     async def _get(self, name: str, form: str) -> dict[str, Any]:
         status, body = await self.call_operator(name, f"/api/routes?form={form}")
-        found: dict[str, Any] = json.loads(body) if status == 200 else {}
-        return found
+        parsed: dict[str, Any] = json.loads(body) if status == 200 else {}
+        return parsed
 
     async def export(self, name: str, team: str) -> tuple[str, Routes]:
         """A team's file as `routes show --toml` prints it; returns its base and its routes."""
@@ -104,8 +104,8 @@
             await asyncio.sleep(RETRY_DELAY_S)
         if status not in (200, 202):
             raise RuntimeError(f"{name} answered {status}: {answer.decode(errors='replace')}")
-        found: dict[str, Any] = json.loads(answer)
-        return found | {"status": status}
+        parsed: dict[str, Any] = json.loads(answer)
+        return parsed | {"status": status}
 
     async def wait_same_records(self, wanted: set[str], seen: dict[str, Change], timeout_s: float) -> None:
         """Wait until all disks hold the same changes and each of `wanted` has been on a disk; adds all
@@ -226,8 +226,10 @@
     """Whether a route of the plan (None: absent) shows an edit's value."""
     if route is None or field == DELETED:
         return (route is None) == (field == DELETED and value is True)
-    found = route["owner"] if field == "owner" else route["values"].get(field, route["others"].get(field))
-    return bool(found == value)
+    plan_value = (
+        route["owner"] if field == "owner" else route["values"].get(field, route["others"].get(field))
+    )
+    return bool(plan_value == value)
 
 
 def base_context(base: str) -> Context:
--- a/faultlab/routes/propagation.py
+++ b/faultlab/routes/propagation.py
@@ -88,20 +88,20 @@
     delays_s: list[float] = []
     kinds: set[str] = set()
     half = len(fleet.names) // 2
-    few, most = fleet.names[:half], fleet.names[half:]
+    first_half, second_half = fleet.names[:half], fleet.names[half:]
     for number in range(rounds):
         names = [f"half-{number}-{n}" for n in range(teams)]
         for name in names:
             await fleet.apply("m0", name, {name: {"path": f"/transfer/{name}"}})
         await wait_agreement(fleet, AGREEMENT_TIMEOUT_S)
         bases = {name: await fleet.export("m0", name) for name in names}
-        fleet.relay.cut(few, most)
+        fleet.relay.cut(first_half, second_half)
         for n, name in enumerate(names):
             base, routes = bases[name]
-            few_file = {} if n % 2 else {name: routes[name] | {"note": "few"}}
-            await fleet.apply(few[n % len(few)], name, few_file, base, "local")
-            most_file = {name: routes[name] | {"note": "most"}}
-            await fleet.apply(most[n % len(most)], name, most_file, base, "local")
+            first_file = {} if n % 2 else {name: routes[name] | {"note": "few"}}
+            await fleet.apply(first_half[n % len(first_half)], name, first_file, base, "local")
+            second_file = {name: routes[name] | {"note": "most"}}
+            await fleet.apply(second_half[n % len(second_half)], name, second_file, base, "local")
         await asyncio.sleep(CUT_DURATIONS_S[number % len(CUT_DURATIONS_S)])
         started_s = time.monotonic()
         fleet.relay.heal()
--- a/faultlab/routes/random_edits.py
+++ b/faultlab/routes/random_edits.py
@@ -62,14 +62,14 @@
 
 def random_targets(rng: random.Random, names: NamePool) -> list[dict[str, Any]]:
     """Draw the targets of a route; in a share of cases their shares exceed 100 %."""
-    found: list[dict[str, Any]] = []
+    drawn: list[dict[str, Any]] = []
     for _ in range(rng.randint(1, 2)):
         kind = rng.choice(("groups", "types", "labels"))
         share = rng.choice((10, 30, 50))
-        found.append({kind: [rng.choice(getattr(names, kind))], "share": share})
+        drawn.append({kind: [rng.choice(getattr(names, kind))], "share": share})
     if rng.random() < names.invalid_share:
-        found.append({"groups": [rng.choice(names.groups)], "share": 95})
-    return found
+        drawn.append({"groups": [rng.choice(names.groups)], "share": 95})
+    return drawn
 
 
 def random_route(rng: random.Random, names: NamePool, name: str, team: str) -> tuple[Edit, ...]:
--- a/faultlab/transforms/activation.py
+++ b/faultlab/transforms/activation.py
@@ -120,11 +120,11 @@
         while next_lines:
             for name, seen in list(next_lines.items()):
                 gateway = fleet.gateways[name]
-                found = gateway.first_line_s(seen, after_s, *words)
-                if found is None:
+                first_s = gateway.first_line_s(seen, after_s, *words)
+                if first_s is None:
                     next_lines[name] = len(gateway.line_times)
                 else:
-                    at.append(found)
+                    at.append(first_s)
                     del next_lines[name]
             await asyncio.sleep(POLL_S)
     return at
@@ -162,8 +162,8 @@
     total = 0
     for name in fleet.names:
         _, body = await fleet.call_operator(name, "/api/telemetry")
-        found = BYTES_OUT_PATTERN.search(body)
-        if found is None:
+        match = BYTES_OUT_PATTERN.search(body)
+        if match is None:
             raise RuntimeError(f"{name} does not report the bytes sent by its ledger")
-        total += int(found[1])
+        total += int(match[1])
     return total
--- a/faultlab/transforms/engine.py
+++ b/faultlab/transforms/engine.py
@@ -57,6 +57,7 @@
         self.send_request()
 
     def send_request(self) -> None:
+        """Send the next request."""
         head = b"POST /transfer HTTP/1.1\r\n%sX-Call-Id: l%d\r\nContent-Length: 0\r\n\r\n"
         self.transport.write(head % (self.header_lines, next(_request_numbers)))
 
@@ -167,7 +168,7 @@
         name: {key: sum(s[key] for s in variant_slices) for key in variant_slices[0]}
         for name, variant_slices in slices.items()
     }
-    found: dict[str, Any] = {
+    result: dict[str, Any] = {
         name: {
             "per_s_median": statistics.median(rates[name]),
             "cpu_us_per_request": 1e6 * total[name]["cpu_s"] / max(1, total[name]["all"]),
@@ -178,9 +179,9 @@
     for over, under, ratio_name in (("one", "none", "one_to_none"), ("none", "before", "off_to_before")):
         if over in rates and under in rates:
             ratios = [a / b for a, b in zip(rates[over], rates[under], strict=True) if b]
-            cpu = found[under]["cpu_us_per_request"] / max(1e-9, found[over]["cpu_us_per_request"])
-            found[ratio_name] = {"throughput": statistics.median(ratios), "by_cpu": cpu}
-    return found
+            cpu = result[under]["cpu_us_per_request"] / max(1e-9, result[over]["cpu_us_per_request"])
+            result[ratio_name] = {"throughput": statistics.median(ratios), "by_cpu": cpu}
+    return result
 
 
 def measure_costs() -> dict[str, float]:
--- a/faultlab/transforms/faults/disks.py
+++ b/faultlab/transforms/faults/disks.py
@@ -41,16 +41,16 @@
 
 
 def _flip(files: list[Path]) -> bool:
-    """Flip a byte in each copy of a payload; returns whether one was found."""
-    found = False
+    """Flip a byte in each copy of a payload; returns whether one was flipped."""
+    flipped = False
     for file in files:
         data = bytearray(file.read_bytes())
         at = data.find(b"~" * 64)
         while at >= 0:
-            found, data[at + 7] = True, ord("!")
+            flipped, data[at + 7] = True, ord("!")
             at = data.find(b"~" * 64, at + 64 * 1024)
         file.write_bytes(data)
-    return found
+    return flipped
 
 
 def _tear(files: list[Path]) -> bool:
@@ -65,20 +65,22 @@
     """The disks of a minority are full: it refuses publications, the others continue, and all agree once the
     disks have space again."""
     names = harness.fleet.names
-    few = names[-max(1, len(names) // 4) :]
-    most = [name for name in names if name not in few]
-    for name in few:
+    minority_names = names[-max(1, len(names) // 4) :]
+    majority_names = [name for name in names if name not in minority_names]
+    for name in minority_names:
         harness.count_fault("disk full")
         _limit_file_size(harness, name, 0)
     try:
-        if await harness.publish(few[0], harness.make_source()):
-            harness.violations.append(f"{few[0]} acknowledged a version that its full disk could not store")
-        id = await harness.publish(most[0], harness.make_source())
+        if await harness.publish(minority_names[0], harness.make_source()):
+            harness.violations.append(
+                f"{minority_names[0]} acknowledged a version that its full disk could not store"
+            )
+        id = await harness.publish(majority_names[0], harness.make_source())
         async with asyncio.timeout(QUIESCENCE_TIMEOUT_S):
-            while not is_candidate_or_active(await harness.fleet.status(most[0]), id):
+            while not is_candidate_or_active(await harness.fleet.status(majority_names[0]), id):
                 await asyncio.sleep(POLL_S)
     finally:
-        for name in few:
+        for name in minority_names:
             _limit_file_size(harness, name, resource.RLIM_INFINITY)
     await harness.wait_quiescent()
 
--- a/faultlab/transforms/faults/harness.py
+++ b/faultlab/transforms/faults/harness.py
@@ -97,9 +97,11 @@
     # Faults.
 
     def count_fault(self, kind: str, times: int = 1) -> None:
+        """Add to `injected`."""
         self.injected[kind] += times
 
     async def kill(self, name: str) -> None:
+        """Kill a gateway with SIGKILL."""
         self.count_fault("killed")
         await self.fleet.gateways[name].signal(signal.SIGKILL)
 
@@ -113,10 +115,10 @@
     def cut(self, names: Iterable[str]) -> tuple[list[str], list[str]]:
         """Cut these members off from the others; returns both sides."""
         self.count_fault("cut")
-        few = sorted(names)
-        most = [name for name in self.fleet.names if name not in few]
-        self.fleet.relay.cut(few, most)
-        return few, most
+        cut_off = sorted(names)
+        remaining = [name for name in self.fleet.names if name not in cut_off]
+        self.fleet.relay.cut(cut_off, remaining)
+        return cut_off, remaining
 
     def reset_streams(self) -> None:
         """Reset all open streams between the members; not counted if none is open."""
@@ -152,11 +154,11 @@
     async def check_statuses(self, names: Iterable[str] | None = None) -> dict[str, dict[str, Any]]:
         """Get and check the status of each gateway that answers."""
         gateways = list(self.fleet.names if names is None else names)
-        found = dict(zip(gateways, await asyncio.gather(*map(self.fleet.status, gateways)), strict=True))
-        for at, status in found.items():
+        statuses = dict(zip(gateways, await asyncio.gather(*map(self.fleet.status, gateways)), strict=True))
+        for at, status in statuses.items():
             if status:
                 self.check_status(at, status)
-        return {at: status for at, status in found.items() if status}
+        return {at: status for at, status in statuses.items() if status}
 
     async def wait_quiescent(self, names: Iterable[str] | None = None) -> dict[str, Any]:
         """Wait until all live members are on one epoch with nothing under way; check all, return the status
--- a/faultlab/transforms/faults/network.py
+++ b/faultlab/transforms/faults/network.py
@@ -32,23 +32,25 @@
     """Cut off a third of the members, among them the proposing one, during a publication on each side, an
     activation and a rollback; heal each partition."""
     fleet = harness.fleet
-    few = fleet.names[: max(1, len(fleet.names) // 3)]
-    most = [name for name in fleet.names if name not in few]
+    minority = fleet.names[: max(1, len(fleet.names) // 3)]
+    majority = [name for name in fleet.names if name not in minority]
     # During a publication on each side, as the cut begins.
-    orders = [asyncio.create_task(harness.publish(at, harness.make_source())) for at in (few[-1], most[-1])]
-    await _cut_until_quiescent(harness, few, most)
+    orders = [
+        asyncio.create_task(harness.publish(at, harness.make_source())) for at in (minority[-1], majority[-1])
+    ]
+    await _cut_until_quiescent(harness, minority, majority)
     await asyncio.gather(*orders)
     await _heal_and_wait(harness)
     # During an activation, while there is a candidate.
-    id = await harness.publish(most[-1], harness.make_source())
+    id = await harness.publish(majority[-1], harness.make_source())
     async with asyncio.timeout(QUIESCENCE_TIMEOUT_S):
-        while not is_candidate_or_active(await fleet.status(most[-1]), id):
+        while not is_candidate_or_active(await fleet.status(majority[-1]), id):
             await asyncio.sleep(POLL_S)
-    await _cut_until_quiescent(harness, few, most)
+    await _cut_until_quiescent(harness, minority, majority)
     await _heal_and_wait(harness)
     # During a rollback.
-    order = asyncio.create_task(harness.rollback(most[0]))
-    await _cut_until_quiescent(harness, few, most)
+    order = asyncio.create_task(harness.rollback(majority[0]))
+    await _cut_until_quiescent(harness, minority, majority)
     await order
     await _heal_and_wait(harness)
 
@@ -59,13 +61,16 @@
     return any((entry.get(key) or {}).get("id") == id for key in ("active", "candidate"))
 
 
-async def _cut_until_quiescent(harness: FaultHarness, few: list[str], most: list[str]) -> None:
-    """Cut off `few` and wait until `most` are quiescent; check that the minority is not at a later epoch."""
-    harness.cut(few)
-    await harness.wait_quiescent(most)
+async def _cut_until_quiescent(
+    harness: FaultHarness, minority_names: list[str], majority_names: list[str]
+) -> None:
+    """Cut off `minority_names` and wait until `majority_names` are quiescent; check that the minority is not
+    at a later epoch."""
+    harness.cut(minority_names)
+    await harness.wait_quiescent(majority_names)
     seen = await harness.check_statuses()
-    max_epoch = max(status["epoch"] for at, status in seen.items() if at in most)
-    ahead = [at for at in few if at in seen and seen[at]["epoch"] > max_epoch]
+    max_epoch = max(status["epoch"] for at, status in seen.items() if at in majority_names)
+    ahead = [at for at in minority_names if at in seen and seen[at]["epoch"] > max_epoch]
     if ahead:
         harness.violations.append(f"{', '.join(ahead)}: a minority is ahead of epoch {max_epoch}")
 
--- a/faultlab/transforms/faults/versions.py
+++ b/faultlab/transforms/faults/versions.py
@@ -66,12 +66,12 @@
 
 
 def _memory_kb(harness: FaultHarness) -> list[int]:
-    found = []
+    sizes_kb = []
     for gateway in harness.fleet.gateways.values():
         assert gateway.process is not None
         with open(f"/proc/{gateway.process.pid}/status") as file:
-            found.append(next(int(line.split()[1]) for line in file if line.startswith("VmRSS")))
-    return found
+            sizes_kb.append(next(int(line.split()[1]) for line in file if line.startswith("VmRSS")))
+    return sizes_kb
 
 
 async def refused(harness: FaultHarness) -> None:
--- a/faultlab/transforms/fleet.py
+++ b/faultlab/transforms/fleet.py
@@ -47,6 +47,6 @@
         status, body = await self.call_operator(name, "/api/transforms")
         if status != 200:
             return {}
-        found: dict[str, Any] = json.loads(body)
-        live = sum(member["live"] for member in found["members"])
-        return found | {"live": live, "versions": {each["name"]: each for each in found["transforms"]}}
+        parsed: dict[str, Any] = json.loads(body)
+        live = sum(member["live"] for member in parsed["members"])
+        return parsed | {"live": live, "versions": {entry["name"]: entry for entry in parsed["transforms"]}}
