--- a/faultlab/routes/baseline.py
+++ b/faultlab/routes/baseline.py
@@ -51,8 +51,8 @@
         files = [write_file(view, team_edits) for _, team_edits, _ in commits]
         winner = files[clocks.index(max(clocks))]
         for _, team_edits, _ in commits:
-            missing = sum(not file_has_edit(winner, edit) for edit in team_edits)
-            edits, lost, lossy_commits = edits + len(team_edits), lost + missing, lossy_commits + bool(missing)
+            gone = sum(not file_has_edit(winner, edit) for edit in team_edits)
+            edits, lost, lossy_commits = edits + len(team_edits), lost + gone, lossy_commits + bool(gone)
     return {
         "teams": teams, "trials": trials, "concurrent_edits": edits,
         "merged_with_no_person": round(outcomes["merged"] / edits, 4),
