--- a/cloverkeel/fleet/duties/jobs.py
+++ b/cloverkeel/fleet/duties/jobs.py
@@ -6,7 +6,7 @@
 import os
 from collections.abc import Callable
 
-from cloverkeel.fleet.duties.shell import NotHeldError, DutyService
+from cloverkeel.fleet.duties.shell import DutyService, NotHeldError
 from cloverkeel.fleet.events import event
 from cloverkeel.fleet.state.database import STATE_FILE
 
--- a/cloverkeel/fleet/duties/local.py
+++ b/cloverkeel/fleet/duties/local.py
@@ -18,10 +18,10 @@
 from cloverkeel.fleet.duties.interface import (
     BackendAnswer,
     BackendCall,
-    NotHeld,
     Granted,
     Held,
     LeaseStatus,
+    NotHeld,
     Unreachable,
 )
 from cloverkeel.fleet.state.database import STATE_FILE, connect, open_read_only, transaction
--- a/cloverkeel/fleet/duties/part.py
+++ b/cloverkeel/fleet/duties/part.py
@@ -11,13 +11,13 @@
 from typing import TYPE_CHECKING
 
 from cloverkeel.fleet import events
-from cloverkeel.fleet.operator_queries import JSON_CONTENT_TYPE, query_value, error_answer
-from cloverkeel.fleet.duties.jobs import JOBS, PeriodicJob
 from cloverkeel.fleet.duties.bootstrap import Bootstrap
 from cloverkeel.fleet.duties.interface import Duty
+from cloverkeel.fleet.duties.jobs import JOBS, PeriodicJob
 from cloverkeel.fleet.duties.settings import DutySettings
 from cloverkeel.fleet.duties.shell import DutyService
 from cloverkeel.fleet.membership.calls import CallFailed
+from cloverkeel.fleet.operator_queries import JSON_CONTENT_TYPE, error_answer, query_value
 from cloverkeel.operator import Answer
 
 if TYPE_CHECKING:
--- a/cloverkeel/fleet/duties/quorum.py
+++ b/cloverkeel/fleet/duties/quorum.py
@@ -25,10 +25,10 @@
 from cloverkeel.fleet.duties.interface import (  # noqa: E402
     BackendAnswer,
     BackendCall,
-    NotHeld,
     Granted,
     Held,
     LeaseStatus,
+    NotHeld,
     Unreachable,
 )
 
--- a/cloverkeel/fleet/ledger/ledger.py
+++ b/cloverkeel/fleet/ledger/ledger.py
@@ -12,6 +12,7 @@
 from cloverkeel.fleet.ledger import anti_entropy
 from cloverkeel.fleet.ledger.bucket_hashes import BUCKET_COUNT
 from cloverkeel.fleet.ledger.dots import Context, Dot
+from cloverkeel.fleet.ledger.head_batches import batch_heads
 from cloverkeel.fleet.ledger.intake import Intake
 from cloverkeel.fleet.ledger.interface import (
     Acknowledged,
@@ -19,10 +20,10 @@
     Delete,
     Event,
     KeyChanged,
-    MessageReceived,
     Level,
-    NotConfirmed,
     LogEvent,
+    MessageReceived,
+    NotConfirmed,
     Persist,
     Persisted,
     PersistFailed,
@@ -45,12 +46,11 @@
     Piece,
     Want,
 )
+from cloverkeel.fleet.ledger.pending_acks import PendingAck, PendingAcks
 from cloverkeel.fleet.ledger.records import Record
 from cloverkeel.fleet.ledger.replica import Delta, Join, Op, Put, Replica
 from cloverkeel.fleet.ledger.settling import Settling
-from cloverkeel.fleet.ledger.head_batches import batch_heads
 from cloverkeel.fleet.ledger.tombstones import collectable_tombstones
-from cloverkeel.fleet.ledger.pending_acks import PendingAck, PendingAcks
 from cloverkeel.fleet.ledger.writes import prepare
 
 BATCH_OPS = 64  # most operations in one batch
--- a/cloverkeel/fleet/ledger/records.py
+++ b/cloverkeel/fleet/ledger/records.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from cloverkeel.fleet.ledger.dots import COUNTER_MAX, Context, Dot, ContextBuilder
+from cloverkeel.fleet.ledger.dots import COUNTER_MAX, Context, ContextBuilder, Dot
 
 PAYLOAD_MAX = 256 * 1024  # bytes
 KIND_MAX, KEY_MAX, MEMBER_MAX = 64, 256, 128  # characters
--- a/cloverkeel/fleet/ledger/replica.py
+++ b/cloverkeel/fleet/ledger/replica.py
@@ -13,7 +13,7 @@
 from collections.abc import Iterable, Sequence
 
 from cloverkeel.fleet.ledger.bucket_hashes import BucketHashes
-from cloverkeel.fleet.ledger.dots import Context, Dot, ContextBuilder
+from cloverkeel.fleet.ledger.dots import Context, ContextBuilder, Dot
 from cloverkeel.fleet.ledger.limits import Limits, Usage, refusal
 from cloverkeel.fleet.ledger.records import Record, read_context, siblings
 
--- a/cloverkeel/fleet/ledger/shell.py
+++ b/cloverkeel/fleet/ledger/shell.py
@@ -17,10 +17,10 @@
     Delete,
     Event,
     KeyChanged,
-    MessageReceived,
     Level,
-    NotConfirmed,
     LogEvent,
+    MessageReceived,
+    NotConfirmed,
     Persist,
     Persisted,
     PersistFailed,
@@ -37,8 +37,8 @@
 from cloverkeel.fleet.ledger.records import Record
 from cloverkeel.fleet.ledger.store import Loaded, Store, Writer
 from cloverkeel.fleet.membership.roster import LIVE_STATUSES
-from cloverkeel.fleet.membership.updates import Status
 from cloverkeel.fleet.membership.service import Membership
+from cloverkeel.fleet.membership.updates import Status
 
 TICK_S = 0.1
 LOG_EVENTS_PER_S = 5  # further ones in the same second are dropped
--- a/cloverkeel/fleet/ledger/store.py
+++ b/cloverkeel/fleet/ledger/store.py
@@ -22,7 +22,7 @@
 
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.ledger.interface import Persist, Persisted, PersistFailed
-from cloverkeel.fleet.ledger.records import Record, payload_hash, invalid_reason
+from cloverkeel.fleet.ledger.records import Record, invalid_reason, payload_hash
 from cloverkeel.fleet.ledger.replica import Put
 from cloverkeel.fleet.state.database import STATE_FILE, connect, transaction
 
--- a/cloverkeel/fleet/ledger/writes.py
+++ b/cloverkeel/fleet/ledger/writes.py
@@ -5,11 +5,11 @@
 from cloverkeel.fleet.ledger.dots import Dot
 from cloverkeel.fleet.ledger.interface import Delete, Write
 from cloverkeel.fleet.ledger.records import (
-    PAYLOAD_MAX,
     CONTEXT_RUNS_MAX,
+    PAYLOAD_MAX,
     Record,
-    payload_hash,
     invalid_name_reason,
+    payload_hash,
 )
 from cloverkeel.fleet.ledger.replica import Put, Replica
 
--- a/cloverkeel/fleet/lists/sharing.py
+++ b/cloverkeel/fleet/lists/sharing.py
@@ -17,14 +17,14 @@
 from cloverkeel.fleet.cluster import ClusterSettings
 from cloverkeel.fleet.events import event
 from cloverkeel.fleet.lists import actions
-from cloverkeel.fleet.lists.jitter import SelectorSettings
-from cloverkeel.fleet.lists.source_selector import FETCH_TIMEOUT_S, INVALID_AVOID_S, SourceSelector
-from cloverkeel.fleet.lists.followers import Followers, list_message, encode_optional_version
+from cloverkeel.fleet.lists.followers import Followers, encode_optional_version, list_message
 from cloverkeel.fleet.lists.ingest import ListIngest
+from cloverkeel.fleet.lists.jitter import SelectorSettings
 from cloverkeel.fleet.lists.limits import max_followers
-from cloverkeel.fleet.lists.upstream_connections import LIST_FEED, UpstreamConnections, is_frame_error
-from cloverkeel.fleet.lists.versioned_list import ListUpdate, ApplyResult, decode_version, decode, encode
 from cloverkeel.fleet.lists.relays import Peer
+from cloverkeel.fleet.lists.source_selector import FETCH_TIMEOUT_S, INVALID_AVOID_S, SourceSelector
+from cloverkeel.fleet.lists.upstream_connections import LIST_FEED, UpstreamConnections, is_frame_error
+from cloverkeel.fleet.lists.versioned_list import ApplyResult, ListUpdate, decode, decode_version, encode
 from cloverkeel.fleet.membership.calls import CallFailed
 from cloverkeel.fleet.membership.feeds import Feed
 from cloverkeel.fleet.membership.service import Membership
--- a/cloverkeel/fleet/lists/source_selector.py
+++ b/cloverkeel/fleet/lists/source_selector.py
@@ -24,10 +24,10 @@
 from cloverkeel.fleet import invariants
 from cloverkeel.fleet.lists.actions import (
     Action,
-    FetchList,
     AnnounceDepth,
-    FallbackStarted,
     AnnounceList,
+    FallbackStarted,
+    FetchList,
     RelayRoleChanged,
     Subscribe,
     Unsubscribe,
@@ -40,10 +40,10 @@
     jitter_s,
     jitter_window_s,
 )
-from cloverkeel.fleet.lists.upstream import Upstream, lagging_peers
 from cloverkeel.fleet.lists.limits import MAX_DEPTH, MAX_UPSTREAMS, REFERRALS_PER_REPLY
+from cloverkeel.fleet.lists.relays import Peer, by_preference, choose_relays, is_outranked
+from cloverkeel.fleet.lists.upstream import Upstream, lagging_peers
 from cloverkeel.fleet.lists.versioned_list import ListVersion
-from cloverkeel.fleet.lists.relays import Peer, choose_relays, is_outranked, by_preference
 
 # A relay takes on its role once the set of relays has been stable for this long, up to 50 % longer at random.
 RELAY_SETTLE_S = 0.5
--- a/cloverkeel/fleet/lists/upstream_connections.py
+++ b/cloverkeel/fleet/lists/upstream_connections.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from cloverkeel.fleet.lists.followers import encode_optional_version
-from cloverkeel.fleet.lists.versioned_list import ListVersion
 from cloverkeel.fleet.lists.relays import Peer
+from cloverkeel.fleet.lists.versioned_list import ListVersion
 from cloverkeel.fleet.membership.calls import CallFailed, Calls
 from cloverkeel.fleet.membership.feeds import Subscription
 from cloverkeel.fleet.membership.frames import DROP_REASONS
--- a/cloverkeel/fleet/operator_commands.py
+++ b/cloverkeel/fleet/operator_commands.py
@@ -10,7 +10,7 @@
 
 from cloverkeel.errors import ConfigError
 from cloverkeel.fleet.membership.command import CommandError, operator_address, request_operator
-from cloverkeel.operator import POST_LIMIT, HANDLER_TIMEOUT_S
+from cloverkeel.operator import HANDLER_TIMEOUT_S, POST_LIMIT
 
 LEVELS = ("local", "quorum", "all")
 Address = tuple[str, int]
--- a/cloverkeel/fleet/rollout/conductor_service.py
+++ b/cloverkeel/fleet/rollout/conductor_service.py
@@ -6,26 +6,26 @@
 import contextlib
 from typing import TYPE_CHECKING, Any, Protocol
 
-from cloverkeel.fleet.duties.shell import NotHeldError
 from cloverkeel.fleet.duties.shell import DutyService as Duties
+from cloverkeel.fleet.duties.shell import NotHeldError
 from cloverkeel.fleet.events import event
 from cloverkeel.fleet.ledger.interface import Acknowledged, Level
-from cloverkeel.fleet.ledger.shell import WriteResult, WriteRefused
 from cloverkeel.fleet.ledger.shell import LedgerService as Ledger
+from cloverkeel.fleet.ledger.shell import WriteRefused, WriteResult
 from cloverkeel.fleet.membership.calls import CallFailed
 from cloverkeel.fleet.rollout.analysis import counts_from_list
 from cloverkeel.fleet.rollout.core import (
     Conductor,
+    CountsReported,
     DropOrder,
     Event,
-    MembersChanged,
     LogEvent,
+    MembersChanged,
     OrdersChanged,
-    CountsReported,
+    ProgressWritten,
     Tick,
-    WriteProgress,
     WriteFailed,
-    ProgressWritten,
+    WriteProgress,
 )
 from cloverkeel.fleet.rollout.records import ORDER, PROGRESS, PROGRESS_KEY, Order, Progress, encode
 from cloverkeel.fleet.rollout.settings import CONDUCTOR_DUTY
--- a/cloverkeel/fleet/routes/command.py
+++ b/cloverkeel/fleet/routes/command.py
@@ -10,14 +10,14 @@
 from typing import Any
 from urllib.parse import urlencode
 
+from cloverkeel.fleet.membership.command import CommandError, request_operator
 from cloverkeel.fleet.operator_commands import (
     Address,
     add_operator_option,
     add_wait_option,
-    request_json,
     read_file,
+    request_json,
 )
-from cloverkeel.fleet.membership.command import CommandError, request_operator
 
 CONFIG_KEY = "routes"  # configuration object without which a gateway has no such calls
 REQUEST_TIMEOUT_S = 22.0  # for the download of a team's file
--- a/cloverkeel/fleet/routes/compaction.py
+++ b/cloverkeel/fleet/routes/compaction.py
@@ -6,10 +6,10 @@
 
 from cloverkeel.fleet.ledger.dots import Dot
 from cloverkeel.fleet.routes.changes import DELETED, Change
+from cloverkeel.fleet.routes.merged_routes import MergedRoutes
 from cloverkeel.fleet.routes.owners import classify
 from cloverkeel.fleet.routes.registers import RouteChange, Write, newest
 from cloverkeel.fleet.routes.route_merge import merge_route
-from cloverkeel.fleet.routes.merged_routes import MergedRoutes
 
 
 def droppable(routes: MergedRoutes, changes: Mapping[Dot, Change]) -> list[Dot]:
--- a/cloverkeel/fleet/routes/conflicts.py
+++ b/cloverkeel/fleet/routes/conflicts.py
@@ -11,7 +11,7 @@
 
 from cloverkeel.fleet.ledger.dots import Dot
 from cloverkeel.fleet.routes.fields import UNITS_PER_PERCENT, canonical_bytes, share_units
-from cloverkeel.fleet.routes.interface import Choice, Conflict, ConflictKind, RouteView, Severity, Environment
+from cloverkeel.fleet.routes.interface import Choice, Conflict, ConflictKind, Environment, RouteView, Severity
 
 SEVERITY: Mapping[ConflictKind, Severity] = {
     "field": "held",
--- a/cloverkeel/fleet/routes/files.py
+++ b/cloverkeel/fleet/routes/files.py
@@ -18,7 +18,7 @@
 
 from cloverkeel.fleet.ledger.dots import Context
 from cloverkeel.fleet.routes.changes import DELETED, EDITS_MAX, NAME_MAX, Change, Edit
-from cloverkeel.fleet.routes.fields import TARGET_SELECTORS, FIELDS, canonical, canonical_or_fault
+from cloverkeel.fleet.routes.fields import FIELDS, TARGET_SELECTORS, canonical, canonical_or_fault
 from cloverkeel.fleet.routes.interface import View
 
 FILE_MAX = 256 * 1024  # bytes
--- a/cloverkeel/fleet/routes/merge.py
+++ b/cloverkeel/fleet/routes/merge.py
@@ -12,9 +12,9 @@
 from cloverkeel.fleet.routes.changes import Change
 from cloverkeel.fleet.routes.compaction import droppable, routes_of
 from cloverkeel.fleet.routes.fields import plan_hash
-from cloverkeel.fleet.routes.interface import Conflict, RouteView, View, WaitingEdits, Environment
-from cloverkeel.fleet.routes.registers import SeenDots, RouteChange, count_dots
+from cloverkeel.fleet.routes.interface import Conflict, Environment, RouteView, View, WaitingEdits
 from cloverkeel.fleet.routes.merged_routes import MergedRoutes
+from cloverkeel.fleet.routes.registers import RouteChange, SeenDots, count_dots
 
 STEP_ITEMS = 100  # small items handled in one step
 STEP_CHANGES = 40  # changes added in one step
--- a/cloverkeel/fleet/routes/merged_routes.py
+++ b/cloverkeel/fleet/routes/merged_routes.py
@@ -13,11 +13,11 @@
 from cloverkeel.fleet.ledger.dots import Dot
 from cloverkeel.fleet.routes import conflicts
 from cloverkeel.fleet.routes.fields import UNITS_PER_PERCENT
-from cloverkeel.fleet.routes.interface import Conflict, RouteView, WaitingEdits, Environment
+from cloverkeel.fleet.routes.interface import Conflict, Environment, RouteView, WaitingEdits
 from cloverkeel.fleet.routes.order import RouteOrder
 from cloverkeel.fleet.routes.overlaps import Overlaps, match_rule
 from cloverkeel.fleet.routes.owners import classify
-from cloverkeel.fleet.routes.registers import RouteChange, newest, causal_key
+from cloverkeel.fleet.routes.registers import RouteChange, causal_key, newest
 from cloverkeel.fleet.routes.route_merge import EMPTY_ROUTE, MergedRoute, merge_route
 
 HASH_MODULUS = 2**128
--- a/cloverkeel/fleet/routes/resolution.py
+++ b/cloverkeel/fleet/routes/resolution.py
@@ -10,10 +10,10 @@
 from cloverkeel.fleet.ledger.records import MEMBER_MAX
 from cloverkeel.fleet.routes.changes import DELETED, Edit
 from cloverkeel.fleet.routes.conflicts import route_conflicts
+from cloverkeel.fleet.routes.environment import labels_of
 from cloverkeel.fleet.routes.fields import canonical, canonical_or_fault
 from cloverkeel.fleet.routes.files import value_fault
-from cloverkeel.fleet.routes.interface import Conflict, RouteView, View, Environment
-from cloverkeel.fleet.routes.environment import labels_of
+from cloverkeel.fleet.routes.interface import Conflict, Environment, RouteView, View
 
 BEFORE = "before"
 
--- a/cloverkeel/fleet/routes/route_merge.py
+++ b/cloverkeel/fleet/routes/route_merge.py
@@ -9,10 +9,10 @@
 from cloverkeel.fleet.ledger.dots import Dot
 from cloverkeel.fleet.routes import conflicts
 from cloverkeel.fleet.routes.changes import DELETED
-from cloverkeel.fleet.routes.fields import FIELDS, route_hash, canonical_or_fault
-from cloverkeel.fleet.routes.interface import Choice, Conflict, Decision, RouteView, WaitingEdits, Environment
+from cloverkeel.fleet.routes.fields import FIELDS, canonical_or_fault, route_hash
+from cloverkeel.fleet.routes.interface import Choice, Conflict, Decision, Environment, RouteView, WaitingEdits
 from cloverkeel.fleet.routes.owners import OWNER, Classification, classify, writes_fields
-from cloverkeel.fleet.routes.registers import RouteChange, Write, values_equal, agreed_write, newest
+from cloverkeel.fleet.routes.registers import RouteChange, Write, agreed_write, newest, values_equal
 
 
 @dataclass(slots=True, frozen=True)
--- a/cloverkeel/fleet/routes/shell.py
+++ b/cloverkeel/fleet/routes/shell.py
@@ -17,13 +17,13 @@
 from cloverkeel.fleet.events import event
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.ledger.interface import Acknowledged, KeyChanged, Level
-from cloverkeel.fleet.ledger.shell import WriteResult, LedgerService, Siblings, WriteRefused
+from cloverkeel.fleet.ledger.shell import LedgerService, Siblings, WriteRefused, WriteResult
 from cloverkeel.fleet.membership.roster import LIVE_STATUSES
 from cloverkeel.fleet.membership.updates import Status
 from cloverkeel.fleet.routes import gc_pause
 from cloverkeel.fleet.routes.changes import KIND, Accept, Change, Edit, decode, encode, key_of
-from cloverkeel.fleet.routes.interface import View, Environment
 from cloverkeel.fleet.routes.conflict_log import ConflictLog
+from cloverkeel.fleet.routes.interface import Environment, View
 from cloverkeel.http1 import log
 
 SLICE_S = 0.001  # longest run of the merge without a turn of the event loop
--- a/cloverkeel/fleet/state/__init__.py
+++ b/cloverkeel/fleet/state/__init__.py
@@ -14,8 +14,8 @@
 from importlib import import_module
 from typing import TYPE_CHECKING
 
-from cloverkeel.fleet.snapshot import StoreCounters as StoreCounters
 from cloverkeel.fleet.snapshot import Snapshot as Snapshot
+from cloverkeel.fleet.snapshot import StoreCounters as StoreCounters
 
 if TYPE_CHECKING:
     from cloverkeel.fleet.state.codec import decode as decode
@@ -24,13 +24,13 @@
     from cloverkeel.fleet.state.database import STATE_FILE as STATE_FILE
     from cloverkeel.fleet.state.database import CorruptError as CorruptError
     from cloverkeel.fleet.state.database import connect as connect
+    from cloverkeel.fleet.state.database import open_read_only as open_read_only
     from cloverkeel.fleet.state.database import read_counters as read_counters
     from cloverkeel.fleet.state.database import read_snapshots as read_snapshots
-    from cloverkeel.fleet.state.database import open_read_only as open_read_only
     from cloverkeel.fleet.state.database import verify as verify
-    from cloverkeel.fleet.state.writer import StateWriter as StateWriter
     from cloverkeel.fleet.state.recovery import recover as recover
     from cloverkeel.fleet.state.store import Store as Store
+    from cloverkeel.fleet.state.writer import StateWriter as StateWriter
 
 LAZY_EXPORTS = {
     "codec": ("decode", "encode", "unusable_reason"),
--- a/cloverkeel/fleet/state/recovery.py
+++ b/cloverkeel/fleet/state/recovery.py
@@ -7,11 +7,11 @@
 import time
 
 from cloverkeel.fleet.events import event
-from cloverkeel.fleet.snapshot import StoreCounters, Snapshot
+from cloverkeel.fleet.snapshot import Snapshot, StoreCounters
 from cloverkeel.fleet.state.codec import unusable_reason
 from cloverkeel.fleet.state.database import read_snapshots
-from cloverkeel.fleet.state.writer import StateWriter
 from cloverkeel.fleet.state.store import Store
+from cloverkeel.fleet.state.writer import StateWriter
 
 
 def recover(
--- a/cloverkeel/fleet/state/store.py
+++ b/cloverkeel/fleet/state/store.py
@@ -10,11 +10,11 @@
 import sqlite3
 
 from cloverkeel.fleet.events import event
-from cloverkeel.fleet.snapshot import StoreCounters, Snapshot
+from cloverkeel.fleet.snapshot import Snapshot, StoreCounters
 from cloverkeel.fleet.state.codec import SCHEMA_VERSION, encode
 from cloverkeel.fleet.state.database import (
-    STATE_FILE,
     LOCK_FILE,
+    STATE_FILE,
     TABLES,
     CorruptError,
     connect,
--- a/cloverkeel/fleet/state/writer.py
+++ b/cloverkeel/fleet/state/writer.py
@@ -10,8 +10,8 @@
 from concurrent.futures import Future
 
 from cloverkeel.fleet.events import event
-from cloverkeel.fleet.snapshot import StoreCounters, Snapshot
-from cloverkeel.fleet.state.database import STATE_FILE, read_counters, open_read_only
+from cloverkeel.fleet.snapshot import Snapshot, StoreCounters
+from cloverkeel.fleet.state.database import STATE_FILE, open_read_only, read_counters
 from cloverkeel.fleet.state.store import Store
 
 
--- a/cloverkeel/front/connection.py
+++ b/cloverkeel/front/connection.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, cast
 
 from cloverkeel.front.request_reader import RequestReader
-from cloverkeel.front.requests import Request, RequestError, with_keep_alive, response_headers, build_call
+from cloverkeel.front.requests import Request, RequestError, build_call, response_headers, with_keep_alive
 from cloverkeel.hosts.connection import HostConnection
 from cloverkeel.http1 import (
     LINGER_S,
--- a/cloverkeel/front/request_reader.py
+++ b/cloverkeel/front/request_reader.py
@@ -13,13 +13,13 @@
 from cloverkeel.clock import now_us
 from cloverkeel.front.requests import Request, RequestError
 from cloverkeel.http1 import (
-    OPTIONAL_WHITESPACE,
     BODY_LIMIT,
     HEAD_LIMIT,
+    OPTIONAL_WHITESPACE,
     WRITE_STALL_S,
     Header,
-    transfer_coding,
     header,
+    transfer_coding,
 )
 from cloverkeel.streams import MIN_BYTES_PER_S, Upload
 
--- a/faultlab/coldstart/liar.py
+++ b/faultlab/coldstart/liar.py
@@ -14,10 +14,10 @@
 from typing import Any
 
 from cloverkeel.fleet.cluster import parse_cluster
-from cloverkeel.fleet.lists.upstream_connections import LIST_FEED
-from cloverkeel.fleet.lists.versioned_list import ListUpdate, ListVersion, encode, entry_digest
 from cloverkeel.fleet.lists.relays import Peer, choose_relays
 from cloverkeel.fleet.lists.sharing import LIST_GET
+from cloverkeel.fleet.lists.upstream_connections import LIST_FEED
+from cloverkeel.fleet.lists.versioned_list import ListUpdate, ListVersion, encode, entry_digest
 from cloverkeel.fleet.membership.feeds import Feed
 from cloverkeel.fleet.membership.frames import MAX_FRAME_BYTES
 from cloverkeel.fleet.membership.service import Membership
--- a/faultlab/listservice.py
+++ b/faultlab/listservice.py
@@ -17,7 +17,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from faultlab import child
-from faultlab.standins import read_request, make_response
+from faultlab.standins import make_response, read_request
 
 MAX_HOLD_S = 60.0
 COLLAPSE_FACTOR = 2.0  # with a full queue a collapsing service answers 1 / (1 + 2) of its rate, a third
--- a/faultlab/member.py
+++ b/faultlab/member.py
@@ -31,8 +31,8 @@
 from cloverkeel.errors import ConfigError
 from cloverkeel.fleet import events
 from cloverkeel.fleet.cluster import ClusterSettings, parse_cluster
-from cloverkeel.fleet.membership.updates import MemberUpdate
 from cloverkeel.fleet.membership.service import Membership
+from cloverkeel.fleet.membership.updates import MemberUpdate
 
 
 def emit(event: str, **fields: object) -> None:
--- a/faultlab/member_fleet.py
+++ b/faultlab/member_fleet.py
@@ -16,7 +16,7 @@
 from typing import Any
 
 from faultlab.gateway_process import ROOT
-from faultlab.relay import RelayMember, Relay
+from faultlab.relay import Relay, RelayMember
 
 CLUSTER_NAME = "lab"
 SEED_COUNT = 3
--- a/faultlab/recovery/command.py
+++ b/faultlab/recovery/command.py
@@ -10,7 +10,7 @@
 from faultlab.recovery.damage import damaged_starts
 from faultlab.recovery.files import Figures
 from faultlab.recovery.gateways import stop_while_writing, two_gateways_one_directory, uncreatable_directory
-from faultlab.recovery.starts import check_costs, start_costs, compare_starts
+from faultlab.recovery.starts import check_costs, compare_starts, start_costs
 from faultlab.recovery.writers import full_disk, kill_writers
 from faultlab.report import Subcommands, positive_int, report
 
--- a/faultlab/recovery/damage.py
+++ b/faultlab/recovery/damage.py
@@ -13,7 +13,7 @@
 from cloverkeel.fleet import state
 from faultlab.gateway_process import GatewayProcess, configuration
 from faultlab.ports import free_port
-from faultlab.recovery.files import Figures, write_good_file, open_copy, write_file_with_wal
+from faultlab.recovery.files import Figures, open_copy, write_file_with_wal, write_good_file
 from faultlab.standins import Host, endpoint
 
 
--- a/faultlab/recovery/gateways.py
+++ b/faultlab/recovery/gateways.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 from cloverkeel.fleet import state
-from faultlab.gateway_process import GatewayProcess, configuration, wait_snapshot, send_traffic
+from faultlab.gateway_process import GatewayProcess, configuration, send_traffic, wait_snapshot
 from faultlab.ports import free_port
 from faultlab.recovery.files import Figures
 from faultlab.standins import Host, endpoint
--- a/faultlab/recovery/writers.py
+++ b/faultlab/recovery/writers.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 
 from faultlab.gateway_process import ROOT
-from faultlab.recovery.files import Figures, copy_as_after_power_loss, write_good_file, open_copy
+from faultlab.recovery.files import Figures, copy_as_after_power_loss, open_copy, write_good_file
 
 
 async def spawn_writer(directory: Path, count: int, fsize: int | None = None) -> asyncio.subprocess.Process:
--- a/faultlab/relay/datagrams.py
+++ b/faultlab/relay/datagrams.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, cast
 
 if TYPE_CHECKING:
-    from faultlab.relay import RelayMember, Relay
+    from faultlab.relay import Relay, RelayMember
 
 
 class DatagramPort(asyncio.DatagramProtocol):
--- a/faultlab/routes/command.py
+++ b/faultlab/routes/command.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from faultlab.report import Subcommands, positive_int, report
-from faultlab.routes import baseline, costs, faults, latency, simulated, propagation
+from faultlab.routes import baseline, costs, faults, latency, propagation, simulated
 from faultlab.routes.fleet import RoutesFleet
 
 PARTS = ("spread", "faults", "loaded", "costs", "simulated", "baseline")
--- a/faultlab/routes/faults.py
+++ b/faultlab/routes/faults.py
@@ -13,7 +13,7 @@
 from cloverkeel.fleet.routes.changes import Change
 from faultlab.relay import Rule
 from faultlab.routes.costs import summary
-from faultlab.routes.fleet import RoutesFleet, wait_agreement, find_lost_edits
+from faultlab.routes.fleet import RoutesFleet, find_lost_edits, wait_agreement
 
 AGREEMENT_TIMEOUT_S = 60.0  # after a heal
 # Share of faults that are a SIGKILL and a restart, which takes a second on a loaded machine.
--- a/faultlab/soak/clients.py
+++ b/faultlab/soak/clients.py
@@ -10,7 +10,7 @@
 
 from cloverkeel.tasks import BackgroundTasks
 from faultlab.messages import parse_message
-from faultlab.soak.records import ExchangeEnd, Exchange, Records
+from faultlab.soak.records import Exchange, ExchangeEnd, Records
 from faultlab.soak.settings import CLASS_SHARES, CLASSES, Settings
 
 ABANDONED_SHARE = 0.05  # share of the requests whose client closes its connection before the response
--- a/faultlab/soak/discovery.py
+++ b/faultlab/soak/discovery.py
@@ -16,7 +16,7 @@
 
 from faultlab.ports import free_port
 from faultlab.soak.records import DiscoveryAddress, Outage, Watch
-from faultlab.standins import read_request, make_response
+from faultlab.standins import make_response, read_request
 
 MAX_HOLD_S = 20.0
 LATE_DELAY_S = 0.8  # delay of a late response
--- a/faultlab/soak/gateways.py
+++ b/faultlab/soak/gateways.py
@@ -13,7 +13,7 @@
 
 from faultlab.gateway_process import GatewayProcess
 from faultlab.ports import free_port
-from faultlab.soak.records import Violation, ProcessRun, Records
+from faultlab.soak.records import ProcessRun, Records, Violation
 from faultlab.soak.settings import DESCRIPTOR_LIMIT, Settings
 
 SIGHUP_DELAY_S = 1.0  # no SIGHUP is sent to a process that is younger (TERMS)
--- a/faultlab/soak/hosts.py
+++ b/faultlab/soak/hosts.py
@@ -10,7 +10,7 @@
 
 from faultlab.coldstart.host_capacity import HostCapacity
 from faultlab.messages import Message, parse_message
-from faultlab.soak.records import Arrival, HostChange, Fall, Records
+from faultlab.soak.records import Arrival, Fall, HostChange, Records
 from faultlab.soak.settings import Settings
 from faultlab.standins import make_response
 
--- a/faultlab/soak/judge.py
+++ b/faultlab/soak/judge.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterator
 
 from faultlab.soak.notification import NotificationClock
-from faultlab.soak.records import Arrival, Violation, ExchangeEnd, Exchange, Fall, ProcessRun, Records
+from faultlab.soak.records import Arrival, Exchange, ExchangeEnd, Fall, ProcessRun, Records, Violation
 from faultlab.soak.settings import KILL_MARGIN_S, Settings
 
 SLACK_S = 0.05
--- a/faultlab/soak/notification.py
+++ b/faultlab/soak/notification.py
@@ -13,7 +13,7 @@
 
 from __future__ import annotations
 
-from faultlab.soak.records import HostChange, DiscoveryAddress, Records
+from faultlab.soak.records import DiscoveryAddress, HostChange, Records
 
 KNOWN_WITHIN_S = 6.0
 KNOWN_AFTER_WAIT_S = 2.0
--- a/faultlab/soak/site.py
+++ b/faultlab/soak/site.py
@@ -17,7 +17,7 @@
 from faultlab.soak.gateways import ManagedGateway
 from faultlab.soak.hosts import SoakHost
 from faultlab.soak.judge import Judge
-from faultlab.soak.records import Violation, HostChange, ExchangeEnd, Records
+from faultlab.soak.records import ExchangeEnd, HostChange, Records, Violation
 from faultlab.soak.schedule import EventKind, ScheduledEvent, schedule
 from faultlab.soak.settings import DESCRIPTOR_LIMIT, Settings
 
--- a/faultlab/storm/cluster/activation_reference.py
+++ b/faultlab/storm/cluster/activation_reference.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable, Iterable
 
-from cloverkeel.transforms.activation.ledger_state import VoterId
 from cloverkeel.transforms.activation.core import Activation
+from cloverkeel.transforms.activation.ledger_state import VoterId
 from cloverkeel.transforms.activation.records import Epoch, Vote
 
 Votes = Callable[[], Iterable[tuple[VoterId, Vote]]]
--- a/faultlab/storm/cluster/lists.py
+++ b/faultlab/storm/cluster/lists.py
@@ -14,25 +14,25 @@
 from cloverkeel.fleet.invariants import check
 from cloverkeel.fleet.lists.actions import (
     Action,
-    FetchList,
     AnnounceDepth,
     AnnounceList,
+    FetchList,
     Subscribe,
     Unsubscribe,
     Watch,
 )
 from cloverkeel.fleet.lists.jitter import SelectorSettings
-from cloverkeel.fleet.lists.source_selector import FETCH_TIMEOUT_S, SourceSelector
 from cloverkeel.fleet.lists.limits import MAX_UPSTREAMS, REFERRALS_PER_REPLY, admits_follower
+from cloverkeel.fleet.lists.relays import Peer
+from cloverkeel.fleet.lists.source_selector import FETCH_TIMEOUT_S, SourceSelector
 from cloverkeel.fleet.lists.versioned_list import (
-    ListUpdate,
+    ApplyResult,
     HeldList,
+    ListUpdate,
     ListVersion,
-    ApplyResult,
-    unconfirmed_version,
     answer_version,
+    unconfirmed_version,
 )
-from cloverkeel.fleet.lists.relays import Peer
 from cloverkeel.fleet.membership.roster import LIVE_STATUSES
 from faultlab.storm.cluster.budget import TOLERANCE, BudgetShare, total_share
 from faultlab.storm.cluster.listservice import START_INDEXES, ListService
--- a/faultlab/storm/cluster/membership.py
+++ b/faultlab/storm/cluster/membership.py
@@ -11,16 +11,16 @@
 from cloverkeel.fleet.membership.member import Member
 from cloverkeel.fleet.membership.messages import (
     Action,
-    MemberChanged,
     ExchangeViews,
+    MemberChanged,
     Message,
-    Push,
     NameConflict,
+    Push,
     Send,
 )
 from cloverkeel.fleet.membership.updates import MemberUpdate, Status
-from faultlab.storm.cluster.faults import Fault, History, FaultKind
-from faultlab.storm.cluster.network import NORMAL_DELAY_S, Clock, Partition, Links
+from faultlab.storm.cluster.faults import Fault, FaultKind, History
+from faultlab.storm.cluster.network import NORMAL_DELAY_S, Clock, Links, Partition
 
 KEPT_ACTIONS = 30  # last actions of the cores that a replay prints
 MAX_QUEUED_MESSAGES = 256  # datagrams that wait at a paused process; more are lost, as at a full socket
--- a/tests/fleet_sim.py
+++ b/tests/fleet_sim.py
@@ -11,10 +11,10 @@
 
 from cloverkeel.fleet.lists import actions
 from cloverkeel.fleet.lists.jitter import SelectorSettings
-from cloverkeel.fleet.lists.source_selector import SourceSelector
 from cloverkeel.fleet.lists.limits import admits_follower
-from cloverkeel.fleet.lists.versioned_list import ListVersion
 from cloverkeel.fleet.lists.relays import Peer
+from cloverkeel.fleet.lists.source_selector import SourceSelector
+from cloverkeel.fleet.lists.versioned_list import ListVersion
 
 # Delay of one message; time until a silent feed counts as ended; interval between ticks.
 HOP_S, SILENCE_S, TICK_S = 0.001, 1.0, 0.1
--- a/tests/routes_histories.py
+++ b/tests/routes_histories.py
@@ -10,7 +10,7 @@
 
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.routes.changes import Accept, Change, Edit
-from cloverkeel.fleet.routes.interface import View, Environment
+from cloverkeel.fleet.routes.interface import Environment, View
 from cloverkeel.fleet.routes.merge import Merge
 
 ENVIRONMENT = Environment(
--- a/tests/test_checks.py
+++ b/tests/test_checks.py
@@ -27,8 +27,8 @@
 from caperdrift.policy import admission, balancer, choice, retries, routes, weights
 from caperdrift.policy.balancer import Balancer
 from caperdrift.policy.breaker import Breaker
-from caperdrift.policy.servers import Server
 from caperdrift.policy.proxy_count import LOWER_COUNT_DELAY_US
+from caperdrift.policy.servers import Server
 from faultlab.storm.module import run_module
 from tests.helpers import SETTINGS, START_US
 
--- a/tests/test_coldstart_lab.py
+++ b/tests/test_coldstart_lab.py
@@ -14,14 +14,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cloverkeel.fleet.lists.upstream_connections import LIST_FEED
-from cloverkeel.fleet.lists.versioned_list import HeldList, ListVersion, ApplyResult, decode
 from cloverkeel.fleet.lists.relays import Peer, choose_relays
-from cloverkeel.fleet.membership.frames import FrameError, FrameCodec
+from cloverkeel.fleet.lists.upstream_connections import LIST_FEED
+from cloverkeel.fleet.lists.versioned_list import ApplyResult, HeldList, ListVersion, decode
+from cloverkeel.fleet.membership.frames import FrameCodec, FrameError
 from faultlab.__main__ import main
 from faultlab.coldstart import figures
-from faultlab.coldstart.host_capacity import HostCapacity
 from faultlab.coldstart.figures import Drain
+from faultlab.coldstart.host_capacity import HostCapacity
 from faultlab.coldstart.liar import bad_lists, relay_name
 from faultlab.coldstart.settings import Plan
 from faultlab.coldstart.site import ColdStartSite
--- a/tests/test_duties_local.py
+++ b/tests/test_duties_local.py
@@ -14,14 +14,14 @@
     BackendAnswer,
     BackendCall,
     Duty,
-    NotHeld,
     Granted,
     Held,
+    NotHeld,
     Unreachable,
     Verb,
 )
 from cloverkeel.fleet.duties.local import LocalBackend, list_leases
-from cloverkeel.fleet.duties.shell import NotHeldError, DutyService
+from cloverkeel.fleet.duties.shell import DutyService, NotHeldError
 from cloverkeel.fleet.state.database import STATE_FILE
 from faultlab.duties.site import create_state_file
 from tests.sockets import on_loop
--- a/tests/test_duties_parts.py
+++ b/tests/test_duties_parts.py
@@ -10,9 +10,9 @@
 
 from cloverkeel.commands import run
 from cloverkeel.errors import ConfigError
-from cloverkeel.fleet.duties.jobs import remove_old_corrupt_files
 from cloverkeel.fleet.duties.bootstrap import Bootstrap
 from cloverkeel.fleet.duties.interface import BackendCall, Duty, Granted
+from cloverkeel.fleet.duties.jobs import remove_old_corrupt_files
 from cloverkeel.fleet.duties.local import LocalBackend
 from cloverkeel.fleet.duties.settings import parse_duties
 from faultlab.duties.site import create_state_file
--- a/tests/test_lab_starts.py
+++ b/tests/test_lab_starts.py
@@ -20,7 +20,7 @@
 import pytest
 
 from faultlab import ports
-from faultlab.gateway_process import READY_REQUEST, ROOT, GatewayProcess, send_request, configuration
+from faultlab.gateway_process import READY_REQUEST, ROOT, GatewayProcess, configuration, send_request
 from faultlab.ports import free_port, free_ports, listens
 from faultlab.standins import Host, endpoint
 from faultlab.transforms.fleet import TransformsFleet
--- a/tests/test_list_relays.py
+++ b/tests/test_list_relays.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cloverkeel.fleet.lists.relays import Peer, choose_relays, by_preference
+from cloverkeel.fleet.lists.relays import Peer, by_preference, choose_relays
 
 VIEWS = st.dictionaries(
     st.integers(0, 400).map("g{}".format), st.sampled_from("abc"), min_size=1, max_size=40
--- a/tests/test_list_update_delay.py
+++ b/tests/test_list_update_delay.py
@@ -15,7 +15,7 @@
 import pytest
 
 from cloverkeel.discovery_connection import DiscoveryConnection
-from cloverkeel.discovery_timing import CALL_TIMEOUT_S, ADDRESS_CHANGE_BOUND_S, UPDATE_BOUND_S
+from cloverkeel.discovery_timing import ADDRESS_CHANGE_BOUND_S, CALL_TIMEOUT_S, UPDATE_BOUND_S
 from tests.sockets import (
     Exchange,
     Message,
--- a/tests/test_list_versions.py
+++ b/tests/test_list_versions.py
@@ -10,15 +10,15 @@
 
 from cloverkeel.fleet.lists.versioned_list import (
     MAX_ENTRIES,
-    ListUpdate,
+    ApplyResult,
     HeldList,
+    ListUpdate,
     ListVersion,
     RawEntry,
-    ApplyResult,
-    decode_version,
+    answer_version,
     decode,
+    decode_version,
     encode,
-    answer_version,
 )
 
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -14,13 +14,13 @@
 from cloverkeel.fleet.membership.messages import (
     MAX_VIEW_DATAGRAMS,
     Action,
-    NoSeedAnswered,
-    MemberChanged,
     ExchangeViews,
     Gossip,
+    MemberChanged,
     Message,
-    Push,
     NameConflict,
+    NoSeedAnswered,
+    Push,
     Send,
     Timing,
 )
--- a/tests/test_membership_service.py
+++ b/tests/test_membership_service.py
@@ -23,8 +23,8 @@
 from cloverkeel.fleet.membership.feeds import MAX_UNSENT_BYTES, Feed
 from cloverkeel.fleet.membership.frames import MAX_FRAME_BYTES, FrameCodec
 from cloverkeel.fleet.membership.messages import Ping
-from cloverkeel.fleet.membership.updates import MemberUpdate, Status
 from cloverkeel.fleet.membership.service import Membership
+from cloverkeel.fleet.membership.updates import MemberUpdate, Status
 from tests.sockets import on_loop, until
 
 
--- a/tests/test_membership_wire.py
+++ b/tests/test_membership_wire.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from cloverkeel.fleet.membership.codec import MAX_INCARNATION, Codec, DatagramError, updates_from_body
-from cloverkeel.fleet.membership.frames import FrameError, FrameCodec
+from cloverkeel.fleet.membership.frames import FrameCodec, FrameError
 from cloverkeel.fleet.membership.messages import (
     MAX_DATAGRAM_BYTES,
     MESSAGE_OVERHEAD_BYTES,
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -9,7 +9,7 @@
 from cloverkeel.fleet.cluster import ClusterSettings
 from cloverkeel.fleet.membership.calls import CallFailed
 from cloverkeel.fleet.membership.service import Membership
-from faultlab.relay import RelayMember, Relay, Rule
+from faultlab.relay import Relay, RelayMember, Rule
 from faultlab.relay.rules import Rules
 
 LIMIT_S = 5.0
--- a/tests/test_rollout_core.py
+++ b/tests/test_rollout_core.py
@@ -9,16 +9,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cloverkeel.fleet.rollout.analysis import Counts, latency_bucket, counts_from_list, judge
+from cloverkeel.fleet.rollout.analysis import Counts, counts_from_list, judge, latency_bucket
 from cloverkeel.fleet.rollout.core import (
     Conductor,
+    CountsReported,
     MembersChanged,
     OrdersChanged,
-    CountsReported,
+    ProgressWritten,
     Tick,
-    WriteProgress,
     WriteFailed,
-    ProgressWritten,
+    WriteProgress,
 )
 from cloverkeel.fleet.rollout.records import Order, Progress, Rules, Selector, Spec, Verb, encode, newest
 
--- a/tests/test_rollout_lab.py
+++ b/tests/test_rollout_lab.py
@@ -5,7 +5,7 @@
 import signal
 from pathlib import Path
 
-from faultlab.rollout.command import run_bad_set, lose_conductor, start_twice
+from faultlab.rollout.command import lose_conductor, run_bad_set, start_twice
 from faultlab.rollout.fleet import RolloutFleet
 from tests.sockets import on_loop
 
--- a/tests/test_rollout_shares.py
+++ b/tests/test_rollout_shares.py
@@ -7,7 +7,7 @@
 from caperdrift.interface import ListedServer, ListKind, RequestArrived, Send, ServerList
 from caperdrift.plan import HostSelector, Plan, Route, Target
 from caperdrift.policy.balancer import Balancer
-from cloverkeel.fleet.routes.traffic_split import split_route, intersect
+from cloverkeel.fleet.routes.traffic_split import intersect, split_route
 from tests.helpers import SETTINGS
 
 NEW, OLD = HostSelector(groups=frozenset({9})), HostSelector(none_of=(HostSelector(groups=frozenset({9})),))
--- a/tests/test_routes_conflicts.py
+++ b/tests/test_routes_conflicts.py
@@ -13,11 +13,11 @@
 
 from cloverkeel.fleet.ledger.dots import Dot
 from cloverkeel.fleet.routes.changes import Accept, Edit
-from cloverkeel.fleet.routes.interface import Conflict, View, Environment
+from cloverkeel.fleet.routes.interface import Conflict, Environment, View
 from cloverkeel.fleet.routes.merge import Merge, merge_all
 from cloverkeel.fleet.routes.order import RouteOrder
 from cloverkeel.fleet.routes.overlaps import Overlaps, match_rule
-from tests.routes_histories import ENVIRONMENT, History, histories, without_changed_routes, run_merge
+from tests.routes_histories import ENVIRONMENT, History, histories, run_merge, without_changed_routes
 
 
 class TwoGateways(History):
--- a/tests/test_routes_index.py
+++ b/tests/test_routes_index.py
@@ -15,12 +15,12 @@
 from caperdrift.interface import Event
 from caperdrift.plan import HostSelector, Plan, Route, Target
 from cloverkeel.config import Names, stable_id
-from cloverkeel.host_entries import name_id, parse_entry
 from cloverkeel.fleet.ledger.dots import Context
 from cloverkeel.fleet.routes.fields import canonical
 from cloverkeel.fleet.routes.index import Index, MatchedRoute, path_segments
 from cloverkeel.fleet.routes.interface import RouteView, View
 from cloverkeel.fleet.routes.serving import INLINE_MAX, RouteTable, compile_route
+from cloverkeel.host_entries import name_id, parse_entry
 from faultlab import lookups
 from faultlab.__main__ import main
 from tests.sockets import on_loop, until
--- a/tests/test_routes_lab.py
+++ b/tests/test_routes_lab.py
@@ -14,7 +14,7 @@
 
 from cloverkeel.fleet.ledger.dots import Context, Dot
 from cloverkeel.fleet.routes.changes import Change, Edit
-from faultlab.routes.fleet import RoutesFleet, wait_agreement, store_change, find_lost_edits, base_context
+from faultlab.routes.fleet import RoutesFleet, base_context, find_lost_edits, store_change, wait_agreement
 
 Case = Callable[[Callable[[RoutesFleet], Awaitable[None]]], None]
 AGREED_S = 20.0
--- a/tests/test_routes_shell.py
+++ b/tests/test_routes_shell.py
@@ -18,12 +18,12 @@
 from cloverkeel.fleet.ledger.shell import LedgerService
 from cloverkeel.fleet.routes import shell as routes_shell
 from cloverkeel.fleet.routes.changes import DELETED, KIND, Change, Edit, encode, key_of
-from cloverkeel.fleet.routes.interface import Choice, Conflict, RouteView, View, Environment
-from cloverkeel.fleet.routes.merge import Merge
-from cloverkeel.fleet.routes.resolution import Resolution, parse_change_name, resolution_edits, edit_faults
-from cloverkeel.fleet.routes.shell import RoutesService
 from cloverkeel.fleet.routes.conflict_log import LINES_MAX, ConflictLog, logging_member
 from cloverkeel.fleet.routes.environment import GatewayEnvironment, environment_of
+from cloverkeel.fleet.routes.interface import Choice, Conflict, Environment, RouteView, View
+from cloverkeel.fleet.routes.merge import Merge
+from cloverkeel.fleet.routes.resolution import Resolution, edit_faults, parse_change_name, resolution_edits
+from cloverkeel.fleet.routes.shell import RoutesService
 from cloverkeel.transforms.activation.records import Order
 from tests.sockets import configuration, on_loop, until
 from tests.test_ledger_shell import fleet
--- a/tests/test_soak_lab.py
+++ b/tests/test_soak_lab.py
@@ -17,13 +17,13 @@
 from faultlab.soak.notification import NotificationClock
 from faultlab.soak.records import (
     Arrival,
-    HostChange,
     DiscoveryAddress,
-    ExchangeEnd,
     Exchange,
+    ExchangeEnd,
     Fall,
-    ProcessRun,
+    HostChange,
     Outage,
+    ProcessRun,
     Records,
     Watch,
 )
--- a/tests/test_storm.py
+++ b/tests/test_storm.py
@@ -16,7 +16,7 @@
 from cloverkeel.fleet.membership.updates import MemberUpdate, Status
 from faultlab.__main__ import main
 from faultlab.storm.cluster import activation_reference, budget, ledger_reference, lists
-from faultlab.storm.cluster.faults import Fault, History, FaultKind, draw_history
+from faultlab.storm.cluster.faults import Fault, FaultKind, History, draw_history
 from faultlab.storm.cluster.membership_history import play
 
 TIMING = Timing(push_pull_s=2.0, reap_after_s=4.0)
--- a/tests/test_warm_median.py
+++ b/tests/test_warm_median.py
@@ -9,9 +9,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from caperdrift.interface import LearnedState, LearnedBreaker, LearnedServer, ListedServer, Restore
+from caperdrift.interface import LearnedBreaker, LearnedServer, LearnedState, ListedServer, Restore
 from caperdrift.policy.breaker import State
-from cloverkeel.fleet.warm.median import validate, combine
+from cloverkeel.fleet.warm.median import combine, validate
 from tests.helpers import Driver
 
 OPEN = LearnedBreaker((True,) * 20, "open", 3_000_000, 4_000_000)
