--- a/faultlab/transforms/fleet.py
+++ b/faultlab/transforms/fleet.py
@@ -12,7 +12,7 @@
 
 
 class TransformsFleet(GatewayFleet):
-    """`async with Published(4, folder, {...}) as fleet`: gateways that may all decide. `settings` are
+    """`async with TransformsFleet(4, folder, {...}) as fleet`: gateways that may all decide. `settings` are
     merged into every gateway's `transforms.fleet`, `cluster` into its `cluster`."""
 
     def __init__(
